--- a/tests/test_jobs.c
+++ b/tests/test_jobs.c
@@ -1,7 +1,7 @@
-/* The promises about jobs, each proved by causing its fault through the
-   stand-ins: whole answers, no double start on resubmit, crossed
-   answers, complete-or-failed, not-run, at-most-once, leaving upstreams,
-   graceful shutdown, and answers given up on.  */
+/* Tests the guarantees for jobs whose callers wait, with faults that are
+   injected into the stand-ins of the platform: complete answers, no double
+   start on resubmit, answers to the right caller, complete-or-failed, not-run,
+   at-most-once, leaving upstreams, graceful shutdown, and early refusal.  */
 #include "harness.h"
 
 #include <signal.h>
@@ -29,7 +29,7 @@
 }
 
 static void
-mode (int upstream, const char *m)
+set_mode (int upstream, const char *m)
 {
   char *body = g_strdup_printf ("{\"mode\":\"%s\"}", m);
   cJSON_Delete (
@@ -37,9 +37,9 @@
   g_free (body);
 }
 
-/* A coordinator submits a job of 40 tasks, then resubmits it because the
-   answer seemed slow.  Both calls must get the same whole answer, and
-   the upstreams' own start records must show every task started once.  */
+/* A caller resubmits a job while it runs.  Both calls must get the same
+   complete answer, and the upstreams' start records must show that every task
+   was started once.  */
 START_TEST (resubmit_to_same_instance_starts_nothing_twice)
 {
   h_cluster (3, 1, 100);
@@ -53,12 +53,12 @@
       _exit (st2 == 200 && tasks_in_state (o, "done") == 40 ? 0 : 1);
     }
   cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st1);
-  int wst;
-  waitpid (child, &wst, 0);
+  int wait_status;
+  waitpid (child, &wait_status, 0);
   ck_assert_int_eq (st1, 200);
   ck_assert_str_eq (status_of (o), "complete");
   ck_assert_int_eq (tasks_in_state (o, "done"), 40);
-  ck_assert (WIFEXITED (wst) && WEXITSTATUS (wst) == 0);
+  ck_assert (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0);
   int max = 0;
   ck_assert_int_eq (h_starts ("rs1", &max), 40);
   ck_assert_int_eq (max, 1);
@@ -74,22 +74,22 @@
 }
 END_TEST
 
-/* Twelve callers submit at once, with run times chosen so that answers
-   come back in the opposite order of submission.  Each caller must get
-   its own job's answer, with its own tasks' results, none crossed.  */
+/* Twelve callers submit at once, with run times that reverse the order of the
+   answers.  Each caller must get the answer and the task results of its own
+   job.  */
 START_TEST (crossed_answers_reach_their_own_callers)
 {
   h_cluster (3, 1, 100);
-  pid_t kids[12];
+  pid_t children[12];
   for (int i = 0; i < 12; i++)
-    if ((kids[i] = fork ()) == 0)
+    if ((children[i] = fork ()) == 0)
       {
         char id[16];
         g_snprintf (id, sizeof id, "x%d", i);
         char *job = h_job_json (id, 3, 50 + (12 - i) * 30, 5000, true);
-        long st = 0;
-        cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st);
-        bool ok = st == 200
+        long status = 0;
+        cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+        bool ok = status == 200
                   && g_str_equal (
                       cJSON_GetStringValue (cJSON_GetObjectItem (o, "job_id")),
                       id);
@@ -107,30 +107,30 @@
       }
   for (int i = 0; i < 12; i++)
     {
-      int wst;
-      waitpid (kids[i], &wst, 0);
-      ck_assert_msg (WIFEXITED (wst) && WEXITSTATUS (wst) == 0,
+      int wait_status;
+      waitpid (children[i], &wait_status, 0);
+      ck_assert_msg (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0,
                      "caller %d got a wrong answer", i);
     }
   h_cluster_stop ();
 }
 END_TEST
 
-/* Every upstream fails every task it starts.  The caller must get one
-   failed answer for the whole job (never a partial booking), at once,
-   with a time to come back, and idempotent tasks are retried only within
-   the budget.  */
-START_TEST (failing_upstreams_fail_the_job_whole)
+/* Every upstream fails every task that it starts.  The caller must get one
+   failed answer for the whole job (never a partial booking), at once and with
+   retry_after_s, and idempotent tasks are retried only within the retry
+   budget.  */
+START_TEST (job_fails_as_a_whole_when_every_upstream_fails)
 {
   h_cluster (3, 1, 100);
   for (int i = 0; i < 3; i++)
-    mode (i, "fail_all");
+    set_mode (i, "fail_all");
   char *job = h_job_json ("f1", 10, 20, 20000, true);
-  long st = 0;
+  long status = 0;
   mm_time_ms t0 = mm_clock_now_ms ();
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st);
+  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
   mm_time_ms took = mm_clock_now_ms () - t0;
-  ck_assert_int_eq (st, 502);
+  ck_assert_int_eq (status, 502);
   ck_assert_str_eq (status_of (o), "failed");
   ck_assert_int_eq (tasks_in_state (o, "done"), 0);
   ck_assert (cJSON_GetNumberValue (cJSON_GetObjectItem (o, "retry_after_s"))
@@ -145,10 +145,9 @@
 }
 END_TEST
 
-/* A pass is issued by a non-idempotent task; the upstream takes it and
-   freezes, so the answer never comes.  The entry must not send it again:
-   the caller learns the outcome is unknown (not "not run"), and the
-   upstreams show exactly one start.  */
+/* An upstream takes a non-idempotent task and freezes, so that its answer
+   never arrives.  The task must not be sent again: the caller gets "unknown"
+   (not "not run") for it, and the upstreams show exactly one start.  */
 START_TEST (non_idempotent_lost_answer_is_unknown_not_retried)
 {
   h_cluster (3, 1, 100);
@@ -159,14 +158,14 @@
   ck_assert (
       h_wait_json (h_entry_ports[0], "/v1/state", "config_offset", 0, 5000));
   for (int i = 0; i < 3; i++)
-    mode (i, "freeze");
+    set_mode (i, "freeze");
   char *job = h_job_json ("n1", 1, 50, 20000, false);
-  long st = 0;
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st);
-  ck_assert_int_eq (st, 502);
+  long status = 0;
+  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+  ck_assert_int_eq (status, 502);
   ck_assert_int_eq (tasks_in_state (o, "unknown"), 1);
   for (int i = 0; i < 3; i++)
-    mode (i, "normal");
+    set_mode (i, "normal");
   int max = 0;
   ck_assert_int_eq (h_starts ("n1", &max), 1);
   ck_assert_int_eq (max, 1);
@@ -176,20 +175,20 @@
 }
 END_TEST
 
-/* Two upstreams drain (leaving) just before a job comes, and the member
-   list lags by 2 s, still showing them live.  Tasks they refuse were
-   never started there ("not run" is true) and run elsewhere.  Only the
-   first burst (one per slot, 8) may reach a leaving upstream before its
-   refusal is heard; the lagging list must not send it more.  */
+/* Two upstreams drain just before a job is submitted, and the member list lags
+   by 2 s and still shows them as live.  Tasks that they refuse were never
+   started there ("not run" is true) and run elsewhere.  Only the first burst
+   (one task per slot, 8) may reach a leaving upstream before its refusal is
+   received; the lagging list must not cause more.  */
 START_TEST (leaving_upstream_gets_no_new_work_and_refusals_did_not_run)
 {
   h_cluster (3, 1, 2000);
-  mode (0, "drain");
-  mode (1, "drain");
+  set_mode (0, "drain");
+  set_mode (1, "drain");
   char *job = h_job_json ("d1", 30, 50, 20000, false);
-  long st = 0;
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st);
-  ck_assert_int_eq (st, 200);
+  long status = 0;
+  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+  ck_assert_int_eq (status, 200);
   ck_assert_int_eq (tasks_in_state (o, "done"), 30);
   ck_assert_int_eq (h_starts_of (h_upstream_ports[0], "d1", NULL), 0);
   ck_assert_int_eq (h_starts_of (h_upstream_ports[1], "d1", NULL), 0);
@@ -206,25 +205,24 @@
 }
 END_TEST
 
-/* An operator sends SIGTERM to the entry instance while a job of 1 s
-   tasks runs.  The caller must still get the whole answer, and a new job
-   sent after the signal is refused as not run with a Retry-After.  */
-START_TEST (graceful_shutdown_cuts_off_nothing)
+/* SIGTERM reaches the entry instance while a job of 1 s tasks runs.  The
+   caller must still get the complete answer, with each task started once.  */
+START_TEST (graceful_shutdown_finishes_jobs_in_flight)
 {
   h_cluster (3, 1, 100);
   pid_t child = fork ();
   if (child == 0)
     {
       char *job = h_job_json ("g1", 20, 1000, 20000, false);
-      long st = 0;
-      cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st);
-      _exit (st == 200 && tasks_in_state (o, "done") == 20 ? 0 : 1);
+      long status = 0;
+      cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+      _exit (status == 200 && tasks_in_state (o, "done") == 20 ? 0 : 1);
     }
   g_usleep (300000);
   kill (h_entries[0], SIGTERM);
-  int wst;
-  waitpid (child, &wst, 0);
-  ck_assert_msg (WIFEXITED (wst) && WEXITSTATUS (wst) == 0,
+  int wait_status;
+  waitpid (child, &wait_status, 0);
+  ck_assert_msg (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0,
                  "a job in flight was cut off by the shutdown");
   int max = 0;
   ck_assert_int_eq (h_starts ("g1", &max), 20);
@@ -233,22 +231,22 @@
 }
 END_TEST
 
-/* One upstream of 8 slots; a school's job of 80 tasks of 300 ms comes
-   with a 2 s deadline.  The queue cannot meet it, so the caller must be
-   told at once (not at the deadline) that it did not run, with a time to
-   come back, and no task of it may start.  */
-START_TEST (job_given_up_on_is_answered_at_once_with_retry_after)
+/* A job of 80 tasks of 300 ms with a 2 s deadline is submitted to one upstream
+   of 8 slots, which cannot meet the deadline.  The caller must be answered at
+   once (not at the deadline) that the job did not run, with retry_after_s, and
+   no task of it may start.  */
+START_TEST (job_that_cannot_meet_its_deadline_is_refused_at_once)
 {
   h_cluster (1, 1, 100);
   char *warm = h_job_json ("w1", 16, 300, 10000, true);
-  long st = 0;
-  cJSON_Delete (h_call ("POST", h_entry_ports[0], "/v1/jobs", warm, &st));
-  ck_assert_int_eq (st, 200);
+  long status = 0;
+  cJSON_Delete (h_call ("POST", h_entry_ports[0], "/v1/jobs", warm, &status));
+  ck_assert_int_eq (status, 200);
   char *job = h_job_json ("late1", 80, 300, 2000, true);
   mm_time_ms t0 = mm_clock_now_ms ();
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st);
+  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
   mm_time_ms took = mm_clock_now_ms () - t0;
-  ck_assert_int_eq (st, 503);
+  ck_assert_int_eq (status, 503);
   ck_assert_msg (took < 500, "answer held back %ld ms", (long)took);
   ck_assert (cJSON_GetNumberValue (cJSON_GetObjectItem (o, "retry_after_s"))
              >= 2);
@@ -260,25 +258,25 @@
 }
 END_TEST
 
-/* A caller posts a malformed body, then a job of zero tasks, then one of
-   300: each gets a typed error at once and nothing is queued or lost.  */
+/* A malformed body, a job of zero tasks and a job of 300 tasks each get a
+   typed error at once, and nothing is queued.  */
 START_TEST (bad_requests_get_typed_errors)
 {
   h_cluster (1, 1, 100);
-  long st = 0;
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", "{oops", &st);
-  ck_assert_int_eq (st, 400);
+  long status = 0;
+  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", "{oops", &status);
+  ck_assert_int_eq (status, 400);
   ck_assert_str_eq (cJSON_GetStringValue (cJSON_GetObjectItem (
                         cJSON_GetObjectItem (o, "error"), "code")),
                     "bad_request");
   cJSON_Delete (o);
   o = h_call ("POST", h_entry_ports[0], "/v1/jobs",
-              "{\"job_id\":\"z\",\"tasks\":[]}", &st);
-  ck_assert_int_eq (st, 413);
+              "{\"job_id\":\"z\",\"tasks\":[]}", &status);
+  ck_assert_int_eq (status, 413);
   cJSON_Delete (o);
   char *big = h_job_json ("big", 300, 1, 100, true);
-  o = h_call ("POST", h_entry_ports[0], "/v1/jobs", big, &st);
-  ck_assert_int_eq (st, 413);
+  o = h_call ("POST", h_entry_ports[0], "/v1/jobs", big, &status);
+  ck_assert_int_eq (status, 413);
   cJSON_Delete (o);
   o = h_call ("GET", h_entry_ports[0], "/v1/state", NULL, NULL);
   ck_assert_int_eq (
@@ -289,17 +287,17 @@
 }
 END_TEST
 
-/* An instance runs for days; every finished job's answer was kept
-   forever, so memory grew without bound (found reading the capacity
-   slopes).  Answers must go after done_ttl_ms, here 1 s.  */
+/* Answers of finished jobs that are never dropped make memory grow without
+   bound in an instance that runs for days.  They must expire after
+   done_ttl_ms, here 1 s.  */
 START_TEST (kept_answers_expire_after_their_ttl)
 {
   h_entry_extra = "entry.done_ttl_ms=1000";
   h_cluster (1, 1, 100);
   char *job = h_job_json ("ttl1", 2, 10, 5000, true);
-  long st = 0;
-  cJSON_Delete (h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st));
-  ck_assert_int_eq (st, 200);
+  long status = 0;
+  cJSON_Delete (h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status));
+  ck_assert_int_eq (status, 200);
   ck_assert (
       h_wait_json (h_entry_ports[0], "/v1/state", "answers_kept", 1, 500));
   ck_assert (
@@ -309,10 +307,10 @@
 }
 END_TEST
 
-/* An upstream is killed with tasks running.  A job of idempotent tasks
-   still completes whole: its lost tasks run again elsewhere.  A job with
-   non-idempotent ones fails whole: the lost ones are "unknown" and start
-   nowhere again.  */
+/* An upstream is killed while tasks run on it.  A job of idempotent tasks
+   still completes: the killed tasks run again elsewhere.  A job of
+   non-idempotent tasks fails as a whole: the killed tasks are "unknown" and
+   are not started again.  */
 START_TEST (killed_upstream_leaves_no_partial_answer)
 {
   h_cluster (3, 1, 100);
@@ -321,9 +319,9 @@
   pid_t child = fork ();
   if (child == 0)
     {
-      long st = 0;
-      cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", again, &st);
-      _exit (st == 200 && tasks_in_state (o, "done") == 12 ? 0 : 1);
+      long status = 0;
+      cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", again, &status);
+      _exit (status == 200 && tasks_in_state (o, "done") == 12 ? 0 : 1);
     }
   pid_t killer = fork ();
   if (killer == 0)
@@ -332,20 +330,20 @@
       kill (h_upstreams[0], SIGKILL);
       _exit (0);
     }
-  long st = 0;
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", once, &st);
-  ck_assert_int_eq (st, 502);
+  long status = 0;
+  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", once, &status);
+  ck_assert_int_eq (status, 502);
   ck_assert_str_eq (status_of (o), "failed");
   ck_assert_int_ge (tasks_in_state (o, "unknown"), 1);
-  int wst;
-  waitpid (child, &wst, 0);
-  ck_assert (WIFEXITED (wst) && WEXITSTATUS (wst) == 0);
-  waitpid (killer, &wst, 0);
+  int wait_status;
+  waitpid (child, &wait_status, 0);
+  ck_assert (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0);
+  waitpid (killer, &wait_status, 0);
   int max = 0, n = 0;
   for (int i = 1; i < 3; i++)
     n += h_starts_of (h_upstream_ports[i], "uk-once", &max);
   ck_assert_int_eq (max, 1);
-  ck_assert_int_lt (n, 12); /* what the dead one took runs nowhere else */
+  ck_assert_int_lt (n, 12); /* tasks of the killed upstream run nowhere else */
   cJSON_Delete (o);
   g_free (once);
   g_free (again);
@@ -353,59 +351,59 @@
 }
 END_TEST
 
-/* An operator stops an upstream with SIGTERM while it runs tasks of a
-   non-idempotent job.  Nothing in flight may be cut off: the job
-   completes, each task started once, and the process ends by itself.  */
-START_TEST (graceful_stop_of_an_upstream_cuts_off_nothing)
+/* An upstream is stopped with SIGTERM while it runs tasks of a non-idempotent
+   job.  It must finish its tasks: the job completes, each task is started
+   once, and the process exits by itself.  */
+START_TEST (graceful_stop_of_an_upstream_finishes_its_tasks)
 {
   h_cluster (3, 1, 100);
   pid_t child = fork ();
   if (child == 0)
     {
       char *job = h_job_json ("ug1", 30, 900, 9000, false);
-      long st = 0;
-      cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st);
-      _exit (st == 200 && tasks_in_state (o, "done") == 30 ? 0 : 1);
+      long status = 0;
+      cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+      _exit (status == 200 && tasks_in_state (o, "done") == 30 ? 0 : 1);
     }
   g_usleep (300000);
   int before = h_starts_of (h_upstream_ports[0], "ug1", NULL);
   kill (h_upstreams[0], SIGTERM);
-  int wst;
-  waitpid (child, &wst, 0);
-  ck_assert (WIFEXITED (wst) && WEXITSTATUS (wst) == 0);
+  int wait_status;
+  waitpid (child, &wait_status, 0);
+  ck_assert (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0);
   ck_assert_int_gt (before, 0);
   int max = 0, n = before;
   for (int i = 1; i < 3; i++)
     n += h_starts_of (h_upstream_ports[i], "ug1", &max);
   ck_assert_int_eq (max, 1);
   ck_assert_int_eq (n, 30);
-  ck_assert_int_eq (waitpid (h_upstreams[0], &wst, 0), h_upstreams[0]);
+  ck_assert_int_eq (waitpid (h_upstreams[0], &wait_status, 0), h_upstreams[0]);
   h_upstreams[0] = 0;
-  ck_assert (WIFEXITED (wst) && WEXITSTATUS (wst) == 0);
+  ck_assert (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0);
   h_cluster_stop ();
 }
 END_TEST
 
-/* Every upstream stands still while a job runs and its deadline passes.
-   The caller gets the whole answer at the deadline: failed, with a time
-   to come back, sent tasks "unknown", and never-sent ones "not run" --
-   which the upstreams' own records must bear out.  */
+/* The upstream is stalled until after the job's deadline.  The caller must get
+   a complete answer at the deadline: failed, with retry_after_s, tasks that
+   were sent as "unknown" and the others as "not run", which the upstream's
+   start records must confirm.  */
 START_TEST (passed_deadline_fails_the_job_and_not_run_is_true)
 {
   h_cluster (1, 1, 100);
-  mode (0, "freeze");
+  set_mode (0, "freeze");
   char *job = h_job_json ("dl1", 20, 100, 1500, false);
-  long st = 0;
+  long status = 0;
   mm_time_ms t0 = mm_clock_now_ms ();
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st);
+  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
   mm_time_ms took = mm_clock_now_ms () - t0;
-  ck_assert_int_eq (st, 504);
+  ck_assert_int_eq (status, 504);
   ck_assert_msg (took < 2500, "answered after %ld ms", (long)took);
   ck_assert_int_eq (tasks_in_state (o, "unknown"), 8);
   ck_assert_int_eq (tasks_in_state (o, "not_run"), 12);
   ck_assert (cJSON_GetNumberValue (cJSON_GetObjectItem (o, "retry_after_s"))
              >= 1);
-  mode (0, "normal");
+  set_mode (0, "normal");
   g_usleep (500000);
   ck_assert_int_eq (h_starts_of (h_upstream_ports[0], "dl1", NULL), 8);
   cJSON_Delete (o);
@@ -414,11 +412,11 @@
 }
 END_TEST
 
-/* A team with a quota of 40 tasks in the data centre sends 6 jobs of 20
-   tasks to three instances, one after the other.  Each instance alone
-   has room for them; together they must not take much more than the
-   quota, refused jobs must not run, and another team is served.  Cause:
-   the team's jobs land on different instances by their ids.  */
+/* A team with a quota of 40 tasks in the data centre sends 6 jobs of 20 tasks
+   to three instances in turn.  Each instance alone has capacity for them, and
+   the jobs are spread over the instances by their ids; together the instances
+   must not accept more than the quota.  Refused jobs must not run, and another
+   team is served.  */
 START_TEST (teams_quota_holds_over_the_data_centre)
 {
   h_cluster (3, 3, 100);
@@ -429,29 +427,29 @@
     ck_assert (
         h_wait_json (h_entry_ports[i], "/v1/state", "config_offset", 0, 5000));
   g_usleep (500000);
-  pid_t kids[6];
+  pid_t children[6];
   for (int j = 0; j < 6; j++)
     {
       char id[16];
       g_snprintf (id, sizeof id, "quota%d", j);
       char *job = h_job_json (id, 20, 6000, 20000, false);
-      kids[j] = h_submit (j % 3, job);
+      children[j] = h_submit (j % 3, job);
       g_free (job);
       g_usleep (700000);
     }
-  long st = 0;
+  long status = 0;
   cJSON_Delete (h_call ("POST", h_entry_ports[0], "/v1/jobs",
                         "{\"job_id\":\"other\",\"team\":\"u\",\"tasks\":[{"
                         "\"id\":\"a\",\"run_ms\":5,\"deadline_ms\":15000,"
                         "\"idempotent\":true}]}",
-                        &st));
-  ck_assert_int_eq (st, 200);
+                        &status));
+  ck_assert_int_eq (status, 200);
   int served = 0;
   for (int j = 0; j < 6; j++)
     {
       char id[16];
       g_snprintf (id, sizeof id, "quota%d", j);
-      bool ok = h_answered (kids[j]);
+      bool ok = h_answered (children[j]);
       served += ok;
       ck_assert_int_eq (h_starts (id, NULL), ok ? 20 : 0);
     }
@@ -468,16 +466,16 @@
   tcase_set_timeout (tc, 60);
   tcase_add_test (tc, resubmit_to_same_instance_starts_nothing_twice);
   tcase_add_test (tc, crossed_answers_reach_their_own_callers);
-  tcase_add_test (tc, failing_upstreams_fail_the_job_whole);
+  tcase_add_test (tc, job_fails_as_a_whole_when_every_upstream_fails);
   tcase_add_test (tc, non_idempotent_lost_answer_is_unknown_not_retried);
   tcase_add_test (tc,
                   leaving_upstream_gets_no_new_work_and_refusals_did_not_run);
-  tcase_add_test (tc, graceful_shutdown_cuts_off_nothing);
+  tcase_add_test (tc, graceful_shutdown_finishes_jobs_in_flight);
   tcase_add_test (tc, bad_requests_get_typed_errors);
-  tcase_add_test (tc, job_given_up_on_is_answered_at_once_with_retry_after);
+  tcase_add_test (tc, job_that_cannot_meet_its_deadline_is_refused_at_once);
   tcase_add_test (tc, kept_answers_expire_after_their_ttl);
   tcase_add_test (tc, killed_upstream_leaves_no_partial_answer);
-  tcase_add_test (tc, graceful_stop_of_an_upstream_cuts_off_nothing);
+  tcase_add_test (tc, graceful_stop_of_an_upstream_finishes_its_tasks);
   tcase_add_test (tc, passed_deadline_fails_the_job_and_not_run_is_true);
   tcase_add_test (tc, teams_quota_holds_over_the_data_centre);
   suite_add_tcase (s, tc);
