--- a/src/mm_keyed_log.c
+++ b/src/mm_keyed_log.c
@@ -1,4 +1,5 @@
-/* mm_keyed_log: history in an array, newest records in a tree by key.  */
+/* mm_keyed_log: the history in an array, the newest record of each key in a
+   tree.  */
 #include "mm_keyed_log.h"
 
 #include <string.h>
@@ -94,9 +95,9 @@
 const mm_keyed_record *
 mm_keyed_log_from (const mm_keyed_log *l, uint64_t from, size_t *n)
 {
-  uint64_t at = MIN (from, l->end) - l->first;
-  *n = (size_t)(l->history->len - at);
-  return &g_array_index (l->history, mm_keyed_record, at);
+  uint64_t index = MIN (from, l->end) - l->first;
+  *n = (size_t)(l->history->len - index);
+  return &g_array_index (l->history, mm_keyed_record, index);
 }
 
 const mm_keyed_record *
