--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -1,9 +1,10 @@
-/* mm_home: accept, run, and store what becomes of jobs.
+/* mm_home: accepts and runs kept jobs, and stores their progress and
+   outcomes.
 
-   A job is accepted when its record is stored, and shown as over when its
-   outcome is.  In between its progress is stored now and then; ends that
-   are not stored yet stay listed at the upstreams, where the next home
-   finds them (mm_search).  */
+   A job is accepted when its record is stored, and reported as ended when its
+   outcome is stored.  In between its progress is stored from time to time.
+   Ends that are not stored yet stay listed at the upstreams, where the next
+   home finds them (mm_task_search).  */
 #include "mm_home.h"
 
 #include "config.h"
@@ -14,12 +15,12 @@
 
 #include <string.h>
 
-/* Somebody who waits for a job to be stored.  */
+/* A request that waits for a job's record to be stored.  */
 typedef struct
 {
-  mm_kept_told told;
+  mm_kept_told answered;
   void *ctx;
-  mm_time_ms until_ms;
+  mm_time_ms expires_ms; /* answered as in doubt then */
 } waiter;
 
 typedef struct
@@ -27,69 +28,69 @@
   mm_home *home;
   char id[MM_JOB_ID_MAX + 1];
   mm_job_record *rec;
-  mm_kept_run *run; /* while it is open */
+  mm_kept_run *run; /* NULL when the job has ended or is not accepted yet */
   GList *waiters;
-  bool stored;            /* its record is */
-  mm_job_phase shown;     /* what its callers are told */
-  mm_time_ms taken_ms;    /* when it came here */
-  mm_time_ms over_ms;     /* when its outcome was stored, 0: not yet */
-  mm_time_ms progress_ms; /* news to be stored then, 0: none */
+  bool stored;                 /* the record has been stored at least once */
+  mm_job_phase reported_phase; /* the phase that callers are given */
+  mm_time_ms received_ms;      /* when the job arrived at this home */
+  mm_time_ms ended_ms;         /* when the outcome was stored, 0: not yet */
+  mm_time_ms progress_due_ms;  /* when to store progress, 0: no progress */
 } job;
 
 struct mm_home
 {
-  uint32_t part;
+  uint32_t partition;
   uint64_t epoch;
   mm_fleet *fleet;
   mm_home_events ev;
   mm_job_log *log;
-  bool open;      /* all that is stored was read */
-  bool may_start; /* as of the last tick */
+  bool loaded;    /* all stored jobs have been read */
+  bool may_start; /* whether tasks may be started, as of the last tick */
   bool fenced;
-  GHashTable *jobs;    /* id -> job */
-  GHashTable *live;    /* those whose outcome is not stored yet */
-  GQueue *ended;       /* the others, in the order of their outcomes */
-  mm_absence *absence; /* requests about jobs that are not here */
-  uint32_t n_open;
+  GHashTable *jobs;         /* id -> job */
+  GHashTable *unfinished;   /* set of the jobs whose outcome is not stored */
+  GQueue *ended;            /* the other jobs, oldest outcome first */
+  mm_absence *read_barrier; /* requests about jobs that are not known here */
+  uint32_t n_open_jobs;
 };
 
-/* A record on its way to the store.  */
+/* A record that is being written to the store.  */
 typedef struct
 {
   mm_home *home;
   char id[MM_JOB_ID_MAX + 1];
-  GArray *notes; /* ends that it holds, or NULL */
-} writing;
+  GArray *acks; /* mm_end_note of the ends in the record, or NULL */
+} pending_write;
 
 static void
-tell_waiters (job *j, mm_kept_status status, mm_time_ms due_before_ms)
+answer_waiters (job *j, mm_kept_status status, mm_time_ms expired_by_ms)
 {
-  mm_kept_answer a = { .status = status, .phase = j->shown };
+  mm_kept_answer a = { .status = status, .phase = j->reported_phase };
   GList *next;
   for (GList *l = j->waiters; l; l = next)
     {
       next = l->next;
       waiter *w = l->data;
-      if (w->until_ms > due_before_ms)
+      if (w->expires_ms > expired_by_ms)
         continue;
       j->waiters = g_list_delete_link (j->waiters, l);
       if (status == MM_KEPT_UNSURE)
         mm_log_event (MM_EV_KEPT_UNSURE, MM_TEXT (j->id),
-                      MM_INT (j->home->part),
+                      MM_INT (j->home->partition),
                       MM_TEXT (j->home->fenced ? "its home has moved"
                                                : "the store is slow"));
-      w->told (w->ctx, &a);
+      w->answered (w->ctx, &a);
       g_free (w);
     }
 }
 
 static void
-add_waiter (job *j, mm_kept_told told, void *ctx)
+add_waiter (job *j, mm_kept_told answered, void *ctx)
 {
   waiter *w = g_new (waiter, 1);
-  *w = (waiter){ .told = told,
+  *w = (waiter){ .answered = answered,
                  .ctx = ctx,
-                 .until_ms = mm_clock_now_ms () + MM_KEPT_ACCEPT_MS };
+                 .expires_ms = mm_clock_now_ms () + MM_KEPT_ACCEPT_MS };
   j->waiters = g_list_append (j->waiters, w);
 }
 
@@ -97,7 +98,7 @@
 job_free (gpointer p)
 {
   job *j = p;
-  tell_waiters (j, MM_KEPT_UNSURE, G_MAXINT64);
+  answer_waiters (j, MM_KEPT_UNSURE, G_MAXINT64);
   mm_kept_run_destroy (j->run);
   mm_job_record_free (j->rec);
   g_free (j);
@@ -110,42 +111,43 @@
   j->home = h;
   g_strlcpy (j->id, id, sizeof j->id);
   j->rec = rec;
-  j->shown = rec->phase;
-  j->taken_ms = mm_clock_now_ms ();
+  j->reported_phase = rec->phase;
+  j->received_ms = mm_clock_now_ms ();
   g_hash_table_insert (h->jobs, j->id, j);
-  g_hash_table_add (h->live, j);
-  h->n_open += !mm_job_phase_over (rec->phase);
+  g_hash_table_add (h->unfinished, j);
+  h->n_open_jobs += !mm_job_phase_ended (rec->phase);
   return j;
 }
 
 static void
 set_ended (job *j)
 {
-  j->over_ms = mm_clock_now_ms ();
-  g_hash_table_remove (j->home->live, j);
+  j->ended_ms = mm_clock_now_ms ();
+  g_hash_table_remove (j->home->unfinished, j);
   g_queue_push_tail (j->home->ended, j);
 }
 
-static writing *
-writing_create (const job *j)
+static pending_write *
+pending_write_create (const job *j)
 {
-  writing *w = g_new0 (writing, 1);
+  pending_write *w = g_new0 (pending_write, 1);
   w->home = j->home;
   g_strlcpy (w->id, j->id, sizeof w->id);
-  w->notes = j->run ? mm_kept_run_take_notes (j->run) : NULL;
+  w->acks = j->run ? mm_kept_run_take_acks (j->run) : NULL;
   return w;
 }
 
-/* Return: the job that was written, NULL when it is not here any more.  */
+/* Return: the job that was written, NULL when it is no longer here or the
+   write has failed.  */
 static job *
-writing_done (writing *w, bool ok)
+pending_write_finish (pending_write *w, bool ok)
 {
   mm_home *h = w->home;
   job *j = h->fenced ? NULL : g_hash_table_lookup (h->jobs, w->id);
-  if (ok && w->notes && w->notes->len)
-    h->ev.stored (h->ev.ctx, w->notes);
-  if (w->notes)
-    g_array_free (w->notes, TRUE);
+  if (ok && w->acks && w->acks->len)
+    h->ev.stored (h->ev.ctx, w->acks);
+  if (w->acks)
+    g_array_free (w->acks, TRUE);
   g_free (w);
   return ok ? j : NULL;
 }
@@ -153,48 +155,49 @@
 static void
 on_progress_stored (void *ctx, bool ok)
 {
-  writing_done (ctx, ok);
+  pending_write_finish (ctx, ok);
 }
 
 static void
 store_progress (job *j)
 {
-  j->progress_ms = 0;
-  if (mm_kept_run_begun (j->run))
+  j->progress_due_ms = 0;
+  if (mm_kept_run_started (j->run))
     j->rec->phase = MM_JOB_RUNNING;
   mm_job_log_put (j->home->log, j->id, mm_job_record_pack (j->rec),
-                  on_progress_stored, writing_create (j));
+                  on_progress_stored, pending_write_create (j));
 }
 
 static void
 on_outcome_stored (void *ctx, bool ok)
 {
-  job *j = writing_done (ctx, ok);
+  job *j = pending_write_finish (ctx, ok);
   if (!j)
     return;
-  j->shown = j->rec->phase;
-  if (j->shown != MM_JOB_COMPLETED)
+  j->reported_phase = j->rec->phase;
+  if (j->reported_phase != MM_JOB_COMPLETED)
     j->home->ev.ended (j->home->ev.ctx, j->id);
   set_ended (j);
   mm_metrics_count (MM_CT_KEPT_OVER);
   mm_log_event (MM_EV_KEPT_OVER, MM_TEXT (j->id), MM_TEXT (j->rec->queue),
-                MM_TEXT (mm_job_phase_name (j->shown)),
-                MM_INT (j->over_ms - j->taken_ms));
-  tell_waiters (j, MM_KEPT_OK, G_MAXINT64);
+                MM_TEXT (mm_job_phase_name (j->reported_phase)),
+                MM_INT (j->ended_ms - j->received_ms));
+  answer_waiters (j, MM_KEPT_OK, G_MAXINT64);
 }
 
-/* Nothing of it starts from now on; shown once it is stored.  Until then the
-   ends of its tasks stay listed: should the store not be reached, the next
-   home goes on with the job, and must not start again what is done.  */
+/* Ends a job: no task of it starts from now on, and callers are given the
+   outcome once it is stored.  Until then the ends of its tasks stay listed at
+   the upstreams: if the store cannot be reached, the next home continues the
+   job and must not run finished tasks again.  */
 static void
 end_job (job *j, mm_job_phase phase)
 {
   mm_home *h = j->home;
-  writing *w = writing_create (j);
+  pending_write *w = pending_write_create (j);
   mm_kept_run_destroy (g_steal_pointer (&j->run));
-  mm_job_record_close (j->rec, phase);
-  j->progress_ms = 0;
-  h->n_open--;
+  mm_job_record_set_outcome (j->rec, phase);
+  j->progress_due_ms = 0;
+  h->n_open_jobs--;
   mm_job_log_put (h->log, j->id, mm_job_record_pack (j->rec),
                   on_outcome_stored, w);
 }
@@ -203,12 +206,12 @@
 on_progress (void *ctx)
 {
   job *j = ctx;
-  if (!j->progress_ms)
-    j->progress_ms = mm_clock_now_ms () + MM_KEPT_PROGRESS_MS;
+  if (!j->progress_due_ms)
+    j->progress_due_ms = mm_clock_now_ms () + MM_KEPT_PROGRESS_MS;
 }
 
 static void
-on_over (void *ctx, mm_job_phase phase)
+on_run_finished (void *ctx, mm_job_phase phase)
 {
   end_job (ctx, phase);
 }
@@ -217,9 +220,9 @@
 start_run (job *j, bool taken_over)
 {
   mm_kept_run_events ev
-      = { .progress = on_progress, .over = on_over, .ctx = j };
+      = { .progress = on_progress, .finished = on_run_finished, .ctx = j };
   j->run = mm_kept_run_create (j->home->fleet, j->rec, taken_over, &ev);
-  /* A job without tasks: no end will come.  */
+  /* A job without tasks receives no end that would complete it.  */
   if (mm_kept_run_all_done (j->run))
     end_job (j, MM_JOB_COMPLETED);
   else
@@ -240,7 +243,7 @@
       || g_hash_table_contains (h->jobs, r->key))
     {
       if (!rec)
-        g_warning ("kept job %s cannot be read: %s", r->key,
+        g_warning ("kept job %s: invalid stored record: %s", r->key,
                    error ? error->message : "no value");
       g_clear_error (&error);
       mm_job_record_free (rec);
@@ -248,7 +251,7 @@
     }
   job *j = job_create (h, r->key, rec);
   j->stored = true;
-  if (mm_job_phase_over (rec->phase))
+  if (mm_job_phase_ended (rec->phase))
     set_ended (j);
   else
     start_run (j, true);
@@ -258,9 +261,9 @@
 on_opened (void *ctx)
 {
   mm_home *h = ctx;
-  h->open = true;
-  mm_log_event (MM_EV_JOBS_LOADED, MM_INT (h->part), MM_INT (h->epoch),
-                MM_INT (g_hash_table_size (h->jobs)), MM_INT (h->n_open));
+  h->loaded = true;
+  mm_log_event (MM_EV_JOBS_LOADED, MM_INT (h->partition), MM_INT (h->epoch),
+                MM_INT (g_hash_table_size (h->jobs)), MM_INT (h->n_open_jobs));
 }
 
 static void
@@ -268,27 +271,27 @@
 {
   mm_home *h = ctx;
   h->fenced = true;
-  h->open = false;
+  h->loaded = false;
   h->ev.fenced (h->ev.ctx, h);
 }
 
 mm_home *
-mm_home_create (const mm_store_port *store, mm_fleet *fleet, uint32_t part,
-                uint64_t epoch, const mm_home_events *ev)
+mm_home_create (const mm_store_port *store, mm_fleet *fleet,
+                uint32_t partition, uint64_t epoch, const mm_home_events *ev)
 {
   mm_home *h = g_new0 (mm_home, 1);
-  h->part = part;
+  h->partition = partition;
   h->epoch = epoch;
   h->fleet = fleet;
   h->ev = *ev;
   h->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, job_free);
-  h->live = g_hash_table_new (NULL, NULL);
+  h->unfinished = g_hash_table_new (NULL, NULL);
   h->ended = g_queue_new ();
   mm_job_log_events log = {
     .record = on_record, .opened = on_opened, .fenced = on_fenced, .ctx = h
   };
-  h->log = mm_job_log_open (store, part, epoch, &log);
-  h->absence = mm_absence_create (h->log);
+  h->log = mm_job_log_open (store, partition, epoch, &log);
+  h->read_barrier = mm_absence_create (h->log);
   return h;
 }
 
@@ -297,11 +300,12 @@
 {
   if (!h)
     return;
-  mm_log_event (MM_EV_JOBS_HANDED_OVER, MM_INT (h->part), MM_INT (h->n_open));
-  h->fenced = true; /* what is being written finds no job any more */
+  mm_log_event (MM_EV_JOBS_HANDED_OVER, MM_INT (h->partition),
+                MM_INT (h->n_open_jobs));
+  h->fenced = true; /* callbacks of pending writes must not use the jobs */
   mm_job_log_close (h->log);
-  mm_absence_destroy (h->absence);
-  g_hash_table_destroy (h->live);
+  mm_absence_destroy (h->read_barrier);
+  g_hash_table_destroy (h->unfinished);
   g_queue_free (h->ended);
   g_hash_table_destroy (h->jobs);
   g_free (h);
@@ -318,36 +322,36 @@
 static void
 on_accept_stored (void *ctx, bool ok)
 {
-  job *j = writing_done (ctx, ok);
+  job *j = pending_write_finish (ctx, ok);
   if (!j)
     return;
   j->stored = true;
   mm_metrics_count (MM_CT_KEPT_ACCEPTED);
   mm_log_event (MM_EV_KEPT_ACCEPTED, MM_TEXT (j->id), MM_TEXT (j->rec->queue),
                 MM_INT (j->rec->s ? mm_submission_tasks (j->rec->s) : 0),
-                MM_INT (j->home->part),
-                MM_INT (mm_clock_now_ms () - j->taken_ms));
-  tell_waiters (j, MM_KEPT_OK, G_MAXINT64);
-  if (mm_job_phase_over (j->rec->phase))
-    return; /* cancelled meanwhile */
+                MM_INT (j->home->partition),
+                MM_INT (mm_clock_now_ms () - j->received_ms));
+  answer_waiters (j, MM_KEPT_OK, G_MAXINT64);
+  if (mm_job_phase_ended (j->rec->phase))
+    return; /* cancelled while the record was being stored */
   start_run (j, false);
 }
 
 static void
 refuse (mm_home *h, const mm_job_record *rec, const char *why,
-        uint32_t retry_after_s, mm_kept_told told, void *ctx)
+        uint32_t retry_after_s, mm_kept_told answered, void *ctx)
 {
   mm_kept_answer a
       = { .status = MM_KEPT_BUSY, .retry_after_s = retry_after_s };
   mm_metrics_count (MM_CT_KEPT_REFUSED);
-  mm_log_event (MM_EV_KEPT_REFUSED, MM_TEXT (rec->s->id), MM_INT (h->part),
-                MM_TEXT (why));
-  told (ctx, &a);
+  mm_log_event (MM_EV_KEPT_REFUSED, MM_TEXT (rec->s->id),
+                MM_INT (h->partition), MM_TEXT (why));
+  answered (ctx, &a);
 }
 
-/* Answers the load of callers who hand in more than the upstreams can do: a
-   job that could only be done long after it is of use is refused at once,
-   rather than stored and waited for.  */
+/* Admission control when callers submit more than the upstreams can run: a job
+   that could only finish long after it is of use is refused at once instead of
+   being stored and queued.  */
 static mm_admission
 admit (const mm_home *h, const mm_job_record *rec)
 {
@@ -359,42 +363,46 @@
 }
 
 /**
- * mm_home_submit() - take a job.
- * @h: its home.
+ * mm_home_submit() - accept a job.
+ * @h: the job's home.
  * @rec: the job; taken.
- * @told: called once it is stored, or at once.
- * @ctx: for @told.
+ * @answered: called once the job is stored, or at once if it is refused or
+ * already stored.
+ * @ctx: for @answered.
  *
- * The same job handed in again is the same job.  While the store does not
- * answer nothing can be accepted, and the caller learns so at once.
+ * A job that is submitted again under the same id is not run again.  While the
+ * store does not answer no job can be accepted, and the caller is refused at
+ * once.
  */
 void
-mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_told told, void *ctx)
+mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_told answered,
+                void *ctx)
 {
   job *j = g_hash_table_lookup (h->jobs, rec->s->id);
-  mm_admission room;
-  if (!h->open)
+  mm_admission admission;
+  if (!h->loaded)
     {
       mm_kept_answer a = { .status = MM_KEPT_MOVING };
-      told (ctx, &a);
+      answered (ctx, &a);
     }
   else if (j && j->stored)
     {
-      mm_kept_answer a = { .status = MM_KEPT_OK, .phase = j->shown };
-      told (ctx, &a);
+      mm_kept_answer a = { .status = MM_KEPT_OK, .phase = j->reported_phase };
+      answered (ctx, &a);
     }
   else if (j)
-    add_waiter (j, told, ctx);
-  else if (!mm_job_log_in_touch (h->log))
-    refuse (h, rec, "the store does not answer", 1, told, ctx);
-  else if (!(room = admit (h, rec)).take)
-    refuse (h, rec, "would come too late", room.retry_after_s, told, ctx);
+    add_waiter (j, answered, ctx);
+  else if (!mm_job_log_in_contact (h->log))
+    refuse (h, rec, "the store does not answer", 1, answered, ctx);
+  else if (!(admission = admit (h, rec)).take)
+    refuse (h, rec, "would come too late", admission.retry_after_s, answered,
+            ctx);
   else
     {
       j = job_create (h, rec->s->id, rec);
-      add_waiter (j, told, ctx);
+      add_waiter (j, answered, ctx);
       mm_job_log_put (h->log, j->id, mm_job_record_pack (rec),
-                      on_accept_stored, writing_create (j));
+                      on_accept_stored, pending_write_create (j));
       return;
     }
   mm_job_record_free (rec);
@@ -403,9 +411,10 @@
 static mm_job_phase
 phase_of (const job *j)
 {
-  if (j->shown == MM_JOB_QUEUED && j->run && mm_kept_run_begun (j->run))
+  if (j->reported_phase == MM_JOB_QUEUED && j->run
+      && mm_kept_run_started (j->run))
     return MM_JOB_RUNNING;
-  return j->shown;
+  return j->reported_phase;
 }
 
 void
@@ -413,7 +422,7 @@
 {
   const job *j = g_hash_table_lookup (h->jobs, job_id);
   *out = (mm_kept_answer){ .status = MM_KEPT_MOVING };
-  if (!h->open)
+  if (!h->loaded)
     return;
   out->status = j ? MM_KEPT_OK : MM_KEPT_NO_JOB;
   if (j)
@@ -421,46 +430,47 @@
 }
 
 void
-mm_home_ask_state (mm_home *h, const char *job_id, mm_kept_told told,
-                   void *ctx)
+mm_home_confirm_state (mm_home *h, const char *job_id, mm_kept_told answered,
+                       void *ctx)
 {
   mm_kept_answer a;
   mm_home_state (h, job_id, &a);
-  bool may_be_a_job = strlen (job_id) <= MM_JOB_ID_MAX;
-  if (a.status == MM_KEPT_NO_JOB && may_be_a_job)
+  bool valid_id = strlen (job_id) <= MM_JOB_ID_MAX;
+  if (a.status == MM_KEPT_NO_JOB && valid_id)
     {
-      if (mm_job_log_in_touch (h->log))
+      if (mm_job_log_in_contact (h->log))
         {
-          mm_absence_ask (h->absence, job_id, told, ctx);
+          mm_absence_ask (h->read_barrier, job_id, answered, ctx);
           return;
         }
       a.status = MM_KEPT_BUSY;
     }
-  told (ctx, &a);
+  answered (ctx, &a);
 }
 
 void
-mm_home_cancel (mm_home *h, const char *job_id, mm_kept_told told, void *ctx)
+mm_home_cancel (mm_home *h, const char *job_id, mm_kept_told answered,
+                void *ctx)
 {
   job *j = g_hash_table_lookup (h->jobs, job_id);
   mm_kept_answer a = { .status = MM_KEPT_OK };
-  if (!h->open || !j)
+  if (!h->loaded || !j)
     {
-      mm_home_ask_state (h, job_id, told, ctx);
+      mm_home_confirm_state (h, job_id, answered, ctx);
       return;
     }
-  if (!j->over_ms)
+  if (!j->ended_ms)
     {
-      /* Told once it is stored, also when it was asked for before: the next
-         home would go on with the job.  */
-      add_waiter (j, told, ctx);
-      if (!mm_job_phase_over (j->rec->phase))
+      /* Answered only once the outcome is stored, also when the job was
+         cancelled before: until then, the next home would continue it.  */
+      add_waiter (j, answered, ctx);
+      if (!mm_job_phase_ended (j->rec->phase))
         end_job (j, MM_JOB_CANCELLED);
       return;
     }
   else
-    a.phase = j->shown;
-  told (ctx, &a);
+    a.phase = j->reported_phase;
+  answered (ctx, &a);
 }
 
 uint32_t
@@ -469,11 +479,11 @@
   uint32_t n = 0;
   GHashTableIter it;
   gpointer v;
-  g_hash_table_iter_init (&it, h->live);
+  g_hash_table_iter_init (&it, h->unfinished);
   while (g_hash_table_iter_next (&it, &v, NULL))
     {
       const job *j = v;
-      n += j->stored && j->run && !mm_kept_run_begun (j->run)
+      n += j->stored && j->run && !mm_kept_run_started (j->run)
            && strcmp (j->rec->queue, queue) == 0;
     }
   return n;
@@ -481,13 +491,13 @@
 
 /* ---- time ------------------------------------------------------------- */
 
-/* Outcomes that nobody asks for any more.  */
+/* Drops outcomes that are older than MM_KEPT_ENDED_MS.  */
 static void
-forget_old (mm_home *h, mm_time_ms now)
+drop_expired_outcomes (mm_home *h, mm_time_ms now)
 {
   job *j;
   while ((j = g_queue_peek_head (h->ended))
-         && now - j->over_ms >= MM_KEPT_ENDED_MS)
+         && now - j->ended_ms >= MM_KEPT_ENDED_MS)
     {
       g_queue_pop_head (h->ended);
       mm_job_log_put (h->log, j->id, NULL, NULL, NULL);
@@ -498,8 +508,8 @@
 static void
 tick_job (job *j, mm_time_ms now, bool may_start)
 {
-  tell_waiters (j, MM_KEPT_UNSURE, now);
-  if (j->progress_ms && now >= j->progress_ms)
+  answer_waiters (j, MM_KEPT_UNSURE, now);
+  if (j->progress_due_ms && now >= j->progress_due_ms)
     store_progress (j);
   if (j->run)
     mm_kept_run_tick (j->run, may_start);
@@ -510,28 +520,28 @@
 {
   h->may_start = may_start;
   mm_job_log_tick (h->log);
-  if (!h->open)
+  if (!h->loaded)
     return;
   mm_time_ms now = mm_clock_now_ms ();
-  GList *jobs = g_hash_table_get_keys (h->live);
+  GList *jobs = g_hash_table_get_keys (h->unfinished);
   for (GList *l = jobs; l && !h->fenced; l = l->next)
     tick_job (l->data, now, may_start);
   g_list_free (jobs);
   if (!h->fenced)
-    forget_old (h, now);
-  mm_absence_tick (h->absence);
+    drop_expired_outcomes (h, now);
+  mm_absence_tick (h->read_barrier);
 }
 
 bool
-mm_home_quiet (const mm_home *h)
+mm_home_idle (const mm_home *h)
 {
   if (!mm_job_log_idle (h->log))
     return false;
   GHashTableIter it;
   gpointer v;
-  g_hash_table_iter_init (&it, h->live);
+  g_hash_table_iter_init (&it, h->unfinished);
   while (g_hash_table_iter_next (&it, &v, NULL))
-    if (((job *)v)->run && mm_kept_run_handed (((job *)v)->run))
+    if (((job *)v)->run && mm_kept_run_n_dispatched (((job *)v)->run))
       return false;
   return true;
 }
@@ -539,42 +549,42 @@
 uint32_t
 mm_home_open_jobs (const mm_home *h)
 {
-  return h->n_open;
+  return h->n_open_jobs;
 }
 
-/* ---- tasks out of sight ----------------------------------------------- */
+/* ---- tasks in doubt --------------------------------------------------- */
 
 void
-mm_home_lost (const mm_home *h, GHashTable *tasks)
+mm_home_in_doubt (const mm_home *h, GHashTable *tasks)
 {
   GHashTableIter it;
   gpointer v;
-  g_hash_table_iter_init (&it, h->live);
+  g_hash_table_iter_init (&it, h->unfinished);
   while (g_hash_table_iter_next (&it, &v, NULL))
-    if (((job *)v)->run && mm_kept_run_n_lost (((job *)v)->run))
-      mm_kept_run_lost (((job *)v)->run, tasks);
+    if (((job *)v)->run && mm_kept_run_n_in_doubt (((job *)v)->run))
+      mm_kept_run_in_doubt (((job *)v)->run, tasks);
 }
 
 void
-mm_home_take_end (mm_home *h, const mm_found_end *e, const char *owner)
+mm_home_record_end (mm_home *h, const mm_found_end *e, const char *owner)
 {
   job *j = g_hash_table_lookup (h->jobs, e->task.job);
   if (j && j->run)
-    mm_kept_run_take_end (j->run, e, owner);
+    mm_kept_run_record_end (j->run, e, owner);
 }
 
 void
-mm_home_found_all (mm_home *h, GHashTable *tasks)
+mm_home_clear_in_doubt (mm_home *h, GHashTable *tasks)
 {
-  GList *jobs = g_hash_table_get_keys (h->live);
+  GList *jobs = g_hash_table_get_keys (h->unfinished);
   for (GList *l = jobs; l; l = l->next)
     {
       job *j = l->data;
-      uint32_t n = j->run ? mm_kept_run_n_lost (j->run) : 0;
+      uint32_t n = j->run ? mm_kept_run_n_in_doubt (j->run) : 0;
       if (!n)
         continue;
       mm_log_event (MM_EV_KEPT_FOUND, MM_TEXT (j->id), MM_INT (n));
-      mm_kept_run_found_all (j->run, tasks);
+      mm_kept_run_clear_in_doubt (j->run, tasks);
     }
   g_list_free (jobs);
 }
--- a/src/mm_homes.c
+++ b/src/mm_homes.c
@@ -1,4 +1,5 @@
-/* mm_homes: ask the store who holds the partitions of kept jobs.  */
+/* mm_home_directory: polls the store for the homes of the partitions of kept
+   jobs.  */
 #include "mm_homes.h"
 
 #include "config.h"
@@ -8,156 +9,159 @@
 #include <string.h>
 #include <xxhash.h>
 
-struct mm_homes
+struct mm_home_directory
 {
-  int refs; /* the maker's, and one a call in flight */
+  int refs; /* one of the creator, one per call in flight */
   bool closed;
   mm_store_port port;
   mm_mesh *mesh;
-  mm_predecessors *predecessors; /* not ours */
+  mm_predecessors *predecessors; /* borrowed */
   char *self;
-  uint32_t parts;
-  char **home; /* of each partition, NULL: not known */
+  uint32_t n_partitions;
+  char **home; /* member name for each partition, NULL: not known */
   bool in_flight;
-  mm_time_ms due_ms;
-  mm_time_ms asked_ms; /* the last call was sent */
-  mm_time_ms used_ms;
-  bool heard;   /* the store has answered */
-  bool failing; /* the last call got no answer */
-  bool whole;   /* every partition has a home */
+  mm_time_ms poll_due_ms;
+  mm_time_ms last_poll_ms; /* when the last call was sent */
+  mm_time_ms last_used_ms; /* 0: not for MM_KEPT_USED_MS */
+  bool loaded;             /* the store has answered at least once */
+  bool failing;            /* the last call has failed */
+  bool complete;           /* every partition has a home */
 };
 
 static void
-homes_unref (mm_homes *h)
+directory_unref (mm_home_directory *h)
 {
   if (--h->refs > 0)
     return;
-  for (uint32_t i = 0; i < h->parts; i++)
+  for (uint32_t i = 0; i < h->n_partitions; i++)
     g_free (h->home[i]);
   g_free (h->home);
   g_free (h->self);
   g_free (h);
 }
 
-mm_homes *
-mm_homes_create (const mm_store_port *port, mm_mesh *mesh, const char *self,
-                 uint32_t parts, mm_predecessors *predecessors)
+mm_home_directory *
+mm_home_directory_create (const mm_store_port *port, mm_mesh *mesh,
+                          const char *self, uint32_t n_partitions,
+                          mm_predecessors *predecessors)
 {
-  mm_homes *h = g_new0 (mm_homes, 1);
+  mm_home_directory *h = g_new0 (mm_home_directory, 1);
   h->refs = 1;
   h->port = *port;
   h->mesh = mesh;
   h->predecessors = predecessors;
   h->self = g_strdup (self);
-  h->parts = parts;
-  h->home = g_new0 (char *, parts);
+  h->n_partitions = n_partitions;
+  h->home = g_new0 (char *, n_partitions);
   return h;
 }
 
 void
-mm_homes_destroy (mm_homes *h)
+mm_home_directory_destroy (mm_home_directory *h)
 {
   if (!h)
     return;
   h->closed = true;
-  homes_unref (h);
+  directory_unref (h);
 }
 
 uint32_t
-mm_homes_part_of (const mm_homes *h, const char *job_id)
+mm_home_directory_partition_of (const mm_home_directory *h, const char *job_id)
 {
-  return (uint32_t)(XXH3_64bits (job_id, strlen (job_id)) % h->parts);
+  return (uint32_t)(XXH3_64bits (job_id, strlen (job_id)) % h->n_partitions);
 }
 
 const char *
-mm_homes_of (const mm_homes *h, uint32_t part)
+mm_home_directory_lookup (const mm_home_directory *h, uint32_t partition)
 {
-  return h->home[part];
+  return h->home[partition];
 }
 
-/* A home need not be a neighbour: it is linked to while it is in use.  */
+/* Adds a home to the mesh.  A home need not be a neighbour: the link is kept
+   only while kept jobs are in use.  */
 static void
-know_peer (mm_homes *h, const char *member)
+add_peer (mm_home_directory *h, const char *member)
 {
   mm_peer_info p;
   if (strcmp (member, h->self) == 0 || !mm_members_read_name (member, &p))
     return;
   mm_mesh_add_peer (h->mesh, &p);
   mm_peer_info_clear (&p);
-  if (h->used_ms)
+  if (h->last_used_ms)
     mm_mesh_need (h->mesh, member);
 }
 
 static void
-on_holders (const mm_members_result *res, void *ctx)
+on_members (const mm_members_result *res, void *ctx)
 {
-  mm_homes *h = ctx;
+  mm_home_directory *h = ctx;
   h->in_flight = false;
   h->failing = !res->ok;
   mm_metrics_count (res->ok ? MM_CT_MEMBERS_OK : MM_CT_MEMBERS_FAILED);
   if (!h->closed && res->ok)
     {
       mm_predecessors_note (h->predecessors, MM_JOBS_GROUP, res);
-      h->heard = true;
-      for (uint32_t i = 0; i < h->parts; i++)
+      h->loaded = true;
+      for (uint32_t i = 0; i < h->n_partitions; i++)
         g_clear_pointer (&h->home[i], g_free);
       for (size_t i = 0; i < res->n_holders; i++)
-        if (res->holders[i].part < h->parts)
+        if (res->holders[i].part < h->n_partitions)
           {
             char **home = &h->home[res->holders[i].part];
             g_free (*home);
             *home = g_strdup (res->holders[i].member);
           }
-      h->whole = res->n_holders >= h->parts;
+      h->complete = res->n_holders >= h->n_partitions;
       for (size_t i = 0; i < res->n_members; i++)
-        know_peer (h, res->members[i]);
+        add_peer (h, res->members[i]);
     }
-  homes_unref (h);
+  directory_unref (h);
 }
 
 void
-mm_homes_used (mm_homes *h)
+mm_home_directory_set_used (mm_home_directory *h)
 {
-  if (!h->used_ms)
-    h->due_ms = 0;
-  h->used_ms = mm_clock_now_ms ();
+  if (!h->last_used_ms)
+    h->poll_due_ms = 0;
+  h->last_used_ms = mm_clock_now_ms ();
 }
 
 void
-mm_homes_stale (mm_homes *h)
+mm_home_directory_poll_soon (mm_home_directory *h)
 {
-  h->due_ms = MIN (h->due_ms, h->asked_ms + MM_KEPT_HOMES_EAGER_MS);
+  h->poll_due_ms
+      = MIN (h->poll_due_ms, h->last_poll_ms + MM_KEPT_HOMES_EAGER_MS);
 }
 
 bool
-mm_homes_failing (const mm_homes *h)
+mm_home_directory_failing (const mm_home_directory *h)
 {
   return h->failing;
 }
 
 bool
-mm_homes_heard (const mm_homes *h)
+mm_home_directory_loaded (const mm_home_directory *h)
 {
-  return h->heard;
+  return h->loaded;
 }
 
 void
-mm_homes_tick (mm_homes *h)
+mm_home_directory_tick (mm_home_directory *h)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  if (h->used_ms && now - h->used_ms > MM_KEPT_USED_MS)
-    h->used_ms = 0;
-  if (h->in_flight || now < h->due_ms)
+  if (h->last_used_ms && now - h->last_used_ms > MM_KEPT_USED_MS)
+    h->last_used_ms = 0;
+  if (h->in_flight || now < h->poll_due_ms)
     return;
-  /* Soon again while homes are being dealt out: until they are known, every
+  /* Poll fast while homes are being assigned: until they are known, every
      request about a kept job is refused.  */
-  mm_time_ms pause_ms = !h->whole    ? MM_GROUP_BEAT_MS
-                        : h->used_ms ? MM_KEPT_HOMES_POLL_MS
-                                     : MM_MEMBERS_POLL_MS;
-  h->due_ms = now + pause_ms;
-  h->asked_ms = now;
+  mm_time_ms pause_ms = !h->complete      ? MM_GROUP_BEAT_MS
+                        : h->last_used_ms ? MM_KEPT_HOMES_POLL_MS
+                                          : MM_MEMBERS_POLL_MS;
+  h->poll_due_ms = now + pause_ms;
+  h->last_poll_ms = now;
   h->in_flight = true;
   h->refs++;
-  h->port.members (h->port.ctx, MM_JOBS_GROUP, MM_STORE_TIMEOUT_MS, on_holders,
+  h->port.members (h->port.ctx, MM_JOBS_GROUP, MM_STORE_TIMEOUT_MS, on_members,
                    h);
 }
--- a/src/mm_homes.h
+++ b/src/mm_homes.h
@@ -1,23 +1,35 @@
-/* mm_homes: which instance is the home of each partition of kept jobs.  */
-#ifndef MM_HOMES_H
-#define MM_HOMES_H
+/* mm_home_directory: which instance is the home of each partition of kept
+   jobs, polled from the store.  */
+#ifndef MM_HOME_DIRECTORY_H
+#define MM_HOME_DIRECTORY_H
 
 #include "mm_mesh.h"
 #include "mm_predecessors.h"
 
-typedef struct mm_homes mm_homes;
+typedef struct mm_home_directory mm_home_directory;
 
-mm_homes *mm_homes_create (const mm_store_port *port, mm_mesh *mesh,
-                           const char *self /* member name */, uint32_t parts,
-                           mm_predecessors *predecessors);
-void mm_homes_destroy (mm_homes *h);
-uint32_t mm_homes_part_of (const mm_homes *h, const char *job_id);
-/* Its home's member name, NULL when that is not known; ours too.  */
-const char *mm_homes_of (const mm_homes *h, uint32_t part);
-void mm_homes_used (mm_homes *h);          /* kept jobs are asked for */
-void mm_homes_stale (mm_homes *h);         /* one was not where it should be */
-bool mm_homes_failing (const mm_homes *h); /* the store does not answer */
-bool mm_homes_heard (const mm_homes *h);   /* the store has told of them */
-void mm_homes_tick (mm_homes *h);
+mm_home_directory *
+mm_home_directory_create (const mm_store_port *port, mm_mesh *mesh,
+                          const char *self /* member name */,
+                          uint32_t n_partitions,
+                          mm_predecessors *predecessors);
+void mm_home_directory_destroy (mm_home_directory *h);
+uint32_t mm_home_directory_partition_of (const mm_home_directory *h,
+                                         const char *job_id);
+/* Member name of the partition's home, which may be this instance; NULL when
+   the home is not known.  */
+const char *mm_home_directory_lookup (const mm_home_directory *h,
+                                      uint32_t partition);
+/* Records that kept jobs are being requested: the store is polled more often,
+   and links to the homes are kept.  */
+void mm_home_directory_set_used (mm_home_directory *h);
+/* A home was not found where the directory says: polls again
+   MM_KEPT_HOMES_EAGER_MS after the last poll at the latest.  */
+void mm_home_directory_poll_soon (mm_home_directory *h);
+/* Whether the last call to the store has failed.  */
+bool mm_home_directory_failing (const mm_home_directory *h);
+/* Whether the homes have been read from the store at least once.  */
+bool mm_home_directory_loaded (const mm_home_directory *h);
+void mm_home_directory_tick (mm_home_directory *h);
 
-#endif /* MM_HOMES_H */
+#endif /* MM_HOME_DIRECTORY_H */
--- a/src/mm_job_log.c
+++ b/src/mm_job_log.c
@@ -1,8 +1,8 @@
-/* mm_job_log: batches of records, one append at a time.
+/* mm_job_log: writes records in batches, one append at a time.
 
-   An append without an answer may have been done, or may be yet: it is sent
-   again under the same number until it is answered, and what comes after it
-   waits.  The store does a number once.  */
+   An append without an answer may have been executed, or may be executed
+   later.  It is resent with the same sequence number until it is answered, and
+   later records wait.  The store executes each sequence number once.  */
 #include "mm_job_log.h"
 
 #include "config.h"
@@ -20,30 +20,30 @@
 
 typedef enum
 {
-  STAGE_FENCING, /* our epoch is being made known */
-  STAGE_READING,
+  STAGE_FENCING, /* announces the epoch with an empty append */
+  STAGE_READING, /* reads the stored records */
   STAGE_OPEN,
-  STAGE_FENCED
+  STAGE_FENCED /* another home has the partition */
 } stage;
 
 struct mm_job_log
 {
-  int refs; /* the maker's, and one a call in flight */
+  int refs; /* one of the creator, one per call in flight */
   bool closed;
   mm_store_port port;
   mm_job_log_events ev;
-  uint32_t part;
+  uint32_t partition;
   uint64_t epoch;
-  uint64_t seq; /* of the next append */
+  uint64_t seq; /* sequence number of the next append */
   stage stage;
-  char *after;     /* reading goes on after this key */
-  GQueue *entries; /* to be written, in order */
-  guint sending;   /* of these, in the append that is not answered yet */
-  bool in_flight;
-  bool in_touch;
-  mm_time_ms failing_ms; /* since when calls fail, 0: they do not */
-  mm_time_ms pause_ms;   /* between appends, 0 while the store takes all */
-  mm_time_ms due_ms;
+  char *read_after; /* the next read continues after this key */
+  GQueue *entries;  /* records to be written, in order */
+  guint n_sending;  /* leading entries that are in the unanswered append */
+  bool in_flight;   /* a call to the store is not answered yet */
+  bool in_contact;
+  mm_time_ms failing_since_ms; /* 0: the last call has succeeded */
+  mm_time_ms pause_ms;         /* between appends, 0: the store refuses none */
+  mm_time_ms next_call_ms;     /* no call is sent before this time */
 };
 
 static void
@@ -60,11 +60,12 @@
   if (--l->refs > 0)
     return;
   g_queue_free_full (l->entries, entry_free);
-  g_free (l->after);
+  g_free (l->read_after);
   g_free (l);
 }
 
-/* Tell the writers of the first @n entries; they may put new ones.  */
+/* Removes the first @n entries and calls their callbacks, which may queue new
+   entries.  */
 static void
 finish_entries (mm_job_log *l, guint n, bool ok)
 {
@@ -81,8 +82,8 @@
 become_fenced (mm_job_log *l)
 {
   l->stage = STAGE_FENCED;
-  l->sending = 0;
-  mm_log_event (MM_EV_JOBS_FENCED, MM_INT (l->part), MM_INT (l->epoch));
+  l->n_sending = 0;
+  mm_log_event (MM_EV_JOBS_FENCED, MM_INT (l->partition), MM_INT (l->epoch));
   finish_entries (l, l->entries->length, false);
   if (!l->closed)
     l->ev.fenced (l->ev.ctx);
@@ -91,8 +92,8 @@
 static void
 on_appended (mm_job_log *l)
 {
-  guint n = l->sending;
-  l->sending = 0;
+  guint n = l->n_sending;
+  l->n_sending = 0;
   if (n)
     l->seq++;
   finish_entries (l, n, true);
@@ -100,9 +101,9 @@
     l->stage = STAGE_READING;
 }
 
-/* How long until the next append.  */
+/* Return: the pause until the next append.  */
 static mm_time_ms
-wait_after (mm_job_log *l, mm_append_verdict v)
+delay_after (mm_job_log *l, mm_append_verdict v)
 {
   switch (v)
     {
@@ -123,29 +124,30 @@
 }
 
 static void
-note_touch (mm_job_log *l, bool ok, const char *why)
+record_contact (mm_job_log *l, bool ok, const char *why)
 {
   mm_time_ms now = mm_clock_now_ms ();
   if (ok)
-    l->failing_ms = 0;
-  else if (!l->failing_ms)
-    l->failing_ms = now;
-  mm_store_note_touch (&l->in_touch, ok, "kept jobs", why);
+    l->failing_since_ms = 0;
+  else if (!l->failing_since_ms)
+    l->failing_since_ms = now;
+  mm_store_note_touch (&l->in_contact, ok, "kept jobs", why);
 }
 
 static void
-take_verdict (mm_job_log *l, const mm_append_result *res)
+handle_verdict (mm_job_log *l, const mm_append_result *res)
 {
-  note_touch (l, res->verdict == MM_APPEND_OK, res->why);
-  l->due_ms = mm_clock_now_ms () + wait_after (l, res->verdict);
+  record_contact (l, res->verdict == MM_APPEND_OK, res->why);
+  l->next_call_ms = mm_clock_now_ms () + delay_after (l, res->verdict);
   if (res->verdict == MM_APPEND_OK)
     on_appended (l);
   else if (res->verdict == MM_APPEND_FENCED)
     become_fenced (l);
   else if (res->verdict == MM_APPEND_OUT_OF_SEQ)
     {
-      /* One past ours: an earlier sending of this append was done.  */
-      if (res->expected_seq == l->seq + 1 && l->sending)
+      /* The store expects the next number: an earlier transmission of this
+         append was executed.  */
+      if (res->expected_seq == l->seq + 1 && l->n_sending)
         on_appended (l);
       else
         l->seq = res->expected_seq;
@@ -160,7 +162,7 @@
   mm_metrics_count (res->verdict == MM_APPEND_OK ? MM_CT_APPENDS_OK
                                                  : MM_CT_APPENDS_FAILED);
   if (!l->closed)
-    take_verdict (l, res);
+    handle_verdict (l, res);
   if (!l->closed)
     mm_job_log_tick (l);
   log_unref (l);
@@ -176,16 +178,16 @@
       log_unref (l);
       return;
     }
-  note_touch (l, res->ok, res->why);
-  l->due_ms = mm_clock_now_ms () + (res->ok ? 0 : MM_JOB_LOG_RETRY_MS);
+  record_contact (l, res->ok, res->why);
+  l->next_call_ms = mm_clock_now_ms () + (res->ok ? 0 : MM_JOB_LOG_RETRY_MS);
   for (size_t i = 0; res->ok && i < res->n_records; i++)
     l->ev.record (l->ev.ctx, &res->records[i]);
   if (res->ok)
     {
-      g_free (l->after);
-      l->after = g_strdup (res->after);
+      g_free (l->read_after);
+      l->read_after = g_strdup (res->after);
     }
-  if (res->ok && !l->after)
+  if (res->ok && !l->read_after)
     {
       l->stage = STAGE_OPEN;
       l->ev.opened (l->ev.ctx);
@@ -193,36 +195,36 @@
   log_unref (l);
 }
 
-/* As many of the waiting entries as one append takes.  */
+/* Selects as many of the waiting entries as fit into one append.  */
 static void
 fill_batch (mm_job_log *l)
 {
   size_t bytes = 0;
-  for (GList *e = l->entries->head; e && l->sending < MM_JOB_LOG_MAX_RECORDS;
+  for (GList *e = l->entries->head; e && l->n_sending < MM_JOB_LOG_MAX_RECORDS;
        e = e->next)
     {
       const mm_record *r = &((entry *)e->data)->record;
       bytes += strlen (r->key) + (r->value ? g_bytes_get_size (r->value) : 0);
-      if (l->sending && bytes > MM_JOB_LOG_MAX_BYTES)
+      if (l->n_sending && bytes > MM_JOB_LOG_MAX_BYTES)
         break;
-      l->sending++;
+      l->n_sending++;
     }
 }
 
 static void
 send_append (mm_job_log *l)
 {
-  if (!l->sending && l->stage == STAGE_OPEN)
+  if (!l->n_sending && l->stage == STAGE_OPEN)
     fill_batch (l);
-  mm_record *records = g_new0 (mm_record, l->sending + 1);
+  mm_record *records = g_new0 (mm_record, l->n_sending + 1);
   GList *e = l->entries->head;
-  for (guint i = 0; i < l->sending; i++, e = e->next)
+  for (guint i = 0; i < l->n_sending; i++, e = e->next)
     records[i] = ((entry *)e->data)->record;
-  mm_append a = { .part = l->part,
+  mm_append a = { .part = l->partition,
                   .epoch = l->epoch,
                   .seq = l->seq,
                   .records = records,
-                  .n_records = l->sending,
+                  .n_records = l->n_sending,
                   .timeout_ms = MM_STORE_TIMEOUT_MS };
   l->in_flight = true;
   l->refs++;
@@ -233,13 +235,13 @@
 void
 mm_job_log_tick (mm_job_log *l)
 {
-  if (l->in_flight || mm_clock_now_ms () < l->due_ms)
+  if (l->in_flight || mm_clock_now_ms () < l->next_call_ms)
     return;
   if (l->stage == STAGE_READING)
     {
       l->in_flight = true;
       l->refs++;
-      l->port.records (l->port.ctx, l->part, l->after,
+      l->port.records (l->port.ctx, l->partition, l->read_after,
                        mm_store_timeout_ms (&l->port, MM_STORE_TIMEOUT_MS,
                                             MM_STORE_ANSWER_MAX_BYTES),
                        on_records, l);
@@ -252,20 +254,20 @@
 /**
  * mm_job_log_open() - become the writer of a partition.
  * @port: the store.
- * @part: the partition.
- * @epoch: higher than any earlier writer's.
- * @ev: what the home is told.
+ * @partition: the partition.
+ * @epoch: higher than the epoch of any earlier writer.
+ * @ev: callbacks of the home.
  *
  * Return: the log; close it with mm_job_log_close().
  */
 mm_job_log *
-mm_job_log_open (const mm_store_port *port, uint32_t part, uint64_t epoch,
+mm_job_log_open (const mm_store_port *port, uint32_t partition, uint64_t epoch,
                  const mm_job_log_events *ev)
 {
   mm_job_log *l = g_new0 (mm_job_log, 1);
   l->refs = 1;
   l->port = *port;
-  l->part = part;
+  l->partition = partition;
   l->epoch = epoch;
   l->ev = *ev;
   l->entries = g_queue_new ();
@@ -278,7 +280,7 @@
   if (!l || l->closed)
     return;
   l->closed = true;
-  l->sending = 0;
+  l->n_sending = 0;
   finish_entries (l, l->entries->length, false);
   log_unref (l);
 }
@@ -293,16 +295,17 @@
   e->done = done;
   e->ctx = ctx;
   g_queue_push_tail (l->entries, e);
-  if (l->stage == STAGE_OPEN) /* not while a page is being taken */
+  if (l->stage == STAGE_OPEN) /* not while a page is being read */
     mm_job_log_tick (l);
 }
 
 bool
-mm_job_log_in_touch (const mm_job_log *l)
+mm_job_log_in_contact (const mm_job_log *l)
 {
-  return l->in_touch
-         || (l->failing_ms
-             && mm_clock_now_ms () - l->failing_ms < MM_JOB_LOG_TOUCH_MS);
+  return l->in_contact
+         || (l->failing_since_ms
+             && mm_clock_now_ms () - l->failing_since_ms
+                    < MM_JOB_LOG_TOUCH_MS);
 }
 
 bool
--- a/src/mm_job_log.h
+++ b/src/mm_job_log.h
@@ -1,7 +1,7 @@
 /* mm_job_log: one partition of kept jobs in the store, written by its home.
 
-   Opening it makes the home's epoch known first, so that whoever wrote
-   there before is refused, and then reads what is there.  */
+   Opening the log first announces the home's epoch, so that the store refuses
+   all earlier writers, and then reads the stored records.  */
 #ifndef MM_JOB_LOG_H
 #define MM_JOB_LOG_H
 
@@ -11,23 +11,27 @@
 
 typedef struct
 {
-  void (*record) (void *ctx, const mm_record *r); /* one that is there */
-  void (*opened) (void *ctx);                     /* all of them were read */
-  void (*fenced) (void *ctx); /* another home has it: nothing is written */
+  void (*record) (void *ctx, const mm_record *r); /* a stored record */
+  void (*opened) (void *ctx); /* all stored records have been read */
+  /* Another home has the partition; nothing more is written.  */
+  void (*fenced) (void *ctx);
   void *ctx;
 } mm_job_log_events;
 
-/* @ok: it is stored.  False: it may be, or not.  */
+/* @ok: the record is stored; false: whether it is stored is not known.  */
 typedef void (*mm_job_log_done) (void *ctx, bool ok);
 
-mm_job_log *mm_job_log_open (const mm_store_port *port, uint32_t part,
+mm_job_log *mm_job_log_open (const mm_store_port *port, uint32_t partition,
                              uint64_t epoch, const mm_job_log_events *ev);
-void mm_job_log_close (mm_job_log *l); /* open @done calls get false */
-/* Takes @value; NULL drops the key.  @done may be NULL.  */
+/* Calls the outstanding @done callbacks with false.  */
+void mm_job_log_close (mm_job_log *l);
+/* Queues a record.  Takes @value; NULL drops the key.  @done may be NULL.  */
 void mm_job_log_put (mm_job_log *l, const char *key, GBytes *value,
                      mm_job_log_done done, void *ctx);
-void mm_job_log_tick (mm_job_log *l);           /* each MM_EXEC_TICK_MS */
-bool mm_job_log_in_touch (const mm_job_log *l); /* the store answers */
-bool mm_job_log_idle (const mm_job_log *l);     /* nothing left to write */
+void mm_job_log_tick (mm_job_log *l); /* each MM_EXEC_TICK_MS */
+/* Whether the store answers, or has failed for less than
+   MM_JOB_LOG_TOUCH_MS.  */
+bool mm_job_log_in_contact (const mm_job_log *l);
+bool mm_job_log_idle (const mm_job_log *l); /* no record waits to be stored */
 
 #endif /* MM_JOB_LOG_H */
--- a/src/mm_job_record.c
+++ b/src/mm_job_record.c
@@ -1,5 +1,6 @@
-/* mm_job_record: [phase, queue, service, priority, attempts, objective_ms,
-   submission or nil, [[done, [mark of a failed run, ...]], ...]].  */
+/* mm_job_record: packed with msgpack as [phase, queue, service, priority,
+   attempts, objective_ms, submission or nil,
+   [[done, [hash of a failed run, ...]], ...]].  */
 #include "mm_job_record.h"
 
 #include "config.h"
@@ -21,7 +22,7 @@
 }
 
 bool
-mm_job_phase_over (mm_job_phase p)
+mm_job_phase_ended (mm_job_phase p)
 {
   return p != MM_JOB_QUEUED && p != MM_JOB_RUNNING;
 }
@@ -54,9 +55,8 @@
   g_free (r);
 }
 
-/* What is kept of a job that is over is its outcome.  */
 void
-mm_job_record_close (mm_job_record *r, mm_job_phase p)
+mm_job_record_set_outcome (mm_job_record *r, mm_job_phase p)
 {
   r->phase = p;
   g_clear_pointer (&r->s, mm_submission_free);
@@ -122,7 +122,7 @@
 static bool
 unpack_job (const msgpack_object *f, mm_job_record *r)
 {
-  if (mm_job_phase_over (r->phase))
+  if (mm_job_phase_ended (r->phase))
     return f[6].type == MSGPACK_OBJECT_NIL;
   r->s = mm_submission_unpack (&f[6]);
   if (!r->s)
@@ -156,8 +156,8 @@
 
 /**
  * mm_job_record_unpack() - read a kept job.
- * @data: what mm_job_record_pack() wrote.
- * @len: bytes of it.
+ * @data: output of mm_job_record_pack().
+ * @len: number of bytes.
  * @error: MM_ERROR_DECODE.
  *
  * Return: the record, or NULL; free with mm_job_record_free().
@@ -176,17 +176,17 @@
   if (ok)
     return r;
   g_set_error (error, MM_ERROR, MM_ERROR_DECODE,
-               "kept job: %zu bytes that are no record of one", len);
+               "kept job: %zu bytes are not a valid job record", len);
   mm_job_record_free (r);
   return NULL;
 }
 
 void
-mm_task_progress_fail (mm_task_progress *p, uint32_t mark)
+mm_task_progress_add_failure (mm_task_progress *p, uint32_t run_hash)
 {
   for (uint32_t i = 0; i < p->n_failures; i++)
-    if (p->failures[i] == mark)
+    if (p->failures[i] == run_hash)
       return;
   if (p->n_failures < MM_JOB_MAX_FAILURES)
-    p->failures[p->n_failures++] = mark;
+    p->failures[p->n_failures++] = run_hash;
 }
--- a/src/mm_kept_ask.c
+++ b/src/mm_kept_ask.c
@@ -1,5 +1,5 @@
-/* mm_kept_ask: what other instances ask about kept jobs, and counts that all
-   homes add to.  */
+/* mm_kept_peer: answers requests of other instances about kept jobs, and
+   counts the pending jobs of a queue at all homes.  */
 #include "mm_kept_priv.h"
 
 #include "config.h"
@@ -13,52 +13,54 @@
 pending_here (const mm_kept *k, const char *queue)
 {
   uint32_t n = 0;
-  for (uint32_t i = 0; i < k->p.parts; i++)
+  for (uint32_t i = 0; i < k->deps.parts; i++)
     if (k->home[i])
       n += mm_home_pending (k->home[i], queue);
   return n;
 }
 
-/* A count that homes add to.  */
+/* A count of pending jobs, added up from the answers of all homes.  */
 typedef struct
 {
   mm_kept *kept;
   mm_kept_answer sum;
-  uint32_t open;
-  mm_kept_told told;
+  uint32_t outstanding; /* homes that have not answered yet */
+  mm_kept_told answered;
   void *ctx;
-} counting;
+} pending_count;
 
 static void
-count_end (counting *c)
+finish_count (pending_count *c)
 {
-  c->told (c->ctx, &c->sum);
+  c->answered (c->ctx, &c->sum);
   mm_kept_unref (c->kept);
   g_free (c);
 }
 
 static void
-on_counted (void *ctx, bool ok, const void *data, size_t len)
+on_count_answered (void *ctx, bool ok, const void *data, size_t len)
 {
-  counting *c = ctx;
+  pending_count *c = ctx;
   mm_kept_answer a = { 0 };
   if (ok && mm_kept_answer_read (data, len, &a) && a.status == MM_KEPT_OK)
     c->sum.pending += a.pending;
   else
     c->sum.status = MM_KEPT_BUSY;
-  if (--c->open == 0)
-    count_end (c);
+  if (--c->outstanding == 0)
+    finish_count (c);
 }
 
-/* The homes of all partitions, each once; free the list only.  */
+/* Names of the other instances that are a home, each once.  Free the list, not
+   the names.  */
 static GList *
 other_homes (const mm_kept *k)
 {
   GList *names = NULL;
-  for (uint32_t i = 0; i < k->p.parts; i++)
+  for (uint32_t i = 0; i < k->deps.parts; i++)
     {
-      const char *home = k->home[i] ? NULL : mm_homes_of (k->homes, i);
-      if (home && strcmp (home, k->p.member) != 0
+      const char *home
+          = k->home[i] ? NULL : mm_home_directory_lookup (k->directory, i);
+      if (home && strcmp (home, k->deps.member) != 0
           && !g_list_find_custom (names, home, (GCompareFunc)strcmp))
         names = g_list_prepend (names, (gpointer)home);
     }
@@ -66,29 +68,30 @@
 }
 
 void
-mm_kept_pending (mm_kept *k, const char *queue, mm_kept_told told, void *ctx)
+mm_kept_pending (mm_kept *k, const char *queue, mm_kept_told answered,
+                 void *ctx)
 {
-  mm_homes_used (k->homes);
-  counting *c = g_new0 (counting, 1);
+  mm_home_directory_set_used (k->directory);
+  pending_count *c = g_new0 (pending_count, 1);
   c->kept = k;
-  c->told = told;
+  c->answered = answered;
   c->ctx = ctx;
   c->sum.pending = pending_here (k, queue);
-  c->open = 1;
+  c->outstanding = 1;
   k->refs++;
   GList *homes = other_homes (k);
   for (GList *l = homes; l; l = l->next)
     {
-      c->open++;
-      mm_mesh_ask (k->p.mesh, l->data, MM_ASK_PENDING, queue, strlen (queue),
-                   MM_KEPT_ASK_MS, on_counted, c);
+      c->outstanding++;
+      mm_mesh_ask (k->deps.mesh, l->data, MM_KEPT_REQUEST_PENDING, queue,
+                   strlen (queue), MM_KEPT_ASK_MS, on_count_answered, c);
     }
   g_list_free (homes);
-  if (--c->open == 0)
-    count_end (c);
+  if (--c->outstanding == 0)
+    finish_count (c);
 }
 
-/* ---- other instances' questions --------------------------------------- */
+/* ---- requests of other instances -------------------------------------- */
 
 static void
 answer_peer (void *ctx, const mm_kept_answer *a)
@@ -101,10 +104,10 @@
 }
 
 static void
-asked_submit (mm_kept *k, const void *data, size_t len, mm_mesh_reply *reply)
+handle_submit (mm_kept *k, const void *data, size_t len, mm_mesh_reply *reply)
 {
   GError *error = NULL;
-  mm_kept_answer no = { .status = MM_KEPT_MOVING };
+  mm_kept_answer rejection = { .status = MM_KEPT_MOVING };
   mm_job_record *rec = mm_job_record_unpack (data, len, &error);
   mm_home *h = rec && rec->s ? mm_kept_home_of (k, rec->s->id) : NULL;
   if (h)
@@ -114,34 +117,34 @@
     }
   if (error)
     {
-      g_warning ("kept: an instance handed in what is no job: %s",
+      g_warning ("kept: invalid job record from another instance: %s",
                  error->message);
-      no.status = MM_KEPT_BUSY;
+      rejection.status = MM_KEPT_BUSY;
     }
   g_clear_error (&error);
   mm_job_record_free (rec);
-  answer_peer (reply, &no);
+  answer_peer (reply, &rejection);
 }
 
 static void
-asked_job (mm_kept *k, mm_kept_verb verb, const char *job_id,
-           mm_mesh_reply *reply)
+handle_job (mm_kept *k, mm_kept_verb verb, const char *job_id,
+            mm_mesh_reply *reply)
 {
   mm_kept_answer a = { .status = MM_KEPT_MOVING };
   mm_home *h = mm_kept_home_of (k, job_id);
-  if (h && verb == MM_ASK_CANCEL)
+  if (h && verb == MM_KEPT_REQUEST_CANCEL)
     {
       mm_home_cancel (h, job_id, answer_peer, reply);
       return;
     }
   if (h)
-    mm_home_ask_state (h, job_id, answer_peer, reply);
+    mm_home_confirm_state (h, job_id, answer_peer, reply);
   else
     answer_peer (reply, &a);
 }
 
 static void
-asked_pending (mm_kept *k, const char *queue, mm_mesh_reply *reply)
+handle_pending (mm_kept *k, const char *queue, mm_mesh_reply *reply)
 {
   mm_kept_answer a
       = { .status = MM_KEPT_OK, .pending = pending_here (k, queue) };
@@ -149,12 +152,12 @@
 }
 
 static void
-asked_census (mm_kept *k, const void *data, size_t len, mm_mesh_reply *reply)
+handle_search (mm_kept *k, const void *data, size_t len, mm_mesh_reply *reply)
 {
   mm_census c = mm_census_new ();
   GHashTable *tasks = mm_task_set_read (data, len);
   if (tasks)
-    mm_owner_census (k->p.owner, tasks, &c);
+    mm_owner_census (k->deps.owner, tasks, &c);
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_census_pack (&b, &c);
@@ -166,37 +169,37 @@
 }
 
 static void
-note_end (void *ctx, const mm_task_id *task, uint32_t mark)
+ack_end (void *ctx, const mm_task_id *task, uint32_t run_hash)
 {
-  mm_owner_note_end (ctx, task, mark);
+  mm_owner_note_end (ctx, task, run_hash);
 }
 
-/* @text: the data, as the id or name that most verbs ask about.  */
+/* @text: @data as a string: the job id or queue name of most requests.  */
 static void
-answer_question (mm_kept *k, uint32_t verb, const char *text, const void *data,
-                 size_t len, mm_mesh_reply *reply)
+handle_request (mm_kept *k, uint32_t verb, const char *text, const void *data,
+                size_t len, mm_mesh_reply *reply)
 {
   switch (verb)
     {
-    case MM_ASK_SUBMIT:
-      asked_submit (k, data, len, reply);
+    case MM_KEPT_REQUEST_SUBMIT:
+      handle_submit (k, data, len, reply);
       break;
-    case MM_ASK_STATE:
-    case MM_ASK_CANCEL:
-      asked_job (k, verb, text, reply);
+    case MM_KEPT_REQUEST_STATE:
+    case MM_KEPT_REQUEST_CANCEL:
+      handle_job (k, verb, text, reply);
       break;
-    case MM_ASK_PENDING:
-      asked_pending (k, text, reply);
+    case MM_KEPT_REQUEST_PENDING:
+      handle_pending (k, text, reply);
       break;
-    case MM_ASK_FOREIGN:
+    case MM_KEPT_REQUEST_FOREIGN:
       {
         mm_kept_answer a;
         mm_kept_answer_foreign (k, text, &a);
         answer_peer (reply, &a);
         break;
       }
-    case MM_ASK_CENSUS:
-      asked_census (k, data, len, reply);
+    case MM_KEPT_REQUEST_SEARCH:
+      handle_search (k, data, len, reply);
       break;
     default:
       {
@@ -207,19 +210,19 @@
 }
 
 void
-mm_kept_on_asked (void *ctx, uint32_t verb, const void *data, size_t len,
-                  mm_mesh_reply *reply)
+mm_kept_on_peer_request (void *ctx, uint32_t verb, const void *data,
+                         size_t len, mm_mesh_reply *reply)
 {
   mm_kept *k = ctx;
-  if (verb == MM_TELL_NOTES)
+  if (verb == MM_KEPT_NOTIFY_ACKS)
     {
-      mm_notes_read (data, len, note_end, k->p.owner);
+      mm_notes_read (data, len, ack_end, k->deps.owner);
       return;
     }
   char *text = g_strndup (data, len);
-  if (verb == MM_TELL_ENDED)
-    mm_owner_forget_job (k->p.owner, text);
+  if (verb == MM_KEPT_NOTIFY_ENDED)
+    mm_owner_forget_job (k->deps.owner, text);
   if (reply)
-    answer_question (k, verb, text, data, len, reply);
+    handle_request (k, verb, text, data, len, reply);
   g_free (text);
 }
--- a/src/mm_kept_request.c
+++ b/src/mm_kept_request.c
@@ -1,8 +1,9 @@
-/* mm_kept_request: callers' requests about kept jobs, brought to their homes.
+/* mm_kept_request: forwards callers' requests about kept jobs to the homes.
 
-   Homes move when instances come and go.  A request whose home is not known,
-   not linked, or is another instance by now waits a moment while the store is
-   asked, rather than sending its caller away for a second.  */
+   Homes move when instances join and leave.  A request whose home is not
+   known, not linked, or has moved waits for up to MM_KEPT_FIND_HOME_MS while
+   the directory polls the store.  Refusing it would cost the caller a second
+   until it may retry.  */
 #include "mm_kept_priv.h"
 
 #include "config.h"
@@ -14,13 +15,13 @@
 {
   mm_kept *kept;
   char *job_id;
-  uint32_t part;
+  uint32_t partition;
   mm_kept_verb verb;
-  GBytes *record; /* MM_ASK_SUBMIT: the job, packed */
-  mm_kept_told told;
+  GBytes *record; /* MM_KEPT_REQUEST_SUBMIT: the packed job, else NULL */
+  mm_kept_told answered;
   void *ctx;
-  mm_time_ms until_ms; /* refused if its home is not found by then */
-  bool unsure;         /* a home may have done it already */
+  mm_time_ms expires_ms; /* refused if the home is not found by then */
+  bool in_doubt;         /* a home may have executed the request already */
 };
 
 static void try_request (mm_kept_request *r);
@@ -37,17 +38,17 @@
 static void
 answer (mm_kept_request *r, const mm_kept_answer *a)
 {
-  r->told (r->ctx, a);
+  r->answered (r->ctx, a);
   request_free (r);
 }
 
-/* Nothing was done, unless a home asked before may have done it.  */
+/* Answers BUSY, or "in doubt" when a home may have executed the request.  */
 static void
 refuse (mm_kept_request *r, const char *why)
 {
-  mm_kept_answer a = { .status = r->unsure ? MM_KEPT_UNSURE : MM_KEPT_BUSY };
-  mm_log_event (r->unsure ? MM_EV_KEPT_UNSURE : MM_EV_KEPT_REFUSED,
-                MM_TEXT (r->job_id), MM_INT (r->part), MM_TEXT (why));
+  mm_kept_answer a = { .status = r->in_doubt ? MM_KEPT_UNSURE : MM_KEPT_BUSY };
+  mm_log_event (r->in_doubt ? MM_EV_KEPT_UNSURE : MM_EV_KEPT_REFUSED,
+                MM_TEXT (r->job_id), MM_INT (r->partition), MM_TEXT (why));
   answer (r, &a);
 }
 
@@ -55,46 +56,46 @@
 wait_for_home (mm_kept_request *r, const char *why)
 {
   mm_kept *k = r->kept;
-  if (k->closed || mm_clock_now_ms () >= r->until_ms
-      || mm_homes_failing (k->homes))
+  if (k->closed || mm_clock_now_ms () >= r->expires_ms
+      || mm_home_directory_failing (k->directory))
     {
       refuse (r, why);
       return;
     }
-  mm_homes_stale (k->homes);
+  mm_home_directory_poll_soon (k->directory);
   k->waiting = g_list_prepend (k->waiting, r);
 }
 
-/* What its home, here or elsewhere, says.  */
+/* Handles the answer of the home, at this instance or a peer.  */
 static void
-on_answer (void *ctx, const mm_kept_answer *a)
+on_home_answered (void *ctx, const mm_kept_answer *a)
 {
   mm_kept_request *r = ctx;
-  mm_kept_answer sure = *a;
-  r->unsure = r->unsure || a->status == MM_KEPT_UNSURE;
+  mm_kept_answer final = *a;
+  r->in_doubt = r->in_doubt || a->status == MM_KEPT_UNSURE;
   if (a->status == MM_KEPT_MOVING)
     wait_for_home (r, "its home is moving");
   else if (a->status == MM_KEPT_UNSURE)
     wait_for_home (r, "its home did not confirm it");
   else
     {
-      if (a->status == MM_KEPT_BUSY && r->unsure)
-        sure.status = MM_KEPT_UNSURE;
-      answer (r, &sure);
+      if (a->status == MM_KEPT_BUSY && r->in_doubt)
+        final.status = MM_KEPT_UNSURE;
+      answer (r, &final);
     }
 }
 
 static void
-on_home_told (void *ctx, bool ok, const void *data, size_t len)
+on_peer_answered (void *ctx, bool ok, const void *data, size_t len)
 {
   mm_kept_request *r = ctx;
   mm_kept_answer a = { 0 };
   if (ok && mm_kept_answer_read (data, len, &a))
     {
-      on_answer (r, &a);
+      on_home_answered (r, &a);
       return;
     }
-  r->unsure = r->unsure || r->verb != MM_ASK_STATE;
+  r->in_doubt = r->in_doubt || r->verb != MM_KEPT_REQUEST_STATE;
   wait_for_home (r, "its home did not answer");
 }
 
@@ -107,7 +108,7 @@
   mm_job_record *rec = mm_job_record_unpack (data, len, &error);
   if (rec)
     {
-      mm_home_submit (h, rec, on_answer, r);
+      mm_home_submit (h, rec, on_home_answered, r);
       return;
     }
   g_warning ("kept job %s: %s", r->job_id, error->message);
@@ -116,32 +117,33 @@
 }
 
 static void
-ask_here (mm_home *h, mm_kept_request *r)
+process_here (mm_home *h, mm_kept_request *r)
 {
   switch (r->verb)
     {
-    case MM_ASK_SUBMIT:
+    case MM_KEPT_REQUEST_SUBMIT:
       submit_here (h, r);
       break;
-    case MM_ASK_CANCEL:
-      mm_home_cancel (h, r->job_id, on_answer, r);
+    case MM_KEPT_REQUEST_CANCEL:
+      mm_home_cancel (h, r->job_id, on_home_answered, r);
       break;
     default:
-      mm_home_ask_state (h, r->job_id, on_answer, r);
+      mm_home_confirm_state (h, r->job_id, on_home_answered, r);
     }
 }
 
 static void
-ask_peer (const char *home, mm_kept_request *r)
+send_to_peer (const char *home, mm_kept_request *r)
 {
   gsize len = strlen (r->job_id);
   const void *data = r->job_id;
   if (r->record)
     data = g_bytes_get_data (r->record, &len);
   mm_time_ms timeout_ms
-      = MM_KEPT_ASK_MS + (r->verb == MM_ASK_STATE ? 0 : MM_KEPT_ACCEPT_MS);
-  mm_mesh_ask (r->kept->p.mesh, home, r->verb, data, len, timeout_ms,
-               on_home_told, r);
+      = MM_KEPT_ASK_MS
+        + (r->verb == MM_KEPT_REQUEST_STATE ? 0 : MM_KEPT_ACCEPT_MS);
+  mm_mesh_ask (r->kept->deps.mesh, home, r->verb, data, len, timeout_ms,
+               on_peer_answered, r);
 }
 
 static void
@@ -153,19 +155,19 @@
       refuse (r, "this instance has stopped");
       return;
     }
-  const char *home = mm_homes_of (k->homes, r->part);
+  const char *home = mm_home_directory_lookup (k->directory, r->partition);
   mm_home *h = mm_kept_home_of (k, r->job_id);
   if (h)
-    ask_here (h, r);
-  else if (!home || strcmp (home, k->p.member) == 0)
+    process_here (h, r);
+  else if (!home || strcmp (home, k->deps.member) == 0)
     wait_for_home (r, "its home is not known");
-  else if (!mm_mesh_is_connected (k->p.mesh, home))
+  else if (!mm_mesh_is_connected (k->deps.mesh, home))
     {
-      mm_mesh_need (k->p.mesh, home);
+      mm_mesh_need (k->deps.mesh, home);
       wait_for_home (r, "its home is not linked");
     }
   else
-    ask_peer (home, r);
+    send_to_peer (home, r);
 }
 
 void
@@ -178,40 +180,43 @@
 }
 
 static void
-begin (mm_kept *k, const char *job_id, mm_kept_verb verb, GBytes *record,
-       mm_kept_told told, void *ctx)
+start_request (mm_kept *k, const char *job_id, mm_kept_verb verb,
+               GBytes *record, mm_kept_told answered, void *ctx)
 {
   mm_kept_request *r = g_new0 (mm_kept_request, 1);
   r->kept = k;
   r->job_id = g_strdup (job_id);
-  r->part = mm_homes_part_of (k->homes, job_id);
+  r->partition = mm_home_directory_partition_of (k->directory, job_id);
   r->verb = verb;
   r->record = record;
-  r->told = told;
+  r->answered = answered;
   r->ctx = ctx;
-  r->until_ms = mm_clock_now_ms () + MM_KEPT_FIND_HOME_MS;
+  r->expires_ms = mm_clock_now_ms () + MM_KEPT_FIND_HOME_MS;
   k->refs++;
-  mm_homes_used (k->homes);
+  mm_home_directory_set_used (k->directory);
   try_request (r);
 }
 
 void
 mm_kept_submit (mm_kept *k, mm_submission *s, const mm_route *route,
-                mm_kept_told told, void *ctx)
+                mm_kept_told answered, void *ctx)
 {
   mm_job_record *rec = mm_job_record_new (s, route);
-  begin (k, rec->s->id, MM_ASK_SUBMIT, mm_job_record_pack (rec), told, ctx);
+  start_request (k, rec->s->id, MM_KEPT_REQUEST_SUBMIT,
+                 mm_job_record_pack (rec), answered, ctx);
   mm_job_record_free (rec);
 }
 
 void
-mm_kept_state (mm_kept *k, const char *job_id, mm_kept_told told, void *ctx)
+mm_kept_state (mm_kept *k, const char *job_id, mm_kept_told answered,
+               void *ctx)
 {
-  begin (k, job_id, MM_ASK_STATE, NULL, told, ctx);
+  start_request (k, job_id, MM_KEPT_REQUEST_STATE, NULL, answered, ctx);
 }
 
 void
-mm_kept_cancel (mm_kept *k, const char *job_id, mm_kept_told told, void *ctx)
+mm_kept_cancel (mm_kept *k, const char *job_id, mm_kept_told answered,
+                void *ctx)
 {
-  begin (k, job_id, MM_ASK_CANCEL, NULL, told, ctx);
+  start_request (k, job_id, MM_KEPT_REQUEST_CANCEL, NULL, answered, ctx);
 }
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_run.c
@@ -1,4 +1,4 @@
-/* mm_kept_run: each task is waiting, at one owner, out of sight, or done.  */
+/* mm_kept_run: the states of a kept job's tasks.  */
 #include "mm_kept_run.h"
 
 #include "config.h"
@@ -10,10 +10,10 @@
 
 typedef enum
 {
-  TASK_IDLE,    /* its step may not begin yet */
-  TASK_WAITING, /* to be handed out */
-  TASK_HANDED,  /* at an owner */
-  TASK_LOST,    /* out of sight */
+  TASK_BLOCKED,    /* its step may not start yet */
+  TASK_WAITING,    /* to be dispatched */
+  TASK_DISPATCHED, /* at an owner */
+  TASK_IN_DOUBT,   /* not known whether it runs, has ended or never started */
   TASK_DONE
 } task_state;
 
@@ -22,13 +22,13 @@
   mm_kept_run *run;
   mm_task_id id;
   task_state state;
-  bool ready; /* its step may begin */
-  mm_ticket *ticket;
-  mm_time_ms handed_ms;
-  mm_time_ms lost_ms; /* since when it is out of sight */
-  char *avoid;        /* upstream of the last failure */
-  char *gave_back;    /* owner that did not start it, "": this instance */
-  bool apart;         /* handed out as one that may crash upstreams */
+  bool ready;        /* its step may start */
+  mm_ticket *ticket; /* TASK_DISPATCHED: the request to the owner */
+  mm_time_ms dispatched_ms;
+  mm_time_ms in_doubt_since_ms;
+  char *avoid_upstream; /* upstream of the last failure, or NULL */
+  char *returned_by;    /* owner that did not start it, "": this instance */
+  bool isolated;        /* dispatched as a task that may crash upstreams */
 } task;
 
 struct mm_kept_run
@@ -38,34 +38,34 @@
   mm_kept_run_events ev;
   mm_steps *steps;
   task *tasks;
-  uint32_t n;
-  uint32_t n_lost;
-  uint32_t n_handed;
-  uint32_t n_apart;
-  bool may_start; /* as of the last tick */
-  bool begun;
-  bool over;
-  mm_time_ms due_ms; /* a task begun by then is in time */
-  GArray *notes;     /* mm_end_note */
+  uint32_t n_tasks;
+  uint32_t n_in_doubt;
+  uint32_t n_dispatched;
+  uint32_t n_isolated;
+  bool may_start; /* whether tasks may be started, as of the last tick */
+  bool started;   /* a task is known to have been started */
+  bool finished;
+  mm_time_ms latest_start_ms; /* tasks that start by then meet the objective */
+  GArray *acks;               /* mm_end_note of ends not yet taken */
 };
 
 static void
-begin_task (void *ctx, uint32_t number)
+set_task_ready (void *ctx, uint32_t number)
 {
   task *t = &((mm_kept_run *)ctx)->tasks[number];
   t->ready = true;
-  if (t->state == TASK_IDLE)
+  if (t->state == TASK_BLOCKED)
     t->state = TASK_WAITING;
 }
 
-static bool hand_out_waiting (mm_kept_run *r);
+static bool dispatch_waiting (mm_kept_run *r);
 
 static void
-lose (task *t)
+set_in_doubt (task *t)
 {
-  t->state = TASK_LOST;
-  t->lost_ms = mm_clock_now_ms ();
-  t->run->n_lost++;
+  t->state = TASK_IN_DOUBT;
+  t->in_doubt_since_ms = mm_clock_now_ms ();
+  t->run->n_in_doubt++;
 }
 
 mm_kept_run *
@@ -77,13 +77,13 @@
   r->rec = rec;
   r->ev = *ev;
   r->steps = mm_steps_create (rec->s);
-  r->n = mm_submission_tasks (rec->s);
-  r->tasks = g_new0 (task, (size_t)r->n + 1);
-  r->notes = g_array_new (FALSE, FALSE, sizeof (mm_end_note));
-  r->due_ms = mm_clock_now_ms () + rec->objective_ms
-              - mm_submission_chain_ms (rec->s);
-  r->begun = taken_over && rec->phase == MM_JOB_RUNNING;
-  for (uint32_t i = 0; i < r->n; i++)
+  r->n_tasks = mm_submission_tasks (rec->s);
+  r->tasks = g_new0 (task, (size_t)r->n_tasks + 1);
+  r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_note));
+  r->latest_start_ms = mm_clock_now_ms () + rec->objective_ms
+                       - mm_submission_chain_ms (rec->s);
+  r->started = taken_over && rec->phase == MM_JOB_RUNNING;
+  for (uint32_t i = 0; i < r->n_tasks; i++)
     {
       task *t = &r->tasks[i];
       t->run = r;
@@ -93,12 +93,12 @@
       t->state = TASK_DONE;
       mm_steps_note_done (r->steps, i);
     }
-  mm_steps_begin_ready (r->steps, begin_task, r);
-  /* Later steps too: the earlier home may have begun them on ends that it
-     did not come to store.  */
-  for (uint32_t i = 0; taken_over && i < r->n; i++)
+  mm_steps_begin_ready (r->steps, set_task_ready, r);
+  /* Tasks of later steps are in doubt too: the earlier home may have started
+     them because of ends that it had not stored when it died.  */
+  for (uint32_t i = 0; taken_over && i < r->n_tasks; i++)
     if (r->tasks[i].state != TASK_DONE)
-      lose (&r->tasks[i]);
+      set_in_doubt (&r->tasks[i]);
   return r;
 }
 
@@ -107,15 +107,15 @@
 {
   if (!r)
     return;
-  for (uint32_t i = 0; i < r->n; i++)
+  for (uint32_t i = 0; i < r->n_tasks; i++)
     {
       if (r->tasks[i].ticket)
         mm_fleet_cancel (r->fleet, r->tasks[i].ticket);
-      g_free (r->tasks[i].avoid);
-      g_free (r->tasks[i].gave_back);
+      g_free (r->tasks[i].avoid_upstream);
+      g_free (r->tasks[i].returned_by);
     }
   mm_steps_destroy (r->steps);
-  g_array_free (r->notes, TRUE);
+  g_array_free (r->acks, TRUE);
   g_free (r->tasks);
   g_free (r);
 }
@@ -123,23 +123,23 @@
 static void
 finish (mm_kept_run *r, mm_job_phase phase)
 {
-  if (r->over)
+  if (r->finished)
     return;
-  r->over = true;
-  r->ev.over (r->ev.ctx, phase);
+  r->finished = true;
+  r->ev.finished (r->ev.ctx, phase);
 }
 
 static void
-note_end (mm_kept_run *r, const mm_task_id *id, uint32_t mark,
-          const char *owner)
+add_ack (mm_kept_run *r, const mm_task_id *id, uint32_t run_hash,
+         const char *owner)
 {
-  mm_end_note n = { .task = *id, .mark = mark };
-  g_strlcpy (n.owner, owner ? owner : "", sizeof n.owner);
-  g_array_append_val (r->notes, n);
+  mm_end_note ack = { .task = *id, .mark = run_hash };
+  g_strlcpy (ack.owner, owner ? owner : "", sizeof ack.owner);
+  g_array_append_val (r->acks, ack);
 }
 
 static void
-on_task_ended_well (task *t)
+on_task_succeeded (task *t)
 {
   mm_kept_run *r = t->run;
   uint32_t number = (uint32_t)(t - r->tasks);
@@ -151,8 +151,8 @@
       finish (r, MM_JOB_COMPLETED);
       return;
     }
-  mm_steps_begin_ready (r->steps, begin_task, r);
-  if (hand_out_waiting (r))
+  mm_steps_begin_ready (r->steps, set_task_ready, r);
+  if (dispatch_waiting (r))
     r->ev.progress (r->ev.ctx);
 }
 
@@ -162,14 +162,14 @@
   return t->run->rec->s->steps[t->id.step].once;
 }
 
-/* A run has failed; @state: what the task is otherwise.  */
+/* A run has failed; @next_state: the task's state if the job goes on.  */
 static void
-on_task_failed (task *t, uint32_t mark, task_state otherwise)
+on_task_failed (task *t, uint32_t run_hash, task_state next_state)
 {
   mm_kept_run *r = t->run;
   mm_task_progress *p = &r->rec->progress[t - r->tasks];
-  mm_task_progress_fail (p, mark);
-  t->state = otherwise;
+  mm_task_progress_add_failure (p, run_hash);
+  t->state = next_state;
   if (p->n_failures >= r->rec->attempts || runs_once (t))
     finish (r, MM_JOB_FAILED);
   else
@@ -177,36 +177,37 @@
 }
 
 static void
-avoid (task *t, const char *upstream)
+set_avoid_upstream (task *t, const char *upstream)
 {
-  g_free (t->avoid);
-  t->avoid = g_strdup (upstream);
+  g_free (t->avoid_upstream);
+  t->avoid_upstream = g_strdup (upstream);
 }
 
-/* Twice by one owner: nobody else has room, and there the upstream to avoid
-   is all that has.  */
+/* An owner did not start the task.  When the same owner returns it twice in a
+   row, no other owner has free capacity, and at this owner only the upstream
+   to avoid has: the task may run there.  */
 static void
-on_given_back (task *t, const char *owner)
+on_returned (task *t, const char *owner)
 {
-  if (g_strcmp0 (t->gave_back, owner) == 0)
-    g_clear_pointer (&t->avoid, g_free);
-  g_free (t->gave_back);
-  t->gave_back = g_strdup (owner);
+  if (g_strcmp0 (t->returned_by, owner) == 0)
+    g_clear_pointer (&t->avoid_upstream, g_free);
+  g_free (t->returned_by);
+  t->returned_by = g_strdup (owner);
   t->state = TASK_WAITING;
 }
 
 static const char *
-what_next (const task *t, mm_end how)
+next_action (const task *t, mm_end how)
 {
   const mm_kept_run *r = t->run;
   if (how == MM_END_UNKNOWN)
-    return "it is looked for";
+    return "searching for it";
   if (runs_once (t))
     return "job fails: a task runs only once";
   if (how == MM_END_FAILED
       && r->rec->progress[t - r->tasks].n_failures + 1 >= r->rec->attempts)
     return "job fails: no attempt left";
-  return "handed out again";
+  return "dispatched again";
 }
 
 static void
@@ -216,40 +217,40 @@
     return;
   mm_log_event (MM_EV_TASK_FAILED, MM_TASK (&t->id), MM_TEXT (w->upstream),
                 MM_TEXT (mm_end_name (w->how)),
-                MM_INT (mm_clock_now_ms () - t->handed_ms), MM_TEXT (w->why),
-                MM_TEXT (what_next (t, w->how)));
+                MM_INT (mm_clock_now_ms () - t->dispatched_ms),
+                MM_TEXT (w->why), MM_TEXT (next_action (t, w->how)));
 }
 
 static void
-on_task_done (void *ctx, const mm_work_result *w)
+on_work_ended (void *ctx, const mm_work_result *w)
 {
   task *t = ctx;
   mm_kept_run *r = t->run;
-  uint32_t mark = w->upstream ? mm_run_mark (w->upstream, w->run) : 0;
+  uint32_t run_hash = w->upstream ? mm_run_mark (w->upstream, w->run) : 0;
   t->ticket = NULL;
-  r->n_handed--;
-  r->n_apart -= t->apart;
-  t->apart = false;
+  r->n_dispatched--;
+  r->n_isolated -= t->isolated;
+  t->isolated = false;
   log_end (t, w);
   if (w->how != MM_END_NOT_RUN)
-    g_clear_pointer (&t->gave_back, g_free);
+    g_clear_pointer (&t->returned_by, g_free);
   if (w->how != MM_END_NOT_RUN && w->how != MM_END_UNKNOWN)
     {
-      r->begun = true;
-      note_end (r, &t->id, mark, w->owner);
+      r->started = true;
+      add_ack (r, &t->id, run_hash, w->owner);
     }
   switch (w->how)
     {
     case MM_END_DONE:
-      on_task_ended_well (t);
+      on_task_succeeded (t);
       break;
     case MM_END_FAILED:
-      avoid (t, w->upstream);
-      on_task_failed (t, mark, TASK_WAITING);
+      set_avoid_upstream (t, w->upstream);
+      on_task_failed (t, run_hash, TASK_WAITING);
       break;
     case MM_END_STOPPED:
     case MM_END_LOST:
-      avoid (t, w->upstream);
+      set_avoid_upstream (t, w->upstream);
       t->state = TASK_WAITING;
       if (runs_once (t))
         finish (r, MM_JOB_FAILED);
@@ -257,10 +258,10 @@
         r->ev.progress (r->ev.ctx);
       break;
     case MM_END_NOT_RUN:
-      on_given_back (t, w->owner ? w->owner : "");
+      on_returned (t, w->owner ? w->owner : "");
       break;
     case MM_END_UNKNOWN:
-      lose (t);
+      set_in_doubt (t);
       mm_metrics_count (MM_CT_KEPT_LOST_SIGHT);
       mm_log_event (MM_EV_KEPT_LOST_SIGHT, MM_TEXT (t->id.job), MM_INT (1),
                     MM_TEXT (w->why));
@@ -269,43 +270,44 @@
 }
 
 static void
-hand_out (task *t, mm_suspect_action action, mm_time_ms now)
+dispatch (task *t, mm_suspect_action action, mm_time_ms now)
 {
   mm_kept_run *r = t->run;
   const mm_step *step = &r->rec->s->steps[t->id.step];
-  mm_task_request q
+  mm_task_request req
       = { .id = t->id,
           .service = r->rec->service,
           .payload = step->payload ? step->payload : r->rec->s->payload,
           .label = step->label,
           .data_label = step->data_label,
-          .avoid = t->avoid,
+          .avoid = t->avoid_upstream,
           .need = step->need,
           .kept = true,
           .apart = action == MM_SUSPECT_APART,
           .attempt = r->rec->progress[t - r->tasks].n_failures,
           .priority = r->rec->priority,
           .estimate_ms = step->estimate_ms,
-          .due_within = MAX (r->due_ms - now, 0),
+          .due_within = MAX (r->latest_start_ms - now, 0),
           .start_within = MM_KEPT_START_WITHIN_MS };
-  t->handed_ms = now;
-  t->ticket = mm_fleet_submit (r->fleet, &q, t->gave_back, on_task_done, t);
+  t->dispatched_ms = now;
+  t->ticket
+      = mm_fleet_submit (r->fleet, &req, t->returned_by, on_work_ended, t);
   if (!t->ticket)
-    return; /* no owner in reach: at the next tick */
-  t->state = TASK_HANDED;
-  r->n_handed++;
-  t->apart = q.apart;
-  r->n_apart += t->apart;
+    return; /* no owner is reachable: retried at the next tick */
+  t->state = TASK_DISPATCHED;
+  r->n_dispatched++;
+  t->isolated = req.apart;
+  r->n_isolated += t->isolated;
 }
 
-/* Return: false when the job has failed, and @r is gone.  */
+/* Return: false when the job has failed and @r may have been freed.  */
 static bool
-hand_out_waiting (mm_kept_run *r)
+dispatch_waiting (mm_kept_run *r)
 {
-  if (!r->may_start || r->over || r->n_lost)
+  if (!r->may_start || r->finished || r->n_in_doubt)
     return true;
   mm_time_ms now = mm_clock_now_ms ();
-  for (uint32_t i = 0; i < r->n; i++)
+  for (uint32_t i = 0; i < r->n_tasks; i++)
     {
       task *t = &r->tasks[i];
       if (t->state != TASK_WAITING)
@@ -317,8 +319,8 @@
           finish (r, MM_JOB_FAILED);
           return false;
         }
-      if (mm_suspect_may_run (action, r->n_apart))
-        hand_out (t, action, now);
+      if (mm_suspect_may_run (action, r->n_isolated))
+        dispatch (t, action, now);
     }
   return true;
 }
@@ -327,7 +329,7 @@
 mm_kept_run_tick (mm_kept_run *r, bool may_start)
 {
   r->may_start = may_start;
-  hand_out_waiting (r);
+  dispatch_waiting (r);
 }
 
 bool
@@ -337,79 +339,81 @@
 }
 
 bool
-mm_kept_run_begun (const mm_kept_run *r)
+mm_kept_run_started (const mm_kept_run *r)
 {
-  return r->begun;
+  return r->started;
 }
 
 uint32_t
-mm_kept_run_handed (const mm_kept_run *r)
+mm_kept_run_n_dispatched (const mm_kept_run *r)
 {
-  return r->n_handed;
+  return r->n_dispatched;
 }
 
 uint32_t
-mm_kept_run_n_lost (const mm_kept_run *r)
+mm_kept_run_n_in_doubt (const mm_kept_run *r)
 {
-  return r->n_lost;
+  return r->n_in_doubt;
 }
 
-/* An upstream that the list does not name any more is asked by nobody, and
-   may run on under its last lease: a task lost with it is looked for when
-   that must have lapsed.  */
+/* An upstream that has left the list has no owner that answers for it, but it
+   may still run tasks under its last lease.  So a task in doubt is searched
+   for only after every such lease must have lapsed.  */
 void
-mm_kept_run_lost (const mm_kept_run *r, GHashTable *tasks)
+mm_kept_run_in_doubt (const mm_kept_run *r, GHashTable *tasks)
 {
   mm_time_ms before = mm_clock_now_ms () - MM_KEPT_LAPSE_MS;
-  for (uint32_t i = 0; i < r->n; i++)
-    if (r->tasks[i].state == TASK_LOST && r->tasks[i].lost_ms <= before)
+  for (uint32_t i = 0; i < r->n_tasks; i++)
+    if (r->tasks[i].state == TASK_IN_DOUBT
+        && r->tasks[i].in_doubt_since_ms <= before)
       g_hash_table_add (tasks,
                         g_memdup2 (&r->tasks[i].id, sizeof r->tasks[i].id));
 }
 
 void
-mm_kept_run_take_end (mm_kept_run *r, const mm_found_end *e, const char *owner)
+mm_kept_run_record_end (mm_kept_run *r, const mm_found_end *e,
+                        const char *owner)
 {
   int64_t number = mm_steps_number (r->steps, &e->task);
-  if (number < 0 || r->over || r->tasks[number].state != TASK_LOST)
+  if (number < 0 || r->finished || r->tasks[number].state != TASK_IN_DOUBT)
     return;
   task *t = &r->tasks[number];
-  r->begun = true;
-  note_end (r, &t->id, e->mark, owner);
+  r->started = true;
+  add_ack (r, &t->id, e->mark, owner);
   if (e->how == MM_END_DONE)
     {
-      r->n_lost--;
-      on_task_ended_well (t);
+      r->n_in_doubt--;
+      on_task_succeeded (t);
     }
   else if (e->how == MM_END_FAILED)
-    on_task_failed (t, e->mark, TASK_LOST);
+    on_task_failed (t, e->mark, TASK_IN_DOUBT);
   else
     r->ev.progress (r->ev.ctx);
 }
 
 void
-mm_kept_run_found_all (mm_kept_run *r, GHashTable *tasks)
+mm_kept_run_clear_in_doubt (mm_kept_run *r, GHashTable *tasks)
 {
-  for (uint32_t i = 0; i < r->n; i++)
+  for (uint32_t i = 0; i < r->n_tasks; i++)
     {
       task *t = &r->tasks[i];
-      if (t->state != TASK_LOST || !g_hash_table_contains (tasks, &t->id))
+      if (t->state != TASK_IN_DOUBT || !g_hash_table_contains (tasks, &t->id))
         continue;
-      t->state = t->ready ? TASK_WAITING : TASK_IDLE;
-      r->n_lost--;
-      /* It may have run and been stopped: nobody can tell.  */
+      t->state = t->ready ? TASK_WAITING : TASK_BLOCKED;
+      r->n_in_doubt--;
+      /* Whether the task ran and was stopped cannot be determined.  */
       if (runs_once (t))
         {
-          finish (r, MM_JOB_FAILED); /* and @r is gone */
+          finish (r, MM_JOB_FAILED); /* @r may have been freed */
           return;
         }
     }
 }
 
 GArray *
-mm_kept_run_take_notes (mm_kept_run *r)
+mm_kept_run_take_acks (mm_kept_run *r)
 {
-  GArray *notes = r->notes;
-  r->notes = g_array_new (FALSE, FALSE, sizeof (mm_end_note));
-  return notes;
+  GArray *acks = r->acks;
+  r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_note));
+  return acks;
 }
--- a/src/mm_kept_wire.c
+++ b/src/mm_kept_wire.c
@@ -1,4 +1,4 @@
-/* mm_kept_wire: pack and read what is asked about kept jobs.  */
+/* mm_kept_wire: packs and reads messages about kept jobs.  */
 #include "mm_kept_wire.h"
 
 #include "mm_msgpack.h"
@@ -7,12 +7,13 @@
 {
   ANSWER_FIELDS = 4,
   TASK_FIELDS = 3,
-  CENSUS_FIELDS = 3,
+  RESULT_FIELDS = 3,
   END_FIELDS = 5,
-  NOTE_FIELDS = 4
+  ACK_FIELDS = 4
 };
 
-/* One whole msgpack value; undo with msgpack_unpacked_destroy().  */
+/* Parses one msgpack value; free it with msgpack_unpacked_destroy(), also
+   after a failure.  */
 static bool
 parse (const void *data, size_t len, msgpack_unpacked *msg)
 {
@@ -118,7 +119,7 @@
 {
   msgpack_packer pk;
   msgpack_packer_init (&pk, b, msgpack_sbuffer_write);
-  msgpack_pack_array (&pk, CENSUS_FIELDS);
+  msgpack_pack_array (&pk, RESULT_FIELDS);
   msgpack_pack_uint32 (&pk, c->present);
   msgpack_pack_array (&pk, c->clear->len);
   for (guint i = 0; i < c->clear->len; i++)
@@ -135,16 +136,16 @@
 }
 
 static bool
-read_marks (const msgpack_object *o, GArray *out)
+read_hashes (const msgpack_object *o, GArray *out)
 {
   if (!mm_mp_is_array (o, 0))
     return false;
   for (uint32_t i = 0; i < o->via.array.size; i++)
     {
-      uint64_t mark;
-      if (!mm_mp_read_u64 (&o->via.array.ptr[i], &mark))
+      uint64_t hash;
+      if (!mm_mp_read_u64 (&o->via.array.ptr[i], &hash))
         return false;
-      g_array_append_val (out, mark);
+      g_array_append_val (out, hash);
     }
   return true;
 }
@@ -172,14 +173,14 @@
 }
 
 static bool
-read_census (const msgpack_object *o, mm_census *out)
+read_result (const msgpack_object *o, mm_census *out)
 {
   uint32_t present;
-  if (!mm_mp_is_array (o, CENSUS_FIELDS)
+  if (!mm_mp_is_array (o, RESULT_FIELDS)
       || !mm_mp_read_u32 (&o->via.array.ptr[0], &present))
     return false;
   out->present += present;
-  return read_marks (&o->via.array.ptr[1], out->clear)
+  return read_hashes (&o->via.array.ptr[1], out->clear)
          && read_ends (&o->via.array.ptr[2], out->ends);
 }
 
@@ -187,28 +188,29 @@
 mm_census_read (const void *data, size_t len, mm_census *out)
 {
   msgpack_unpacked msg;
-  bool ok = parse (data, len, &msg) && read_census (&msg.data, out);
+  bool ok = parse (data, len, &msg) && read_result (&msg.data, out);
   msgpack_unpacked_destroy (&msg);
   return ok;
 }
 
 void
-mm_notes_pack (msgpack_sbuffer *b, const mm_end_note *n, size_t count)
+mm_notes_pack (msgpack_sbuffer *b, const mm_end_note *acks, size_t count)
 {
   msgpack_packer pk;
   msgpack_packer_init (&pk, b, msgpack_sbuffer_write);
   msgpack_pack_array (&pk, count);
   for (size_t i = 0; i < count; i++)
     {
-      msgpack_pack_array (&pk, NOTE_FIELDS);
-      mm_mp_pack_task (&pk, &n[i].task);
-      msgpack_pack_uint32 (&pk, n[i].mark);
+      msgpack_pack_array (&pk, ACK_FIELDS);
+      mm_mp_pack_task (&pk, &acks[i].task);
+      msgpack_pack_uint32 (&pk, acks[i].mark);
     }
 }
 
 bool
 mm_notes_read (const void *data, size_t len,
-               void (*note) (void *ctx, const mm_task_id *task, uint32_t mark),
+               void (*acked) (void *ctx, const mm_task_id *task,
+                              uint32_t hash),
                void *ctx)
 {
   msgpack_unpacked msg;
@@ -217,12 +219,12 @@
     {
       const msgpack_object *row = &msg.data.via.array.ptr[i];
       mm_task_id id = { 0 };
-      uint32_t mark;
-      ok = mm_mp_is_array (row, NOTE_FIELDS)
+      uint32_t hash;
+      ok = mm_mp_is_array (row, ACK_FIELDS)
            && mm_mp_read_task (row->via.array.ptr, &id)
-           && mm_mp_read_u32 (&row->via.array.ptr[3], &mark);
+           && mm_mp_read_u32 (&row->via.array.ptr[3], &hash);
       if (ok)
-        note (ctx, &id, mark);
+        acked (ctx, &id, hash);
     }
   msgpack_unpacked_destroy (&msg);
   return ok;
--- a/src/mm_kept_wire.h
+++ b/src/mm_kept_wire.h
@@ -1,16 +1,18 @@
-/* mm_kept_wire: what instances ask each other about kept jobs, as msgpack.
+/* mm_kept_wire: msgpack encoding of the requests and notifications about kept
+   jobs that instances send to each other.
 
-     ASK_SUBMIT   a record (mm_job_record)
-                  -> [status, phase, pending, retry_after_s]
-     ASK_STATE    the job's id              -> the same
-     ASK_CANCEL   the job's id              -> the same
-     ASK_PENDING  the queue's name          -> the same
-     ASK_FOREIGN  the job's id              -> the same; BUSY when in doubt
-     ASK_CENSUS   [[job, step, index], ...]
-                  -> [present, [mark, ...], [[job, step, index, how, mark],
-                     ...]]
-     TELL_ENDED   the id of a job whose ends nobody will ask for
-     TELL_NOTES   [[job, step, index, mark], ...]  */
+     REQUEST_SUBMIT   a record (mm_job_record)
+                      -> [status, phase, pending, retry_after_s]
+     REQUEST_STATE    the job's id      -> the same
+     REQUEST_CANCEL   the job's id      -> the same
+     REQUEST_PENDING  the queue's name  -> the same
+     REQUEST_FOREIGN  the job's id      -> the same; BUSY when the instance is
+                                           not confirmed as the job's home
+     REQUEST_SEARCH   [[job, step, index], ...]
+                      -> [present, [upstream hash, ...],
+                          [[job, step, index, how, run hash], ...]]
+     NOTIFY_ENDED     the id of a job whose ends no home will request
+     NOTIFY_ACKS      [[job, step, index, run hash], ...]  */
 #ifndef MM_KEPT_WIRE_H
 #define MM_KEPT_WIRE_H
 
@@ -21,47 +23,50 @@
 
 typedef enum
 {
-  MM_ASK_SUBMIT = 1,
-  MM_ASK_STATE = 2,
-  MM_ASK_CANCEL = 3,
-  MM_ASK_PENDING = 4,
-  MM_ASK_CENSUS = 5,
-  MM_TELL_NOTES = 6,
-  MM_ASK_FOREIGN = 7,
-  MM_TELL_ENDED = 8
+  MM_KEPT_REQUEST_SUBMIT = 1,
+  MM_KEPT_REQUEST_STATE = 2,
+  MM_KEPT_REQUEST_CANCEL = 3,
+  MM_KEPT_REQUEST_PENDING = 4,
+  MM_KEPT_REQUEST_SEARCH = 5,
+  MM_KEPT_NOTIFY_ACKS = 6,
+  MM_KEPT_REQUEST_FOREIGN = 7,
+  MM_KEPT_NOTIFY_ENDED = 8
 } mm_kept_verb;
 
 typedef enum
 {
   MM_KEPT_OK,
-  MM_KEPT_NO_JOB, /* no such job is kept */
-  MM_KEPT_BUSY,   /* its home is not in reach; nothing was done */
-  MM_KEPT_UNSURE, /* it may have been done: ask again */
-  MM_KEPT_MOVING  /* not its home, or not ready yet: nothing was done */
+  MM_KEPT_NO_JOB, /* no such job is stored */
+  MM_KEPT_BUSY,   /* the home is not reachable or refuses; nothing was done */
+  MM_KEPT_UNSURE, /* the request may have been executed: send it again */
+  MM_KEPT_MOVING  /* this instance is not the home, or not ready yet; nothing
+                     was done */
 } mm_kept_status;
 #define MM_KEPT_STATUS_COUNT (MM_KEPT_MOVING + 1)
 
 typedef struct
 {
   mm_kept_status status;
-  mm_job_phase phase;     /* MM_KEPT_OK, of one job */
-  uint32_t pending;       /* MM_KEPT_OK, of a queue */
-  uint32_t retry_after_s; /* MM_KEPT_BUSY: when to come back */
+  mm_job_phase phase;     /* MM_KEPT_OK, requests about one job */
+  uint32_t pending;       /* MM_KEPT_OK, requests about a queue: its jobs that
+                             have not started */
+  uint32_t retry_after_s; /* MM_KEPT_BUSY: when to try again, 0: not given */
 } mm_kept_answer;
 
 void mm_kept_answer_pack (msgpack_sbuffer *b, const mm_kept_answer *a);
 bool mm_kept_answer_read (const void *data, size_t len, mm_kept_answer *out);
-/* Tasks are a set of mm_task_id, which the reader makes own.  */
+/* A task set holds mm_task_id, which it owns.  */
 GHashTable *mm_task_set_new (void);
 void mm_task_set_pack (msgpack_sbuffer *b, GHashTable *tasks);
 GHashTable *mm_task_set_read (const void *data, size_t len); /* or NULL */
 void mm_census_pack (msgpack_sbuffer *b, const mm_census *c);
-bool mm_census_read (const void *data, size_t len, mm_census *out); /* adds */
-void mm_notes_pack (msgpack_sbuffer *b, const mm_end_note *n, size_t count);
-/* Calls @note for each.  */
+/* Adds the contents of @data to @out.  */
+bool mm_census_read (const void *data, size_t len, mm_census *out);
+void mm_notes_pack (msgpack_sbuffer *b, const mm_end_note *acks, size_t count);
+/* Calls @acked for each acknowledged end.  @hash: mm_run_mark().  */
 bool mm_notes_read (const void *data, size_t len,
-                    void (*note) (void *ctx, const mm_task_id *task,
-                                  uint32_t mark),
+                    void (*acked) (void *ctx, const mm_task_id *task,
+                                   uint32_t hash),
                     void *ctx);
 
 #endif /* MM_KEPT_WIRE_H */
--- a/src/mm_search.c
+++ b/src/mm_search.c
@@ -1,57 +1,61 @@
-/* mm_search: rounds of questions; each round is a census of its own.  */
+/* mm_task_search: one round of requests to all owners at a time; no result is
+   carried over from one round to the next.  */
 #include "mm_search.h"
 
 #include "config.h"
 #include "mm_kept_wire.h"
 
-struct mm_search
+struct mm_task_search
 {
-  int refs; /* the maker's, and one a question that is open */
+  int refs; /* one of the creator, one per outstanding request */
   bool closed;
   mm_mesh *mesh;
   const mm_owner *owner;
   const mm_catalog *catalog;
-  mm_search_events ev;
-  GHashTable *tasks; /* of the round, NULL: none is under way */
-  GHashTable *clear; /* marks of upstreams, uint64_t */
-  uint32_t present;
-  bool whole; /* every question of the round was answered */
-  uint32_t open;
+  mm_task_search_events ev;
+  GHashTable *tasks;           /* the tasks of this round, NULL: no round */
+  GHashTable *clear_upstreams; /* uint64_t mm_upstream_mark(): none of the
+                                  tasks runs there */
+  uint32_t n_present;          /* tasks found waiting or running */
+  bool complete;               /* the catalog named every upstream */
+  uint32_t outstanding;        /* requests not answered yet */
 };
 
 typedef struct
 {
-  mm_search *search;
+  mm_task_search *search;
   char *peer;
-} question;
+} search_request;
 
-mm_search *
-mm_search_create (mm_mesh *mesh, const mm_owner *owner,
-                  const mm_catalog *catalog, const mm_search_events *ev)
+mm_task_search *
+mm_task_search_create (mm_mesh *mesh, const mm_owner *owner,
+                       const mm_catalog *catalog,
+                       const mm_task_search_events *ev)
 {
-  mm_search *s = g_new0 (mm_search, 1);
+  mm_task_search *s = g_new0 (mm_task_search, 1);
   s->refs = 1;
   s->mesh = mesh;
   s->owner = owner;
   s->catalog = catalog;
   s->ev = *ev;
-  s->clear = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
+  s->clear_upstreams
+      = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   return s;
 }
 
 static void
-search_unref (mm_search *s)
+search_unref (mm_task_search *s)
 {
   if (--s->refs > 0)
     return;
-  g_hash_table_destroy (s->clear);
+  g_hash_table_destroy (s->clear_upstreams);
   if (s->tasks)
     g_hash_table_destroy (s->tasks);
   g_free (s);
 }
 
 void
-mm_search_destroy (mm_search *s)
+mm_task_search_destroy (mm_task_search *s)
 {
   if (!s)
     return;
@@ -60,68 +64,68 @@
 }
 
 bool
-mm_search_busy (const mm_search *s)
+mm_task_search_busy (const mm_task_search *s)
 {
   return s->tasks != NULL;
 }
 
 static void
-take_census (mm_search *s, const mm_census *c, const char *owner)
+add_result (mm_task_search *s, const mm_census *c, const char *owner)
 {
-  s->present += c->present;
+  s->n_present += c->present;
   for (guint i = 0; i < c->clear->len; i++)
     g_hash_table_add (
-        s->clear,
+        s->clear_upstreams,
         g_memdup2 (&g_array_index (c->clear, uint64_t, i), sizeof (uint64_t)));
   for (guint i = 0; i < c->ends->len; i++)
     s->ev.end (s->ev.ctx, &g_array_index (c->ends, mm_found_end, i), owner);
 }
 
 static bool
-all_upstreams_told (const mm_search *s)
+all_upstreams_clear (const mm_task_search *s)
 {
   bool all = true;
   GList *list = mm_catalog_all (s->catalog);
   for (GList *l = list; l && all; l = l->next)
     {
-      uint64_t mark
+      uint64_t hash
           = mm_upstream_mark (((const mm_upstream_info *)l->data)->name);
-      all = g_hash_table_contains (s->clear, &mark);
+      all = g_hash_table_contains (s->clear_upstreams, &hash);
     }
   g_list_free (list);
   return all;
 }
 
 static void
-end_round (mm_search *s)
+end_round (mm_task_search *s)
 {
   GHashTable *tasks = g_steal_pointer (&s->tasks);
-  if (s->whole && s->present == 0 && all_upstreams_told (s))
+  if (s->complete && s->n_present == 0 && all_upstreams_clear (s))
     s->ev.none_left (s->ev.ctx, tasks);
   g_hash_table_destroy (tasks);
 }
 
 static void
-on_told (void *ctx, bool ok, const void *data, size_t len)
+on_peer_answered (void *ctx, bool ok, const void *data, size_t len)
 {
-  question *q = ctx;
-  mm_search *s = q->search;
+  search_request *req = ctx;
+  mm_task_search *s = req->search;
   mm_census c = mm_census_new ();
-  /* Without an answer the round may still be whole: that peer's upstreams
-     are told of by who owns them now, or not at all.  */
+  /* A missing answer does not end the round: the peer's upstreams are reported
+     by their present owner, or stay missing from clear_upstreams.  */
   if (!s->closed && ok && mm_census_read (data, len, &c))
-    take_census (s, &c, q->peer);
+    add_result (s, &c, req->peer);
   mm_census_clear (&c);
-  s->open--;
-  if (!s->closed && s->open == 0)
+  s->outstanding--;
+  if (!s->closed && s->outstanding == 0)
     end_round (s);
-  g_free (q->peer);
-  g_free (q);
+  g_free (req->peer);
+  g_free (req);
   search_unref (s);
 }
 
 static void
-ask_peers (mm_search *s)
+send_requests (mm_task_search *s)
 {
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
@@ -129,33 +133,33 @@
   GList *peers = mm_mesh_peers (s->mesh);
   for (GList *l = peers; l; l = l->next)
     {
-      question *q = g_new0 (question, 1);
-      q->search = s;
-      q->peer = g_strdup (l->data);
-      s->open++;
+      search_request *req = g_new0 (search_request, 1);
+      req->search = s;
+      req->peer = g_strdup (l->data);
+      s->outstanding++;
       s->refs++;
-      mm_mesh_ask (s->mesh, q->peer, MM_ASK_CENSUS, b.data, b.size,
-                   MM_KEPT_ASK_MS, on_told, q);
+      mm_mesh_ask (s->mesh, req->peer, MM_KEPT_REQUEST_SEARCH, b.data, b.size,
+                   MM_KEPT_ASK_MS, on_peer_answered, req);
     }
   g_list_free (peers);
   msgpack_sbuffer_destroy (&b);
 }
 
 void
-mm_search_begin (mm_search *s, GHashTable *tasks, bool list_fresh)
+mm_task_search_start (mm_task_search *s, GHashTable *tasks, bool list_fresh)
 {
   s->tasks = tasks;
-  s->present = 0;
-  s->whole = list_fresh;
-  g_hash_table_remove_all (s->clear);
-  /* Owners need not be neighbours.  */
+  s->n_present = 0;
+  s->complete = list_fresh;
+  g_hash_table_remove_all (s->clear_upstreams);
+  /* Owners need not be neighbours, so link to all known instances.  */
   mm_mesh_need (s->mesh, NULL);
-  s->open = 1;
-  mm_census own = mm_census_new ();
-  mm_owner_census (s->owner, s->tasks, &own);
-  take_census (s, &own, NULL);
-  mm_census_clear (&own);
-  ask_peers (s);
-  if (--s->open == 0)
+  s->outstanding = 1;
+  mm_census local = mm_census_new ();
+  mm_owner_census (s->owner, s->tasks, &local);
+  add_result (s, &local, NULL);
+  mm_census_clear (&local);
+  send_requests (s);
+  if (--s->outstanding == 0)
     end_round (s);
 }
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -1,6 +1,7 @@
-/* Kept jobs: stored before their callers are told so, and done once, whatever
-   instance dies.  First real processes on stand-ins; then the parts in
-   memory, on a clock of their own.  */
+/* Tests kept jobs: stored before their callers are told that they are
+   accepted, and run once, whatever instance dies.  The first tests run real
+   processes against the stand-ins of the platform; the later ones run single
+   modules in memory, on a clock that the test sets.  */
 #include "config.h"
 #include "fake_upstreams.h"
 #include "harness.h"
@@ -19,9 +20,9 @@
 
 /* ---- real processes --------------------------------------------------- */
 
-/* Hand a job in to be kept.  Return: the HTTP status.  */
+/* Submits a kept job.  Return: the HTTP status.  */
 static long
-keep (int node, const char *id, int tasks, int run_ms, bool idempotent)
+submit_kept (int node, const char *id, int tasks, int run_ms, bool idempotent)
 {
   char *job = h_job_json (id, tasks, run_ms, 20000, idempotent);
   char *kept = g_strdup_printf ("{\"kept\":true,%s", job + 1);
@@ -46,22 +47,22 @@
   return status;
 }
 
-/* A caller that was told to send its job again does so.  */
+/* Submits a kept job again until it is accepted, as a caller would.  */
 static bool
-kept_in_the_end (int node, const char *id, int tasks, int run_ms)
+submit_until_accepted (int node, const char *id, int tasks, int run_ms)
 {
   for (int i = 0; i < 8; i++)
     {
-      if (keep (node, id, tasks, run_ms, true) == 202)
+      if (submit_kept (node, id, tasks, run_ms, true) == 202)
         return true;
       sleep_ms (500);
     }
   return false;
 }
 
-/* The same for one that cancels.  */
+/* Cancels a kept job again until that is confirmed, as a caller would.  */
 static bool
-cancelled_in_the_end (int node, const char *id)
+cancel_until_confirmed (int node, const char *id)
 {
   char state[16];
   for (int i = 0; i < 8; i++)
@@ -87,9 +88,9 @@
   return false;
 }
 
-/* Runs of one job's tasks.  */
+/* Runs of one job's tasks; @job: prefix of their names.  */
 static GArray *
-look (int n_upstreams, const char *job)
+runs_of_job (int n_upstreams, const char *job)
 {
   GArray *runs = h_runs (n_upstreams, NULL);
   for (guint i = runs->len; i-- > 0;)
@@ -98,12 +99,12 @@
   return runs;
 }
 
-/* Each task ended well once; no run beside another of the same task, and
-   none after one that ended well.  */
+/* Checks that each task succeeded exactly once, that no two runs of a task
+   overlap, and that none starts after the one that succeeded.  */
 static void
 assert_done_once (int n_upstreams, const char *job, guint tasks)
 {
-  GArray *runs = look (n_upstreams, job);
+  GArray *runs = runs_of_job (n_upstreams, job);
   guint done = 0;
   for (guint i = 0; i < runs->len; i++)
     {
@@ -124,16 +125,16 @@
   g_array_free (runs, TRUE);
 }
 
-START_TEST (kept_job_is_shown_at_every_instance_until_it_is_done)
+START_TEST (every_instance_answers_the_state_of_a_kept_job)
 {
   h_nodes (3, 4, 3);
   char state[16];
-  ck_assert (kept_in_the_end (0, "show", 6, 300));
+  ck_assert (submit_until_accepted (0, "show", 6, 300));
   long status = 503;
   for (int i = 0; i < 30 && status == 503; i++)
     {
       status = call_job (0, "GET", "nobodys", state);
-      sleep_ms (100); /* its home may not be known yet */
+      sleep_ms (100); /* the home may not be known yet */
     }
   ck_assert_int_eq (status, 410);
   for (int i = 0; i < 3; i++)
@@ -144,37 +145,42 @@
 END_TEST
 
 static void
-hang (int upstream, bool on)
+set_hang (int upstream, bool on)
 {
   cJSON_Delete (h_call ("POST", h_upstream_ports[upstream], "/v1/run-faults",
                         on ? "{\"hangs\":true}" : "{\"hangs\":false}", NULL));
 }
 
-START_TEST (task_that_hung_on_the_only_upstream_ends_once_that_is_well)
+/* A failed run makes the next one avoid its upstream.  When that is the only
+   upstream, the task must run there again all the same.  */
+START_TEST (hung_task_ends_once_its_only_upstream_recovers)
 {
   h_nodes (1, 4, 1);
-  hang (0, true);
-  ck_assert (kept_in_the_end (0, "hung", 2, 300));
+  set_hang (0, true);
+  ck_assert (submit_until_accepted (0, "hung", 2, 300));
   sleep_ms (1500);
-  hang (0, false);
+  set_hang (0, false);
   ck_assert (wait_state (0, "hung", "completed", 8000));
   h_cluster_stop ();
 }
 END_TEST
 
-START_TEST (task_to_be_avoided_here_is_handed_to_an_owner_that_can_start_it)
+/* Tasks that failed on one upstream avoid it and must be dispatched to an
+   owner with other upstreams, instead of being returned forever by the owner
+   that has only the upstream to avoid.  */
+START_TEST (task_that_must_avoid_a_local_upstream_runs_at_another_owner)
 {
   enum
   {
     JOBS = 6
   };
   h_nodes (4, 4, 3);
-  hang (0, true);
+  set_hang (0, true);
   char id[16];
   for (int i = 0; i < JOBS; i++)
     {
       g_snprintf (id, sizeof id, "passed-%d", i);
-      ck_assert (kept_in_the_end (i % 3, id, 4, 300));
+      ck_assert (submit_until_accepted (i % 3, id, 4, 300));
     }
   for (int i = 0; i < JOBS; i++)
     {
@@ -185,44 +191,44 @@
 }
 END_TEST
 
-/* A caller does not hear that its job was accepted, and sends it again to
-   another instance: while it runs, and after it is done.  Each task runs
-   once all the same, also those that must.  */
-START_TEST (job_sent_again_elsewhere_starts_nothing_twice)
+/* A caller does not receive the answer that its job was accepted, and sends
+   the job to other instances again: while it runs, and after it has completed.
+   Each task must still run exactly once.  */
+START_TEST (job_resubmitted_elsewhere_starts_no_task_twice)
 {
   h_nodes (3, 4, 3);
-  ck_assert (kept_in_the_end (0, "again", 8, 500));
-  ck_assert_int_eq (keep (1, "again", 8, 500, true), 202);
-  ck_assert_int_eq (keep (2, "again", 8, 500, true), 202);
+  ck_assert (submit_until_accepted (0, "again", 8, 500));
+  ck_assert_int_eq (submit_kept (1, "again", 8, 500, true), 202);
+  ck_assert_int_eq (submit_kept (2, "again", 8, 500, true), 202);
   ck_assert (wait_state (1, "again", "completed", 6000));
-  ck_assert_int_eq (keep (2, "again", 8, 500, true), 202);
+  ck_assert_int_eq (submit_kept (2, "again", 8, 500, true), 202);
   sleep_ms (800);
-  GArray *runs = look (3, "again");
+  GArray *runs = runs_of_job (3, "again");
   ck_assert_uint_eq (runs->len, 8);
   g_array_free (runs, TRUE);
   h_cluster_stop ();
 }
 END_TEST
 
-/* Homes are dealt out anew while callers hand in, ask for and cancel jobs at
-   instances that do not know the new ones yet.  */
+/* Homes are reassigned while callers submit, query and cancel jobs at
+   instances that do not know the new homes yet.  */
 START_TEST (kept_jobs_are_served_while_their_homes_move)
 {
   enum
   {
-    DEALS = 3,
+    REBALANCES = 3,
     JOBS = 6
   };
   h_nodes (3, 4, 3);
-  ck_assert (kept_in_the_end (0, "first", 1, 50));
+  ck_assert (submit_until_accepted (0, "first", 1, 50));
   char id[32], state[16];
-  for (int i = 0; i < DEALS * JOBS; i++)
+  for (int i = 0; i < REBALANCES * JOBS; i++)
     {
       if (i % JOBS == 0)
         cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
                               "{\"deal_anew\":true}", NULL));
       g_snprintf (id, sizeof id, "moving-%d", i);
-      ck_assert_int_eq (keep (i % 3, id, 1, 3000, true), 202);
+      ck_assert_int_eq (submit_kept (i % 3, id, 1, 3000, true), 202);
       ck_assert_int_eq (call_job ((i + 1) % 3, "GET", id, state), 200);
       ck_assert_int_eq (call_job ((i + 2) % 3, "DELETE", id, state), 200);
       ck_assert_str_eq (state, "cancelled");
@@ -231,9 +237,9 @@
 }
 END_TEST
 
-/* Instances are killed one after the other while ten jobs run: homes of
-   some, owners of the upstreams of others.  Callers were told that their
-   jobs are accepted, and all of them are done in the end, each task once.  */
+/* Two instances are killed one after the other while ten jobs run: they are
+   the homes of some jobs and own upstreams that run tasks of others.  All
+   accepted jobs must complete, each task succeeding once.  */
 START_TEST (killed_instances_lose_no_accepted_job_and_repeat_no_task)
 {
   h_nodes (4, 4, 3);
@@ -241,7 +247,7 @@
   for (int i = 0; i < 10; i++)
     {
       g_snprintf (id, sizeof id, "killed-%d-", i);
-      ck_assert (kept_in_the_end (i % 3, id, 4, 400));
+      ck_assert (submit_until_accepted (i % 3, id, 4, 400));
     }
   h_stop (h_entries[0], SIGKILL);
   sleep_ms (700);
@@ -257,17 +263,17 @@
 }
 END_TEST
 
-/* All instances lose power at once, with ends that no home has stored yet.
-   The new ones find them at the upstreams, which list them until they are
-   taken note of.  */
-START_TEST (all_instances_killed_at_once_finish_what_was_accepted)
+/* All instances are killed at once, with ends that no home has stored yet.
+   The restarted instances must find these ends at the upstreams, which list
+   them until they are acknowledged.  */
+START_TEST (accepted_jobs_finish_after_all_instances_are_killed)
 {
   h_nodes (3, 8, 2);
   char id[32];
   for (int i = 0; i < 4; i++)
     {
       g_snprintf (id, sizeof id, "power-%d-", i);
-      ck_assert (kept_in_the_end (i % 2, id, 5, 250 + 50 * i));
+      ck_assert (submit_until_accepted (i % 2, id, 5, 250 + 50 * i));
     }
   sleep_ms (200);
   h_stop (h_entries[0], SIGKILL);
@@ -285,24 +291,24 @@
 }
 END_TEST
 
-/* The store is out of reach: nothing can be accepted, and callers are told so
-   at once instead of being kept waiting.  What was accepted before is done
-   once the store is back.  */
-START_TEST (store_away_refuses_at_once_and_loses_nothing)
+/* While the store is unreachable no job can be accepted, and callers must be
+   refused at once instead of waiting.  Jobs accepted before must complete once
+   the store is back.  */
+START_TEST (unreachable_store_refuses_jobs_at_once_and_loses_none)
 {
   h_nodes (3, 4, 2);
-  ck_assert (kept_in_the_end (0, "before", 4, 2500));
+  ck_assert (submit_until_accepted (0, "before", 4, 2500));
   h_platform_fault ("{\"down\":true}");
   sleep_ms (800);
-  gint64 asked_us = g_get_monotonic_time ();
-  long status = keep (0, "meanwhile", 2, 100, true);
-  gint64 took_ms = (g_get_monotonic_time () - asked_us) / 1000;
+  gint64 sent_us = g_get_monotonic_time ();
+  long status = submit_kept (0, "meanwhile", 2, 100, true);
+  gint64 took_ms = (g_get_monotonic_time () - sent_us) / 1000;
   ck_assert (status == 503 || status == 502);
   ck_assert_int_lt (took_ms, MM_KEPT_ACCEPT_MS + MM_KEPT_ASK_MS + 500);
   sleep_ms (1500);
   h_platform_fault ("{\"down\":false}");
   ck_assert (wait_state (1, "before", "completed", 15000));
-  ck_assert (kept_in_the_end (1, "meanwhile", 2, 100));
+  ck_assert (submit_until_accepted (1, "meanwhile", 2, 100));
   ck_assert (wait_state (0, "meanwhile", "completed", 8000));
   assert_done_once (3, "before", 4);
   assert_done_once (3, "meanwhile", 2);
@@ -310,19 +316,20 @@
 }
 END_TEST
 
-/* A cancelled job starts nothing any more, also at its next home.  */
+/* A cancelled job must not start any more tasks, also when its home dies and
+   another instance becomes the home.  */
 START_TEST (cancelled_job_stays_cancelled_when_its_home_dies)
 {
   h_nodes (1, 2, 2);
-  ck_assert (kept_in_the_end (0, "cancel", 8, 2500));
+  ck_assert (submit_until_accepted (0, "cancel", 8, 2500));
   sleep_ms (300);
-  ck_assert (cancelled_in_the_end (1, "cancel"));
+  ck_assert (cancel_until_confirmed (1, "cancel"));
   sleep_ms (300);
-  GArray *before = look (1, "cancel");
+  GArray *before = runs_of_job (1, "cancel");
   h_stop (h_entries[0], SIGKILL);
   ck_assert (wait_state (1, "cancel", "cancelled", 10000));
   sleep_ms (2500);
-  GArray *after = look (1, "cancel");
+  GArray *after = runs_of_job (1, "cancel");
   ck_assert_uint_eq (before->len, after->len);
   ck_assert_uint_lt (after->len, 8);
   g_array_free (before, TRUE);
@@ -331,7 +338,7 @@
 }
 END_TEST
 
-/* ---- the log of a partition, with a store that the test plays ---------- */
+/* ---- the log of a partition, with a store that the test simulates ------ */
 
 static mm_time_ms now_ms;
 
@@ -341,16 +348,16 @@
   return now_ms;
 }
 
-/* A store that keeps the last call until the test answers it.  */
+/* A store that holds the last call until the test answers it.  */
 typedef struct
 {
   mm_append_done append_done;
   mm_records_done records_done;
   void *ctx;
   uint32_t appends;
-  uint64_t seq; /* of the last append */
-  size_t records;
-  const mm_record *stored; /* what a reading finds */
+  uint64_t seq;            /* of the last append */
+  size_t records;          /* number of records in the last append */
+  const mm_record *stored; /* what a read returns */
   size_t n_stored;
 } slow_store;
 
@@ -379,7 +386,7 @@
 answer_append (slow_store *s, mm_append_verdict v, uint64_t expected)
 {
   mm_append_result r
-      = { .verdict = v, .expected_seq = expected, .why = "as the test says" };
+      = { .verdict = v, .expected_seq = expected, .why = "simulated" };
   mm_append_done done = s->append_done;
   s->append_done = NULL;
   ck_assert_ptr_nonnull (done);
@@ -402,19 +409,19 @@
   int opened;
   int fenced;
   int stored;
-  int unsure;
-} log_story;
+  int in_doubt;
+} log_counts;
 
 static void
 on_opened (void *ctx)
 {
-  ((log_story *)ctx)->opened++;
+  ((log_counts *)ctx)->opened++;
 }
 
 static void
 on_fenced (void *ctx)
 {
-  ((log_story *)ctx)->fenced++;
+  ((log_counts *)ctx)->fenced++;
 }
 
 static void
@@ -425,9 +432,9 @@
 static void
 on_put (void *ctx, bool ok)
 {
-  log_story *l = ctx;
+  log_counts *l = ctx;
   l->stored += ok;
-  l->unsure += !ok;
+  l->in_doubt += !ok;
 }
 
 static mm_store_port
@@ -441,59 +448,64 @@
 }
 
 static mm_job_log *
-open_log (slow_store *s, log_story *story)
+open_log (slow_store *s, log_counts *counts)
 {
   mm_store_port port = slow_port (s);
-  mm_job_log_events ev = {
-    .record = on_record, .opened = on_opened, .fenced = on_fenced, .ctx = story
-  };
+  mm_job_log_events ev = { .record = on_record,
+                           .opened = on_opened,
+                           .fenced = on_fenced,
+                           .ctx = counts };
   mm_job_log *l = mm_job_log_open (&port, 3, 7, &ev);
   mm_job_log_tick (l);
-  ck_assert_uint_eq (s->records, 0); /* makes the epoch known */
+  ck_assert_uint_eq (s->records, 0); /* only announces the epoch */
   answer_append (s, MM_APPEND_OK, 0);
   answer_records (s);
-  ck_assert_int_eq (story->opened, 1);
+  ck_assert_int_eq (counts->opened, 1);
   return l;
 }
 
-/* The store stores a batch and its answer is lost.  Sent under another
-   number it would be stored twice, and what came after it in between lost.  */
-START_TEST (append_without_an_answer_is_sent_again_under_its_number)
+/* The store stores a batch, but its answer is lost.  If the batch were resent
+   with another sequence number, it would be stored twice and could overwrite
+   later records.  */
+START_TEST (unanswered_append_is_resent_with_the_same_seq)
 {
   slow_store s = { 0 };
-  log_story story = { 0 };
-  mm_job_log *l = open_log (&s, &story);
-  mm_job_log_put (l, "a", g_bytes_new ("1", 1), on_put, &story);
+  log_counts counts = { 0 };
+  mm_job_log *l = open_log (&s, &counts);
+  mm_job_log_put (l, "a", g_bytes_new ("1", 1), on_put, &counts);
   uint64_t seq = s.seq;
-  mm_job_log_put (l, "b", g_bytes_new ("2", 1), on_put, &story);
+  mm_job_log_put (l, "b", g_bytes_new ("2", 1), on_put, &counts);
   answer_append (&s, MM_APPEND_NO_ANSWER, 0);
   now_ms += MM_JOB_LOG_RETRY_MS;
   mm_job_log_tick (l);
   ck_assert_uint_eq (s.seq, seq);
   ck_assert_uint_eq (s.records, 1);
-  /* The store says that this number was done, and the next is expected.  */
+  /* The store answers that it has executed this number and expects the next
+     one.  */
   answer_append (&s, MM_APPEND_OUT_OF_SEQ, seq + 1);
-  ck_assert_int_eq (story.stored, 1);
+  ck_assert_int_eq (counts.stored, 1);
   now_ms += MM_JOB_LOG_RETRY_MS;
   mm_job_log_tick (l);
   ck_assert_uint_eq (s.seq, seq + 1);
   answer_append (&s, MM_APPEND_OK, 0);
-  ck_assert_int_eq (story.stored, 2);
+  ck_assert_int_eq (counts.stored, 2);
   mm_job_log_close (l);
   mm_clock_set_source (NULL, NULL);
 }
 END_TEST
 
-START_TEST (outranked_writer_tells_that_nothing_is_sure)
+/* A writer that the store fences must report every unanswered write as not
+   confirmed, and must not append any more.  */
+START_TEST (fenced_writer_reports_its_writes_as_in_doubt)
 {
   slow_store s = { 0 };
-  log_story story = { 0 };
-  mm_job_log *l = open_log (&s, &story);
-  mm_job_log_put (l, "a", g_bytes_new ("1", 1), on_put, &story);
-  mm_job_log_put (l, "b", g_bytes_new ("2", 1), on_put, &story);
+  log_counts counts = { 0 };
+  mm_job_log *l = open_log (&s, &counts);
+  mm_job_log_put (l, "a", g_bytes_new ("1", 1), on_put, &counts);
+  mm_job_log_put (l, "b", g_bytes_new ("2", 1), on_put, &counts);
   answer_append (&s, MM_APPEND_FENCED, 0);
-  ck_assert_int_eq (story.fenced, 1);
-  ck_assert_int_eq (story.unsure, 2);
+  ck_assert_int_eq (counts.fenced, 1);
+  ck_assert_int_eq (counts.in_doubt, 2);
   uint32_t appends = s.appends;
   now_ms += 1000;
   mm_job_log_tick (l);
@@ -503,13 +515,14 @@
 }
 END_TEST
 
-/* A store that is asked too often is asked less.  */
+/* When the store refuses appends because of overload, the pause between them
+   must grow.  */
 START_TEST (refused_appends_are_spaced_out)
 {
   slow_store s = { 0 };
-  log_story story = { 0 };
-  mm_job_log *l = open_log (&s, &story);
-  mm_job_log_put (l, "a", g_bytes_new ("1", 1), on_put, &story);
+  log_counts counts = { 0 };
+  mm_job_log *l = open_log (&s, &counts);
+  mm_job_log_put (l, "a", g_bytes_new ("1", 1), on_put, &counts);
   for (int i = 0; i < 5; i++)
     {
       answer_append (&s, MM_APPEND_REFUSED, 0);
@@ -524,7 +537,7 @@
   now_ms += MM_JOB_LOG_PAUSE_MAX_MS;
   mm_job_log_tick (l);
   answer_append (&s, MM_APPEND_OK, 0);
-  ck_assert_int_eq (story.stored, 1);
+  ck_assert_int_eq (counts.stored, 1);
   mm_job_log_close (l);
   mm_clock_set_source (NULL, NULL);
 }
@@ -557,27 +570,27 @@
 typedef struct
 {
   int ok;
-  int unsure;
+  int in_doubt;
   int no_job;
   int moving;
-} caller_story;
+} caller_counts;
 
 static void
-on_told (void *ctx, const mm_kept_answer *a)
+on_answered (void *ctx, const mm_kept_answer *a)
 {
-  caller_story *c = ctx;
+  caller_counts *c = ctx;
   c->ok += a->status == MM_KEPT_OK;
-  c->unsure += a->status == MM_KEPT_UNSURE;
+  c->in_doubt += a->status == MM_KEPT_UNSURE;
   c->no_job += a->status == MM_KEPT_NO_JOB;
   c->moving += a->status == MM_KEPT_MOVING;
 }
 
 static void
-on_stored (void *ctx, const GArray *notes)
+on_stored (void *ctx, const GArray *acks)
 {
 }
 
-static int jobs_ended; /* whose ends may be let go */
+static int jobs_ended; /* jobs whose ends may be acknowledged */
 
 static void
 on_job_ended (void *ctx, const char *job_id)
@@ -604,21 +617,21 @@
   return h;
 }
 
-/* An instance without upstreams: its tasks wait.  */
+/* An instance without upstreams: tasks that are dispatched to it wait.  */
 typedef struct
 {
   struct ev_loop *loop;
   mm_owner *owner;
   mm_mesh *mesh;
   mm_fleet *fleet;
-} lonely;
+} home_fixture;
 
-static lonely
-lonely_create (void)
+static home_fixture
+home_fixture_create (void)
 {
-  mm_exec_port nowhere = { 0 };
-  lonely l = { .loop = ev_loop_new (EVFLAG_AUTO) };
-  l.owner = mm_owner_create (&nowhere);
+  mm_exec_port no_upstreams = { 0 };
+  home_fixture l = { .loop = ev_loop_new (EVFLAG_AUTO) };
+  l.owner = mm_owner_create (&no_upstreams);
   l.mesh = mm_mesh_create (l.loop, "n@127.0.0.1:1/dc", "dc", "127.0.0.1",
                            (uint16_t)h_port_base (), l.owner, NULL);
   ck_assert_ptr_nonnull (l.mesh);
@@ -627,7 +640,7 @@
 }
 
 static void
-lonely_destroy (lonely *l)
+home_fixture_destroy (home_fixture *l)
 {
   mm_fleet_destroy (l->fleet);
   mm_mesh_destroy (l->mesh);
@@ -636,57 +649,59 @@
   mm_clock_set_source (NULL, NULL);
 }
 
-/* A home that was replaced said that an accepted job does not exist.  */
-START_TEST (no_job_is_said_only_by_who_is_the_home_still)
+/* A superseded home does not know the jobs that its successor has accepted,
+   and must not answer that such a job does not exist.  */
+START_TEST (only_the_current_home_answers_no_such_job)
 {
   enum
   {
-    ASKS = 100
+    REQUESTS = 100
   };
-  lonely l = lonely_create ();
+  home_fixture l = home_fixture_create ();
   slow_store s = { 0 };
   mm_home *h = open_home (&s, l.fleet);
-  caller_story c = { 0 };
+  caller_counts c = { 0 };
   now_ms += MM_ABSENCE_PAUSE_MS;
   uint32_t before = s.appends;
-  for (int i = 0; i < ASKS; i++)
-    mm_home_ask_state (h, "nobodys", on_told, &c);
+  for (int i = 0; i < REQUESTS; i++)
+    mm_home_confirm_state (h, "nobodys", on_answered, &c);
   ck_assert_int_eq (c.no_job, 0);
   answer_append (&s, MM_APPEND_OK, 0);
-  ck_assert_int_eq (c.no_job, 1); /* the others came after the record */
+  ck_assert_int_eq (c.no_job, 1); /* the others came after this record */
   now_ms += MM_ABSENCE_PAUSE_MS;
   mm_home_tick (h, true);
   answer_append (&s, MM_APPEND_OK, 0);
-  ck_assert_int_eq (c.no_job, ASKS);
+  ck_assert_int_eq (c.no_job, REQUESTS);
   ck_assert_uint_eq (s.appends - before, 2);
   now_ms += MM_ABSENCE_PAUSE_MS;
-  mm_home_cancel (h, "nobodys", on_told, &c);
+  mm_home_cancel (h, "nobodys", on_answered, &c);
   answer_append (&s, MM_APPEND_FENCED, 0);
-  ck_assert_int_eq (c.no_job, ASKS);
+  ck_assert_int_eq (c.no_job, REQUESTS);
   ck_assert_int_eq (c.moving, 1);
   mm_home_destroy (h);
-  lonely_destroy (&l);
+  home_fixture_destroy (&l);
 }
 END_TEST
 
-/* A caller cancels its job while the store is silent, gets no answer, and
-   cancels again.  Told that all is well before the store knows, it would see
-   the job go on at its next home.  */
-START_TEST (cancel_is_told_only_once_it_is_stored)
+/* A caller cancels its job while the store does not answer, and cancels again.
+   If it were answered before the cancellation is stored, the job could still
+   continue at the next home.  */
+START_TEST (cancel_is_answered_only_once_stored)
 {
-  lonely l = lonely_create ();
+  home_fixture l = home_fixture_create ();
   slow_store s = { 0 };
   mm_home *h = open_home (&s, l.fleet);
-  caller_story c = { 0 }, first = { 0 }, second = { 0 };
-  mm_home_submit (h, mm_job_record_new (two_steps ("j"), &queue), on_told, &c);
+  caller_counts c = { 0 }, first = { 0 }, second = { 0 };
+  mm_home_submit (h, mm_job_record_new (two_steps ("j"), &queue), on_answered,
+                  &c);
   ck_assert_int_eq (c.ok, 0);
   answer_append (&s, MM_APPEND_OK, 0);
   ck_assert_int_eq (c.ok, 1);
-  mm_home_cancel (h, "j", on_told, &first);
+  mm_home_cancel (h, "j", on_answered, &first);
   now_ms += MM_KEPT_ACCEPT_MS;
   mm_home_tick (h, true);
-  ck_assert_int_eq (first.unsure, 1);
-  mm_home_cancel (h, "j", on_told, &second);
+  ck_assert_int_eq (first.in_doubt, 1);
+  mm_home_cancel (h, "j", on_answered, &second);
   ck_assert_int_eq (second.ok, 0);
   ck_assert_int_eq (jobs_ended, 0);
   answer_append (&s, MM_APPEND_OK, 0);
@@ -696,16 +711,16 @@
   mm_home_state (h, "j", &a);
   ck_assert_int_eq (a.phase, MM_JOB_CANCELLED);
   mm_home_destroy (h);
-  lonely_destroy (&l);
+  home_fixture_destroy (&l);
 }
 END_TEST
 
-/* The earlier home ended the first step, began the second and died before it
-   had stored either.  Its successor knows of no end: starting the second
-   step as soon as it finds the first one's ends would run it twice.  */
-START_TEST (later_steps_are_looked_for_too_after_a_takeover)
+/* The earlier home finished the first step, started the second, and died
+   before it had stored either.  If its successor started the second step as
+   soon as it found the ends of the first, the second step would run twice.  */
+START_TEST (later_steps_are_in_doubt_too_after_a_takeover)
 {
-  lonely l = lonely_create ();
+  home_fixture l = home_fixture_create ();
   mm_job_record *rec = mm_job_record_new (two_steps ("j"), &queue);
   GBytes *bytes = mm_job_record_pack (rec);
   mm_job_record_free (rec);
@@ -713,32 +728,33 @@
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, l.fleet);
   now_ms += MM_KEPT_LAPSE_MS;
-  GHashTable *lost = mm_task_set_new ();
-  mm_home_lost (h, lost);
-  ck_assert_uint_eq (g_hash_table_size (lost), 4);
+  GHashTable *in_doubt = mm_task_set_new ();
+  mm_home_in_doubt (h, in_doubt);
+  ck_assert_uint_eq (g_hash_table_size (in_doubt), 4);
   mm_found_end e = { .task = { .job = "j" }, .how = MM_END_DONE, .mark = 1 };
-  mm_home_take_end (h, &e, NULL);
+  mm_home_record_end (h, &e, NULL);
   e.task.index = 1;
-  mm_home_take_end (h, &e, NULL);
-  g_hash_table_remove_all (lost);
-  mm_home_lost (h, lost);
-  ck_assert_uint_eq (g_hash_table_size (lost), 2);
-  mm_home_found_all (h, lost);
-  g_hash_table_remove_all (lost);
-  mm_home_lost (h, lost);
-  ck_assert_uint_eq (g_hash_table_size (lost), 0);
-  g_hash_table_destroy (lost);
+  mm_home_record_end (h, &e, NULL);
+  g_hash_table_remove_all (in_doubt);
+  mm_home_in_doubt (h, in_doubt);
+  ck_assert_uint_eq (g_hash_table_size (in_doubt), 2);
+  mm_home_clear_in_doubt (h, in_doubt);
+  g_hash_table_remove_all (in_doubt);
+  mm_home_in_doubt (h, in_doubt);
+  ck_assert_uint_eq (g_hash_table_size (in_doubt), 0);
+  g_hash_table_destroy (in_doubt);
   mm_home_destroy (h);
   g_bytes_unref (bytes);
-  lonely_destroy (&l);
+  home_fixture_destroy (&l);
 }
 END_TEST
 
-/* Tasks that must run once were at an instance that died.  Nobody has them,
-   and nobody can tell whether they ran: the job fails, and is over once.  */
-START_TEST (task_that_must_run_once_is_not_started_again_by_the_next_home)
+/* Non-idempotent tasks were at an instance that died.  No run of them is
+   found, and whether they ran is not known: the job must fail, and only
+   once.  */
+START_TEST (non_idempotent_task_is_not_restarted_by_the_next_home)
 {
-  lonely l = lonely_create ();
+  home_fixture l = home_fixture_create ();
   mm_submission *once = two_steps ("j");
   once->steps[0].once = once->steps[1].once = true;
   mm_job_record *rec = mm_job_record_new (once, &queue);
@@ -748,10 +764,10 @@
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, l.fleet);
   now_ms += MM_KEPT_LAPSE_MS;
-  GHashTable *lost = mm_task_set_new ();
-  mm_home_lost (h, lost);
-  mm_home_found_all (h, lost);
-  g_hash_table_destroy (lost);
+  GHashTable *in_doubt = mm_task_set_new ();
+  mm_home_in_doubt (h, in_doubt);
+  mm_home_clear_in_doubt (h, in_doubt);
+  g_hash_table_destroy (in_doubt);
   mm_home_tick (h, true);
   answer_append (&s, MM_APPEND_OK, 0);
   mm_kept_answer a;
@@ -759,15 +775,15 @@
   ck_assert_int_eq (a.phase, MM_JOB_FAILED);
   mm_home_destroy (h);
   g_bytes_unref (bytes);
-  lonely_destroy (&l);
+  home_fixture_destroy (&l);
 }
 END_TEST
 
-/* A job without tasks was stored, and its home died at once.  No end of a
-   task will ever come: its next home must end it.  */
+/* A job without tasks was stored and its home died.  No end of a task will
+   complete the job, so the next home must end it by itself.  */
 START_TEST (job_without_tasks_is_ended_by_the_next_home)
 {
-  lonely l = lonely_create ();
+  home_fixture l = home_fixture_create ();
   mm_submission *empty = two_steps ("j");
   empty->steps[0].count = empty->steps[1].count = 0;
   mm_job_record *rec = mm_job_record_new (empty, &queue);
@@ -783,29 +799,30 @@
   ck_assert_int_eq (a.phase, MM_JOB_COMPLETED);
   mm_home_destroy (h);
   g_bytes_unref (bytes);
-  lonely_destroy (&l);
+  home_fixture_destroy (&l);
 }
 END_TEST
 
-/* An upstream that left the list is asked by nobody, and may run on under
-   its last lease: its tasks are not taken as lost before that has lapsed.  */
-START_TEST (lost_task_is_not_looked_for_before_its_lease_has_lapsed)
+/* An upstream that has left the list has no owner that answers for it, but it
+   may run tasks under its last lease: these must not be searched for, and so
+   not be started again, before that lease has lapsed.  */
+START_TEST (task_is_not_searched_for_before_its_lease_lapses)
 {
-  lonely l = lonely_create ();
+  home_fixture l = home_fixture_create ();
   mm_job_record *rec = mm_job_record_new (two_steps ("j"), &queue);
   GBytes *bytes = mm_job_record_pack (rec);
   mm_job_record_free (rec);
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, l.fleet);
-  GHashTable *lost = mm_task_set_new ();
+  GHashTable *in_doubt = mm_task_set_new ();
   now_ms += MM_LEASE_MS;
-  mm_home_lost (h, lost);
-  ck_assert_uint_eq (g_hash_table_size (lost), 0);
-  g_hash_table_destroy (lost);
+  mm_home_in_doubt (h, in_doubt);
+  ck_assert_uint_eq (g_hash_table_size (in_doubt), 0);
+  g_hash_table_destroy (in_doubt);
   mm_home_destroy (h);
   g_bytes_unref (bytes);
-  lonely_destroy (&l);
+  home_fixture_destroy (&l);
 }
 END_TEST
 
@@ -815,33 +832,31 @@
   Suite *s = suite_create ("kept");
   TCase *c = tcase_create ("processes");
   tcase_set_timeout (c, 60);
-  tcase_add_test (c, kept_job_is_shown_at_every_instance_until_it_is_done);
+  tcase_add_test (c, every_instance_answers_the_state_of_a_kept_job);
   tcase_add_test (c, killed_instances_lose_no_accepted_job_and_repeat_no_task);
-  tcase_add_test (c, all_instances_killed_at_once_finish_what_was_accepted);
-  tcase_add_test (c, store_away_refuses_at_once_and_loses_nothing);
+  tcase_add_test (c, accepted_jobs_finish_after_all_instances_are_killed);
+  tcase_add_test (c, unreachable_store_refuses_jobs_at_once_and_loses_none);
   tcase_add_test (c, cancelled_job_stays_cancelled_when_its_home_dies);
+  tcase_add_test (c, hung_task_ends_once_its_only_upstream_recovers);
   tcase_add_test (c,
-                  task_that_hung_on_the_only_upstream_ends_once_that_is_well);
-  tcase_add_test (
-      c, task_to_be_avoided_here_is_handed_to_an_owner_that_can_start_it);
+                  task_that_must_avoid_a_local_upstream_runs_at_another_owner);
   suite_add_tcase (s, c);
-  /* Run by itself, as test_kept_resubmit.  */
+  /* Run as a ctest test of its own, test_kept_resubmit.  */
   c = tcase_create ("resubmit");
   tcase_set_tags (c, "resubmit");
   tcase_set_timeout (c, 60);
-  tcase_add_test (c, job_sent_again_elsewhere_starts_nothing_twice);
+  tcase_add_test (c, job_resubmitted_elsewhere_starts_no_task_twice);
   tcase_add_test (c, kept_jobs_are_served_while_their_homes_move);
   suite_add_tcase (s, c);
   c = tcase_create ("parts");
-  tcase_add_test (c, append_without_an_answer_is_sent_again_under_its_number);
-  tcase_add_test (c, outranked_writer_tells_that_nothing_is_sure);
+  tcase_add_test (c, unanswered_append_is_resent_with_the_same_seq);
+  tcase_add_test (c, fenced_writer_reports_its_writes_as_in_doubt);
   tcase_add_test (c, refused_appends_are_spaced_out);
-  tcase_add_test (c, cancel_is_told_only_once_it_is_stored);
-  tcase_add_test (c, no_job_is_said_only_by_who_is_the_home_still);
-  tcase_add_test (c, later_steps_are_looked_for_too_after_a_takeover);
-  tcase_add_test (c, lost_task_is_not_looked_for_before_its_lease_has_lapsed);
-  tcase_add_test (
-      c, task_that_must_run_once_is_not_started_again_by_the_next_home);
+  tcase_add_test (c, cancel_is_answered_only_once_stored);
+  tcase_add_test (c, only_the_current_home_answers_no_such_job);
+  tcase_add_test (c, later_steps_are_in_doubt_too_after_a_takeover);
+  tcase_add_test (c, task_is_not_searched_for_before_its_lease_lapses);
+  tcase_add_test (c, non_idempotent_task_is_not_restarted_by_the_next_home);
   tcase_add_test (c, job_without_tasks_is_ended_by_the_next_home);
   suite_add_tcase (s, c);
   return h_run_suite (s);
