--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -83,9 +83,9 @@
   if (tasks)
     g_hash_table_destroy (tasks);
   mm_census c = mm_census_new ();
-  mm_census_read (data, size, &c);
+  mm_search_result_read (data, size, &c);
   mm_census_clear (&c);
-  mm_notes_read (data, size, pass_over_note, NULL);
+  mm_end_acks_read (data, size, pass_over_note, NULL);
 }
 
 int
@@ -136,7 +136,7 @@
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_task_id id = { .job = "job", .step = 1, .index = 2 };
-  mm_end_note note = { .task = id, .mark = 7 };
+  mm_end_ack note = { .task = id, .mark = 7 };
   mm_found_end end = { .task = id, .how = MM_END_DONE, .mark = 7 };
   mm_kept_answer answer = { .status = MM_KEPT_OK, .pending = 3 };
   mm_census c = mm_census_new ();
@@ -144,9 +144,9 @@
   g_array_append_val (c.clear, mark);
   g_array_append_val (c.ends, end);
   if (kind == 0)
-    mm_notes_pack (&b, &note, 1);
+    mm_end_acks_pack (&b, &note, 1);
   else if (kind == 1)
-    mm_census_pack (&b, &c);
+    mm_search_result_pack (&b, &c);
   else
     mm_kept_answer_pack (&b, &answer);
   mm_census_clear (&c);
--- a/src/config.h
+++ b/src/config.h
@@ -286,7 +286,8 @@
 #define MM_JOB_LOG_PAUSE_MIN_MS 20
 #define MM_JOB_LOG_PAUSE_MAX_MS 200
 #define MM_JOB_LOG_RETRY_MS 100 /* after a call without an answer */
-#define MM_JOB_LOG_TOUCH_MS 300 /* failing for longer: it does not answer */
+#define MM_JOB_LOG_CONTACT_GRACE_MS                                           \
+  300 /* failing for longer: it does not answer */
 #define MM_JOB_LOG_MAX_RECORDS 200u
 #define MM_JOB_LOG_MAX_BYTES (1u << 20) /* the store takes 2 MB a call */
 /* A caller is told to send its job again when its record is not stored by
@@ -294,27 +295,31 @@
 #define MM_KEPT_ACCEPT_MS 1500
 /* Answers of other instances about kept jobs; a link is silent for 0.6 s
    before it is given up.  */
-#define MM_KEPT_ASK_MS 700
+#define MM_KEPT_REQUEST_TIMEOUT_MS 700
 /* Ends of tasks are taken note of once they are stored: so long after the
    first, for a job that goes on.  Most jobs end before, with one record.  */
-#define MM_KEPT_PROGRESS_MS 100
+#define MM_KEPT_PROGRESS_DELAY_MS 100
 /* A task's wait at an owner, less than what MM_GROUP_SURE_MS leaves.  */
 #define MM_KEPT_START_WITHIN_MS 200
 /* The longest lease, on a clock 2 % slow, and what is under way.  */
-#define MM_KEPT_LAPSE_MS 1100
-#define MM_KEPT_CENSUS_MS 250   /* between questions for lost tasks */
-#define MM_KEPT_ENDED_MS 150000 /* outcomes are kept; 120 s are asked for */
-#define MM_KEPT_USED_MS 30000   /* last seen: then homes are not looked up */
+#define MM_KEPT_LEASE_LAPSE_MS 1100
+#define MM_KEPT_SEARCH_PAUSE_MS 250 /* between questions for lost tasks */
+#define MM_KEPT_OUTCOME_TTL_MS                                                \
+  150000 /* outcomes are kept; 120 s are asked for */
+#define MM_KEPT_HOMES_IDLE_MS                                                 \
+  30000 /* last seen: then homes are not looked up */
 #define MM_KEPT_HOMES_POLL_MS 1000
-#define MM_KEPT_HOMES_EAGER_MS 40 /* while a request looks for its home */
+#define MM_KEPT_HOMES_FAST_POLL_MS                                            \
+  40 /* while a request looks for its home                                    \
+      */
 /* Then its caller is told to come back, which costs it a second.  */
-#define MM_KEPT_FIND_HOME_MS 400
+#define MM_KEPT_FIND_HOME_TIMEOUT_MS 400
 #define MM_ABSENCE_PAUSE_MS 50 /* between records that prove it */
 /* Ends that nobody has taken note of are held for so long: longer than cuts
    of a data centre usually last.  */
 #define MM_KEPT_END_MS 15000
 /* Between rounds of asking homes for the jobs of an earlier owner's ends.  */
-#define MM_KEPT_FOREIGN_MS 100
+#define MM_KEPT_FOREIGN_PAUSE_MS 100
 
 /* An instance (mm_node).  */
 #define MM_DEFAULT_MESH_PORT 7402
--- a/src/mm_absence.c
+++ b/src/mm_absence.c
@@ -9,7 +9,7 @@
 typedef struct
 {
   char *job_id;
-  mm_kept_told told; /* NULL: it was answered */
+  mm_kept_answered told; /* NULL: it was answered */
   void *ctx;
   mm_time_ms until_ms;
 } question;
@@ -35,7 +35,7 @@
 answer (question *q, mm_kept_status status)
 {
   mm_kept_answer said = { .status = status };
-  mm_kept_told told = q->told;
+  mm_kept_answered told = q->told;
   q->told = NULL;
   if (told)
     told (q->ctx, &said);
@@ -85,7 +85,7 @@
 }
 
 void
-mm_absence_ask (mm_absence *a, const char *job_id, mm_kept_told told,
+mm_absence_ask (mm_absence *a, const char *job_id, mm_kept_answered told,
                 void *ctx)
 {
   mm_time_ms now = mm_clock_now_ms ();
--- a/src/mm_absence.h
+++ b/src/mm_absence.h
@@ -16,7 +16,7 @@
 void mm_absence_destroy (mm_absence *a);         /* after the log's close */
 /* Answered once: NO_JOB, MOVING when this is not the home any more, or BUSY
    when the store does not say in time.  */
-void mm_absence_ask (mm_absence *a, const char *job_id, mm_kept_told told,
+void mm_absence_ask (mm_absence *a, const char *job_id, mm_kept_answered told,
                      void *ctx);
 void mm_absence_tick (mm_absence *a); /* each MM_EXEC_TICK_MS */
 
--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -18,7 +18,7 @@
 /* A request that waits for a job's record to be stored.  */
 typedef struct
 {
-  mm_kept_told answered;
+  mm_kept_answered answered;
   void *ctx;
   mm_time_ms expires_ms; /* answered as in doubt then */
 } waiter;
@@ -59,7 +59,7 @@
 {
   mm_home *home;
   char id[MM_JOB_ID_MAX + 1];
-  GArray *acks; /* mm_end_note of the ends in the record, or NULL */
+  GArray *acks; /* mm_end_ack of the ends in the record, or NULL */
 } pending_write;
 
 static void
@@ -74,7 +74,7 @@
       if (w->expires_ms > expired_by_ms)
         continue;
       j->waiters = g_list_delete_link (j->waiters, l);
-      if (status == MM_KEPT_UNSURE)
+      if (status == MM_KEPT_IN_DOUBT)
         mm_log_event (MM_EV_KEPT_UNSURE, MM_TEXT (j->id),
                       MM_INT (j->home->partition),
                       MM_TEXT (j->home->fenced ? "its home has moved"
@@ -85,7 +85,7 @@
 }
 
 static void
-add_waiter (job *j, mm_kept_told answered, void *ctx)
+add_waiter (job *j, mm_kept_answered answered, void *ctx)
 {
   waiter *w = g_new (waiter, 1);
   *w = (waiter){ .answered = answered,
@@ -98,7 +98,7 @@
 job_free (gpointer p)
 {
   job *j = p;
-  answer_waiters (j, MM_KEPT_UNSURE, G_MAXINT64);
+  answer_waiters (j, MM_KEPT_IN_DOUBT, G_MAXINT64);
   mm_kept_run_destroy (j->run);
   mm_job_record_free (j->rec);
   g_free (j);
@@ -207,7 +207,7 @@
 {
   job *j = ctx;
   if (!j->progress_due_ms)
-    j->progress_due_ms = mm_clock_now_ms () + MM_KEPT_PROGRESS_MS;
+    j->progress_due_ms = mm_clock_now_ms () + MM_KEPT_PROGRESS_DELAY_MS;
 }
 
 static void
@@ -339,7 +339,7 @@
 
 static void
 refuse (mm_home *h, const mm_job_record *rec, const char *why,
-        uint32_t retry_after_s, mm_kept_told answered, void *ctx)
+        uint32_t retry_after_s, mm_kept_answered answered, void *ctx)
 {
   mm_kept_answer a
       = { .status = MM_KEPT_BUSY, .retry_after_s = retry_after_s };
@@ -375,7 +375,7 @@
  * once.
  */
 void
-mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_told answered,
+mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_answered answered,
                 void *ctx)
 {
   job *j = g_hash_table_lookup (h->jobs, rec->s->id);
@@ -430,8 +430,8 @@
 }
 
 void
-mm_home_confirm_state (mm_home *h, const char *job_id, mm_kept_told answered,
-                       void *ctx)
+mm_home_confirm_state (mm_home *h, const char *job_id,
+                       mm_kept_answered answered, void *ctx)
 {
   mm_kept_answer a;
   mm_home_state (h, job_id, &a);
@@ -449,7 +449,7 @@
 }
 
 void
-mm_home_cancel (mm_home *h, const char *job_id, mm_kept_told answered,
+mm_home_cancel (mm_home *h, const char *job_id, mm_kept_answered answered,
                 void *ctx)
 {
   job *j = g_hash_table_lookup (h->jobs, job_id);
@@ -491,13 +491,13 @@
 
 /* ---- time ------------------------------------------------------------- */
 
-/* Drops outcomes that are older than MM_KEPT_ENDED_MS.  */
+/* Drops outcomes that are older than MM_KEPT_OUTCOME_TTL_MS.  */
 static void
 drop_expired_outcomes (mm_home *h, mm_time_ms now)
 {
   job *j;
   while ((j = g_queue_peek_head (h->ended))
-         && now - j->ended_ms >= MM_KEPT_ENDED_MS)
+         && now - j->ended_ms >= MM_KEPT_OUTCOME_TTL_MS)
     {
       g_queue_pop_head (h->ended);
       mm_job_log_put (h->log, j->id, NULL, NULL, NULL);
@@ -508,7 +508,7 @@
 static void
 tick_job (job *j, mm_time_ms now, bool may_start)
 {
-  answer_waiters (j, MM_KEPT_UNSURE, now);
+  answer_waiters (j, MM_KEPT_IN_DOUBT, now);
   if (j->progress_due_ms && now >= j->progress_due_ms)
     store_progress (j);
   if (j->run)
--- a/src/mm_home.h
+++ b/src/mm_home.h
@@ -11,7 +11,7 @@
 {
   /* These ends are stored: the owners may acknowledge them to the upstreams,
      which then forget them.  */
-  void (*stored) (void *ctx, const GArray *acks /* mm_end_note */);
+  void (*stored) (void *ctx, const GArray *acks /* mm_end_ack */);
   /* The outcome of a job that ended before all of its tasks had is stored: no
      home will request the ends of its tasks any more.  */
   void (*ended) (void *ctx, const char *job_id);
@@ -28,15 +28,15 @@
 void mm_home_destroy (mm_home *h);
 uint64_t mm_home_epoch (const mm_home *h);
 /* Accepts a new job.  Takes @rec.  */
-void mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_told answered,
+void mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_answered answered,
                      void *ctx);
 /* The job's state as this instance knows it.  */
 void mm_home_state (mm_home *h, const char *job_id, mm_kept_answer *out);
 /* The same, but "no such job" is answered only once the store has confirmed
    that this instance is still the home.  */
 void mm_home_confirm_state (mm_home *h, const char *job_id,
-                            mm_kept_told answered, void *ctx);
-void mm_home_cancel (mm_home *h, const char *job_id, mm_kept_told answered,
+                            mm_kept_answered answered, void *ctx);
+void mm_home_cancel (mm_home *h, const char *job_id, mm_kept_answered answered,
                      void *ctx);
 /* Number of accepted jobs of a queue that have not started.  */
 uint32_t mm_home_pending (const mm_home *h, const char *queue);
--- a/src/mm_homes.c
+++ b/src/mm_home_directory.c
@@ -1,6 +1,6 @@
 /* mm_home_directory: polls the store for the homes of the partitions of kept
    jobs.  */
-#include "mm_homes.h"
+#include "mm_home_directory.h"
 
 #include "config.h"
 #include "mm_members.h"
@@ -22,7 +22,7 @@
   bool in_flight;
   mm_time_ms poll_due_ms;
   mm_time_ms last_poll_ms; /* when the last call was sent */
-  mm_time_ms last_used_ms; /* 0: not for MM_KEPT_USED_MS */
+  mm_time_ms last_used_ms; /* 0: not for MM_KEPT_HOMES_IDLE_MS */
   bool loaded;             /* the store has answered at least once */
   bool failing;            /* the last call has failed */
   bool complete;           /* every partition has a home */
@@ -130,7 +130,7 @@
 mm_home_directory_poll_soon (mm_home_directory *h)
 {
   h->poll_due_ms
-      = MIN (h->poll_due_ms, h->last_poll_ms + MM_KEPT_HOMES_EAGER_MS);
+      = MIN (h->poll_due_ms, h->last_poll_ms + MM_KEPT_HOMES_FAST_POLL_MS);
 }
 
 bool
@@ -149,7 +149,7 @@
 mm_home_directory_tick (mm_home_directory *h)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  if (h->last_used_ms && now - h->last_used_ms > MM_KEPT_USED_MS)
+  if (h->last_used_ms && now - h->last_used_ms > MM_KEPT_HOMES_IDLE_MS)
     h->last_used_ms = 0;
   if (h->in_flight || now < h->poll_due_ms)
     return;
--- a/src/mm_homes.h
+++ b/src/mm_home_directory.h
@@ -24,7 +24,7 @@
    and links to the homes are kept.  */
 void mm_home_directory_set_used (mm_home_directory *h);
 /* A home was not found where the directory says: polls again
-   MM_KEPT_HOMES_EAGER_MS after the last poll at the latest.  */
+   MM_KEPT_HOMES_FAST_POLL_MS after the last poll at the latest.  */
 void mm_home_directory_poll_soon (mm_home_directory *h);
 /* Whether the last call to the store has failed.  */
 bool mm_home_directory_failing (const mm_home_directory *h);
--- a/src/mm_job_log.c
+++ b/src/mm_job_log.c
@@ -305,7 +305,7 @@
   return l->in_contact
          || (l->failing_since_ms
              && mm_clock_now_ms () - l->failing_since_ms
-                    < MM_JOB_LOG_TOUCH_MS);
+                    < MM_JOB_LOG_CONTACT_GRACE_MS);
 }
 
 bool
--- a/src/mm_job_log.h
+++ b/src/mm_job_log.h
@@ -30,7 +30,7 @@
                      mm_job_log_done done, void *ctx);
 void mm_job_log_tick (mm_job_log *l); /* each MM_EXEC_TICK_MS */
 /* Whether the store answers, or has failed for less than
-   MM_JOB_LOG_TOUCH_MS.  */
+   MM_JOB_LOG_CONTACT_GRACE_MS.  */
 bool mm_job_log_in_contact (const mm_job_log *l);
 bool mm_job_log_idle (const mm_job_log *l); /* no record waits to be stored */
 
--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -13,7 +13,7 @@
 on_stored (void *ctx, const GArray *acks)
 {
   mm_kept *k = ctx;
-  const mm_end_note *ack = (const mm_end_note *)(const void *)acks->data;
+  const mm_end_ack *ack = (const mm_end_ack *)(const void *)acks->data;
   for (guint i = 0; i < acks->len; i++)
     {
       if (!*ack[i].owner)
@@ -23,7 +23,7 @@
         }
       msgpack_sbuffer b;
       msgpack_sbuffer_init (&b);
-      mm_notes_pack (&b, &ack[i], 1);
+      mm_end_acks_pack (&b, &ack[i], 1);
       mm_mesh_ask (k->deps.mesh, ack[i].owner, MM_KEPT_NOTIFY_ACKS, b.data,
                    b.size, 0, NULL, NULL);
       msgpack_sbuffer_destroy (&b);
@@ -177,7 +177,7 @@
 search_in_doubt (mm_kept *k, bool list_fresh, mm_time_ms now)
 {
   if (mm_task_search_busy (k->search)
-      || now - k->search_started_ms < MM_KEPT_CENSUS_MS)
+      || now - k->search_started_ms < MM_KEPT_SEARCH_PAUSE_MS)
     return;
   GHashTable *tasks = tasks_in_doubt (k);
   if (g_hash_table_size (tasks))
@@ -190,7 +190,7 @@
 }
 
 bool
-mm_kept_needs_list (const mm_kept *k)
+mm_kept_needs_upstream_list (const mm_kept *k)
 {
   GHashTable *tasks = tasks_in_doubt (k);
   bool any = g_hash_table_size (tasks) > 0;
@@ -219,7 +219,7 @@
  * Return: free with mm_kept_destroy().
  */
 mm_kept *
-mm_kept_create (const mm_kept_parts *p)
+mm_kept_create (const mm_kept_deps *p)
 {
   mm_kept *k = g_new0 (mm_kept, 1);
   k->refs = 1;
@@ -293,7 +293,7 @@
 }
 
 uint32_t
-mm_kept_open (const mm_kept *k)
+mm_kept_open_jobs (const mm_kept *k)
 {
   uint32_t n = 0;
   for (uint32_t i = 0; i < k->deps.parts; i++)
--- a/src/mm_kept.h
+++ b/src/mm_kept.h
@@ -15,7 +15,7 @@
 
 typedef struct mm_kept mm_kept;
 
-typedef void (*mm_kept_told) (void *ctx, const mm_kept_answer *a);
+typedef void (*mm_kept_answered) (void *ctx, const mm_kept_answer *a);
 
 /* Dependencies of mm_kept; the pointers must outlive it.  */
 typedef struct
@@ -28,31 +28,32 @@
   mm_predecessors *predecessors;
   const char *member; /* member name of this instance in groups; copied */
   uint32_t parts;     /* number of partitions of kept jobs */
-} mm_kept_parts;
+} mm_kept_deps;
 
-mm_kept *mm_kept_create (const mm_kept_parts *p);
+mm_kept *mm_kept_create (const mm_kept_deps *p);
 void mm_kept_destroy (mm_kept *k);
 /* @answered is called exactly once, possibly before the function returns.  */
 void mm_kept_submit (mm_kept *k, mm_submission *s /* taken */,
-                     const mm_route *route, mm_kept_told answered, void *ctx);
-void mm_kept_state (mm_kept *k, const char *job_id, mm_kept_told answered,
+                     const mm_route *route, mm_kept_answered answered,
+                     void *ctx);
+void mm_kept_state (mm_kept *k, const char *job_id, mm_kept_answered answered,
                     void *ctx);
-void mm_kept_cancel (mm_kept *k, const char *job_id, mm_kept_told answered,
+void mm_kept_cancel (mm_kept *k, const char *job_id, mm_kept_answered answered,
                      void *ctx);
 /* Counts the accepted jobs of a queue that have not started, at all homes.  */
-void mm_kept_pending (mm_kept *k, const char *queue, mm_kept_told answered,
+void mm_kept_pending (mm_kept *k, const char *queue, mm_kept_answered answered,
                       void *ctx);
 /* Call each MM_EXEC_TICK_MS.  @list_fresh: the catalog names every upstream
    that may run a task.  */
 void mm_kept_tick (mm_kept *k, bool list_fresh);
 /* Whether tasks are in doubt, so that the complete list of upstreams is
    needed to search for them.  */
-bool mm_kept_needs_list (const mm_kept *k);
+bool mm_kept_needs_upstream_list (const mm_kept *k);
 /* Hands all partitions over once no task runs, at the latest after
    MM_HANDOVER_MS.  */
 void mm_kept_leave (mm_kept *k);
 bool mm_kept_left (const mm_kept *k);
 uint32_t
-mm_kept_open (const mm_kept *k); /* unfinished jobs of the homes here */
+mm_kept_open_jobs (const mm_kept *k); /* unfinished jobs of the homes here */
 
 #endif /* MM_KEPT_H */
--- a/src/mm_kept_foreign.c
+++ b/src/mm_kept_foreign.c
@@ -59,7 +59,8 @@
   k->refs++;
   g_hash_table_add (k->foreign_pending, g_strdup (job_id));
   mm_mesh_ask (k->deps.mesh, home, MM_KEPT_REQUEST_FOREIGN, job_id,
-               strlen (job_id), MM_KEPT_ASK_MS, on_home_answered, req);
+               strlen (job_id), MM_KEPT_REQUEST_TIMEOUT_MS, on_home_answered,
+               req);
 }
 
 /* Answers BUSY unless this instance is confirmed as the home: a superseded
@@ -79,7 +80,7 @@
 void
 mm_kept_resolve_foreign (mm_kept *k, mm_time_ms now)
 {
-  if (now - k->foreign_checked_ms < MM_KEPT_FOREIGN_MS)
+  if (now - k->foreign_checked_ms < MM_KEPT_FOREIGN_PAUSE_MS)
     return;
   k->foreign_checked_ms = now;
   GHashTable *ids
--- a/src/mm_kept_ask.c
+++ b/src/mm_kept_peer.c
@@ -25,7 +25,7 @@
   mm_kept *kept;
   mm_kept_answer sum;
   uint32_t outstanding; /* homes that have not answered yet */
-  mm_kept_told answered;
+  mm_kept_answered answered;
   void *ctx;
 } pending_count;
 
@@ -68,7 +68,7 @@
 }
 
 void
-mm_kept_pending (mm_kept *k, const char *queue, mm_kept_told answered,
+mm_kept_pending (mm_kept *k, const char *queue, mm_kept_answered answered,
                  void *ctx)
 {
   mm_home_directory_set_used (k->directory);
@@ -84,7 +84,8 @@
     {
       c->outstanding++;
       mm_mesh_ask (k->deps.mesh, l->data, MM_KEPT_REQUEST_PENDING, queue,
-                   strlen (queue), MM_KEPT_ASK_MS, on_count_answered, c);
+                   strlen (queue), MM_KEPT_REQUEST_TIMEOUT_MS,
+                   on_count_answered, c);
     }
   g_list_free (homes);
   if (--c->outstanding == 0)
@@ -160,7 +161,7 @@
     mm_owner_census (k->deps.owner, tasks, &c);
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
-  mm_census_pack (&b, &c);
+  mm_search_result_pack (&b, &c);
   mm_mesh_answer (reply, b.data, b.size);
   msgpack_sbuffer_destroy (&b);
   mm_census_clear (&c);
@@ -216,7 +217,7 @@
   mm_kept *k = ctx;
   if (verb == MM_KEPT_NOTIFY_ACKS)
     {
-      mm_notes_read (data, len, ack_end, k->deps.owner);
+      mm_end_acks_read (data, len, ack_end, k->deps.owner);
       return;
     }
   char *text = g_strndup (data, len);
--- a/src/mm_kept_priv.h
+++ b/src/mm_kept_priv.h
@@ -3,8 +3,8 @@
 #define MM_KEPT_PRIV_H
 
 #include "mm_home.h"
-#include "mm_homes.h"
-#include "mm_search.h"
+#include "mm_home_directory.h"
+#include "mm_task_search.h"
 #include "mm_shares.h"
 
 /* A request of a caller at this instance.  */
@@ -14,7 +14,7 @@
 {
   int refs; /* one of the creator, one per request in progress */
   bool closed;
-  mm_kept_parts deps;
+  mm_kept_deps deps;
   mm_time_ms created_ms;
   mm_shares *partitions;        /* those assigned to this instance */
   mm_home_directory *directory; /* the homes of all partitions */
--- a/src/mm_kept_request.c
+++ b/src/mm_kept_request.c
@@ -1,9 +1,9 @@
 /* mm_kept_request: forwards callers' requests about kept jobs to the homes.
 
    Homes move when instances join and leave.  A request whose home is not
-   known, not linked, or has moved waits for up to MM_KEPT_FIND_HOME_MS while
-   the directory polls the store.  Refusing it would cost the caller a second
-   until it may retry.  */
+   known, not linked, or has moved waits for up to MM_KEPT_FIND_HOME_TIMEOUT_MS
+   while the directory polls the store.  Refusing it would cost the caller a
+   second until it may retry.  */
 #include "mm_kept_priv.h"
 
 #include "config.h"
@@ -18,7 +18,7 @@
   uint32_t partition;
   mm_kept_verb verb;
   GBytes *record; /* MM_KEPT_REQUEST_SUBMIT: the packed job, else NULL */
-  mm_kept_told answered;
+  mm_kept_answered answered;
   void *ctx;
   mm_time_ms expires_ms; /* refused if the home is not found by then */
   bool in_doubt;         /* a home may have executed the request already */
@@ -46,7 +46,8 @@
 static void
 refuse (mm_kept_request *r, const char *why)
 {
-  mm_kept_answer a = { .status = r->in_doubt ? MM_KEPT_UNSURE : MM_KEPT_BUSY };
+  mm_kept_answer a
+      = { .status = r->in_doubt ? MM_KEPT_IN_DOUBT : MM_KEPT_BUSY };
   mm_log_event (r->in_doubt ? MM_EV_KEPT_UNSURE : MM_EV_KEPT_REFUSED,
                 MM_TEXT (r->job_id), MM_INT (r->partition), MM_TEXT (why));
   answer (r, &a);
@@ -72,15 +73,15 @@
 {
   mm_kept_request *r = ctx;
   mm_kept_answer final = *a;
-  r->in_doubt = r->in_doubt || a->status == MM_KEPT_UNSURE;
+  r->in_doubt = r->in_doubt || a->status == MM_KEPT_IN_DOUBT;
   if (a->status == MM_KEPT_MOVING)
     wait_for_home (r, "its home is moving");
-  else if (a->status == MM_KEPT_UNSURE)
+  else if (a->status == MM_KEPT_IN_DOUBT)
     wait_for_home (r, "its home did not confirm it");
   else
     {
       if (a->status == MM_KEPT_BUSY && r->in_doubt)
-        final.status = MM_KEPT_UNSURE;
+        final.status = MM_KEPT_IN_DOUBT;
       answer (r, &final);
     }
 }
@@ -140,7 +141,7 @@
   if (r->record)
     data = g_bytes_get_data (r->record, &len);
   mm_time_ms timeout_ms
-      = MM_KEPT_ASK_MS
+      = MM_KEPT_REQUEST_TIMEOUT_MS
         + (r->verb == MM_KEPT_REQUEST_STATE ? 0 : MM_KEPT_ACCEPT_MS);
   mm_mesh_ask (r->kept->deps.mesh, home, r->verb, data, len, timeout_ms,
                on_peer_answered, r);
@@ -181,7 +182,7 @@
 
 static void
 start_request (mm_kept *k, const char *job_id, mm_kept_verb verb,
-               GBytes *record, mm_kept_told answered, void *ctx)
+               GBytes *record, mm_kept_answered answered, void *ctx)
 {
   mm_kept_request *r = g_new0 (mm_kept_request, 1);
   r->kept = k;
@@ -191,7 +192,7 @@
   r->record = record;
   r->answered = answered;
   r->ctx = ctx;
-  r->expires_ms = mm_clock_now_ms () + MM_KEPT_FIND_HOME_MS;
+  r->expires_ms = mm_clock_now_ms () + MM_KEPT_FIND_HOME_TIMEOUT_MS;
   k->refs++;
   mm_home_directory_set_used (k->directory);
   try_request (r);
@@ -199,7 +200,7 @@
 
 void
 mm_kept_submit (mm_kept *k, mm_submission *s, const mm_route *route,
-                mm_kept_told answered, void *ctx)
+                mm_kept_answered answered, void *ctx)
 {
   mm_job_record *rec = mm_job_record_new (s, route);
   start_request (k, rec->s->id, MM_KEPT_REQUEST_SUBMIT,
@@ -208,14 +209,14 @@
 }
 
 void
-mm_kept_state (mm_kept *k, const char *job_id, mm_kept_told answered,
+mm_kept_state (mm_kept *k, const char *job_id, mm_kept_answered answered,
                void *ctx)
 {
   start_request (k, job_id, MM_KEPT_REQUEST_STATE, NULL, answered, ctx);
 }
 
 void
-mm_kept_cancel (mm_kept *k, const char *job_id, mm_kept_told answered,
+mm_kept_cancel (mm_kept *k, const char *job_id, mm_kept_answered answered,
                 void *ctx)
 {
   start_request (k, job_id, MM_KEPT_REQUEST_CANCEL, NULL, answered, ctx);
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_run.c
@@ -46,7 +46,7 @@
   bool started;   /* a task is known to have been started */
   bool finished;
   mm_time_ms latest_start_ms; /* tasks that start by then meet the objective */
-  GArray *acks;               /* mm_end_note of ends not yet taken */
+  GArray *acks;               /* mm_end_ack of ends not yet taken */
 };
 
 static void
@@ -79,7 +79,7 @@
   r->steps = mm_steps_create (rec->s);
   r->n_tasks = mm_submission_tasks (rec->s);
   r->tasks = g_new0 (task, (size_t)r->n_tasks + 1);
-  r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_note));
+  r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_ack));
   r->latest_start_ms = mm_clock_now_ms () + rec->objective_ms
                        - mm_submission_chain_ms (rec->s);
   r->started = taken_over && rec->phase == MM_JOB_RUNNING;
@@ -133,7 +133,7 @@
 add_ack (mm_kept_run *r, const mm_task_id *id, uint32_t run_hash,
          const char *owner)
 {
-  mm_end_note ack = { .task = *id, .mark = run_hash };
+  mm_end_ack ack = { .task = *id, .mark = run_hash };
   g_strlcpy (ack.owner, owner ? owner : "", sizeof ack.owner);
   g_array_append_val (r->acks, ack);
 }
@@ -362,7 +362,7 @@
 void
 mm_kept_run_in_doubt (const mm_kept_run *r, GHashTable *tasks)
 {
-  mm_time_ms before = mm_clock_now_ms () - MM_KEPT_LAPSE_MS;
+  mm_time_ms before = mm_clock_now_ms () - MM_KEPT_LEASE_LAPSE_MS;
   for (uint32_t i = 0; i < r->n_tasks; i++)
     if (r->tasks[i].state == TASK_IN_DOUBT
         && r->tasks[i].in_doubt_since_ms <= before)
@@ -414,6 +414,6 @@
 mm_kept_run_take_acks (mm_kept_run *r)
 {
   GArray *acks = r->acks;
-  r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_note));
+  r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_ack));
   return acks;
 }
--- a/src/mm_kept_run.h
+++ b/src/mm_kept_run.h
@@ -28,7 +28,7 @@
   mm_task_id task;
   uint32_t mark;  /* mm_run_mark() */
   char owner[96]; /* peer that reported the end, "": this instance */
-} mm_end_note;
+} mm_end_ack;
 
 /* @rec must outlive the run.  @taken_over: the job was started by an earlier
    home, so every task that is not done is in doubt.  */
@@ -43,8 +43,8 @@
 /* Whether any task is known to have been started.  */
 bool mm_kept_run_started (const mm_kept_run *r);
 uint32_t mm_kept_run_n_dispatched (const mm_kept_run *r); /* tasks at owners */
-/* Adds copies of the tasks that have been in doubt for MM_KEPT_LAPSE_MS to a
-   mm_task_set.  */
+/* Adds copies of the tasks that have been in doubt for MM_KEPT_LEASE_LAPSE_MS
+   to a mm_task_set.  */
 void mm_kept_run_in_doubt (const mm_kept_run *r, GHashTable *tasks);
 uint32_t mm_kept_run_n_in_doubt (const mm_kept_run *r);
 /* Records the end of a run of a task in doubt that a search has found.  */
@@ -53,7 +53,7 @@
 /* No run of @tasks is left anywhere: those of them that are in doubt may be
    started again.  */
 void mm_kept_run_clear_in_doubt (mm_kept_run *r, GHashTable *tasks);
-/* Return: mm_end_note of the ends that were added to the record since the last
+/* Return: mm_end_ack of the ends that were added to the record since the last
    call; freed by the caller.  */
 GArray *mm_kept_run_take_acks (mm_kept_run *r);
 
--- a/src/mm_kept_wire.c
+++ b/src/mm_kept_wire.c
@@ -115,7 +115,7 @@
 }
 
 void
-mm_census_pack (msgpack_sbuffer *b, const mm_census *c)
+mm_search_result_pack (msgpack_sbuffer *b, const mm_census *c)
 {
   msgpack_packer pk;
   msgpack_packer_init (&pk, b, msgpack_sbuffer_write);
@@ -185,7 +185,7 @@
 }
 
 bool
-mm_census_read (const void *data, size_t len, mm_census *out)
+mm_search_result_read (const void *data, size_t len, mm_census *out)
 {
   msgpack_unpacked msg;
   bool ok = parse (data, len, &msg) && read_result (&msg.data, out);
@@ -194,7 +194,7 @@
 }
 
 void
-mm_notes_pack (msgpack_sbuffer *b, const mm_end_note *acks, size_t count)
+mm_end_acks_pack (msgpack_sbuffer *b, const mm_end_ack *acks, size_t count)
 {
   msgpack_packer pk;
   msgpack_packer_init (&pk, b, msgpack_sbuffer_write);
@@ -208,10 +208,10 @@
 }
 
 bool
-mm_notes_read (const void *data, size_t len,
-               void (*acked) (void *ctx, const mm_task_id *task,
-                              uint32_t hash),
-               void *ctx)
+mm_end_acks_read (const void *data, size_t len,
+                  void (*acked) (void *ctx, const mm_task_id *task,
+                                 uint32_t hash),
+                  void *ctx)
 {
   msgpack_unpacked msg;
   bool ok = parse (data, len, &msg) && mm_mp_is_array (&msg.data, 0);
--- a/src/mm_kept_wire.h
+++ b/src/mm_kept_wire.h
@@ -38,9 +38,9 @@
   MM_KEPT_OK,
   MM_KEPT_NO_JOB, /* no such job is stored */
   MM_KEPT_BUSY,   /* the home is not reachable or refuses; nothing was done */
-  MM_KEPT_UNSURE, /* the request may have been executed: send it again */
-  MM_KEPT_MOVING  /* this instance is not the home, or not ready yet; nothing
-                     was done */
+  MM_KEPT_IN_DOUBT, /* the request may have been executed: send it again */
+  MM_KEPT_MOVING    /* this instance is not the home, or not ready yet; nothing
+                       was done */
 } mm_kept_status;
 #define MM_KEPT_STATUS_COUNT (MM_KEPT_MOVING + 1)
 
@@ -59,14 +59,15 @@
 GHashTable *mm_task_set_new (void);
 void mm_task_set_pack (msgpack_sbuffer *b, GHashTable *tasks);
 GHashTable *mm_task_set_read (const void *data, size_t len); /* or NULL */
-void mm_census_pack (msgpack_sbuffer *b, const mm_census *c);
+void mm_search_result_pack (msgpack_sbuffer *b, const mm_census *c);
 /* Adds the contents of @data to @out.  */
-bool mm_census_read (const void *data, size_t len, mm_census *out);
-void mm_notes_pack (msgpack_sbuffer *b, const mm_end_note *acks, size_t count);
+bool mm_search_result_read (const void *data, size_t len, mm_census *out);
+void mm_end_acks_pack (msgpack_sbuffer *b, const mm_end_ack *acks,
+                       size_t count);
 /* Calls @acked for each acknowledged end.  @hash: mm_run_mark().  */
-bool mm_notes_read (const void *data, size_t len,
-                    void (*acked) (void *ctx, const mm_task_id *task,
-                                   uint32_t hash),
-                    void *ctx);
+bool mm_end_acks_read (const void *data, size_t len,
+                       void (*acked) (void *ctx, const mm_task_id *task,
+                                      uint32_t hash),
+                       void *ctx);
 
 #endif /* MM_KEPT_WIRE_H */
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -197,7 +197,7 @@
   /* Only owners need the list.  After all of hundreds of instances started
      at once, reading it took all that the store can send for longer than a
      configuration may take to be in force.  */
-  if (mm_holdings_any (n->holdings) || mm_kept_needs_list (n->kept))
+  if (mm_holdings_any (n->holdings) || mm_kept_needs_upstream_list (n->kept))
     mm_stream_tick (n->upstreams);
   else
     mm_stream_pause (n->upstreams);
@@ -324,14 +324,14 @@
   n->ownership = mm_ownership_create (n->catalog, n->owner, &shares);
   n->predecessors = mm_predecessors_create (store, member);
   mm_mesh_on_handed (n->mesh, on_group_changed, n);
-  mm_kept_parts kept = { .store = *store,
-                         .mesh = n->mesh,
-                         .fleet = n->fleet,
-                         .owner = n->owner,
-                         .catalog = n->catalog,
-                         .predecessors = n->predecessors,
-                         .member = member,
-                         .parts = (uint32_t)s->partitions };
+  mm_kept_deps kept = { .store = *store,
+                        .mesh = n->mesh,
+                        .fleet = n->fleet,
+                        .owner = n->owner,
+                        .catalog = n->catalog,
+                        .predecessors = n->predecessors,
+                        .member = member,
+                        .parts = (uint32_t)s->partitions };
   n->kept = mm_kept_create (&kept);
   n->members = mm_members_create (store, n->mesh, s->datacentres,
                                   s->datacentre, member, n->predecessors);
@@ -481,7 +481,7 @@
 {
   mm_owner_gauges g = mm_owner_measure (n->owner);
   mm_metrics_set (MM_GG_JOBS_OPEN, mm_jobs_count (n->jobs));
-  mm_metrics_set (MM_GG_KEPT_OPEN, mm_kept_open (n->kept));
+  mm_metrics_set (MM_GG_KEPT_OPEN, mm_kept_open_jobs (n->kept));
   mm_metrics_set (MM_GG_UPSTREAMS_OWNED, g.upstreams);
   mm_metrics_set (MM_GG_PLACES, g.room.places);
   mm_metrics_set (MM_GG_PLACES_FREE, g.room.free);
--- a/src/mm_own_front.c
+++ b/src/mm_own_front.c
@@ -217,7 +217,7 @@
                       "not taken, come back later",
                       MAX (k->retry_after_s, MM_RETRY_AFTER_NO_ROOM_S));
       break;
-    case MM_KEPT_UNSURE:
+    case MM_KEPT_IN_DOUBT:
       mm_front_error (a->req, 502, MM_ERROR_PLATFORM,
                       "whether it is stored is not known: send it again",
                       MM_RETRY_AFTER_NO_ROOM_S);
--- a/src/mm_search.c
+++ b/src/mm_task_search.c
@@ -1,6 +1,6 @@
 /* mm_task_search: one round of requests to all owners at a time; no result is
    carried over from one round to the next.  */
-#include "mm_search.h"
+#include "mm_task_search.h"
 
 #include "config.h"
 #include "mm_kept_wire.h"
@@ -113,7 +113,7 @@
   mm_census c = mm_census_new ();
   /* A missing answer does not end the round: the peer's upstreams are reported
      by their present owner, or stay missing from clear_upstreams.  */
-  if (!s->closed && ok && mm_census_read (data, len, &c))
+  if (!s->closed && ok && mm_search_result_read (data, len, &c))
     add_result (s, &c, req->peer);
   mm_census_clear (&c);
   s->outstanding--;
@@ -139,7 +139,7 @@
       s->outstanding++;
       s->refs++;
       mm_mesh_ask (s->mesh, req->peer, MM_KEPT_REQUEST_SEARCH, b.data, b.size,
-                   MM_KEPT_ASK_MS, on_peer_answered, req);
+                   MM_KEPT_REQUEST_TIMEOUT_MS, on_peer_answered, req);
     }
   g_list_free (peers);
   msgpack_sbuffer_destroy (&b);
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -304,7 +304,8 @@
   long status = submit_kept (0, "meanwhile", 2, 100, true);
   gint64 took_ms = (g_get_monotonic_time () - sent_us) / 1000;
   ck_assert (status == 503 || status == 502);
-  ck_assert_int_lt (took_ms, MM_KEPT_ACCEPT_MS + MM_KEPT_ASK_MS + 500);
+  ck_assert_int_lt (took_ms,
+                    MM_KEPT_ACCEPT_MS + MM_KEPT_REQUEST_TIMEOUT_MS + 500);
   sleep_ms (1500);
   h_platform_fault ("{\"down\":false}");
   ck_assert (wait_state (1, "before", "completed", 15000));
@@ -580,7 +581,7 @@
 {
   caller_counts *c = ctx;
   c->ok += a->status == MM_KEPT_OK;
-  c->in_doubt += a->status == MM_KEPT_UNSURE;
+  c->in_doubt += a->status == MM_KEPT_IN_DOUBT;
   c->no_job += a->status == MM_KEPT_NO_JOB;
   c->moving += a->status == MM_KEPT_MOVING;
 }
@@ -727,7 +728,7 @@
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, l.fleet);
-  now_ms += MM_KEPT_LAPSE_MS;
+  now_ms += MM_KEPT_LEASE_LAPSE_MS;
   GHashTable *in_doubt = mm_task_set_new ();
   mm_home_in_doubt (h, in_doubt);
   ck_assert_uint_eq (g_hash_table_size (in_doubt), 4);
@@ -763,7 +764,7 @@
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, l.fleet);
-  now_ms += MM_KEPT_LAPSE_MS;
+  now_ms += MM_KEPT_LEASE_LAPSE_MS;
   GHashTable *in_doubt = mm_task_set_new ();
   mm_home_in_doubt (h, in_doubt);
   mm_home_clear_in_doubt (h, in_doubt);
