--- a/src/mm_admission.c
+++ b/src/mm_admission.c
@@ -1,9 +1,9 @@
-/* mm_admission: refuse at once what would come too late.
+/* mm_admission: refuses a job on arrival when it would finish too late.
 
-   Answers the load of a burst over what the upstreams hold: tasks that
-   wait longer than their job's slack take room from jobs that could
-   still be on time, and their callers wait for nothing.  A refusal at
-   arrival costs its caller no time and says when to come back.  */
+   Protects against bursts beyond the capacity of the upstreams.  Tasks that
+   wait longer than their job's slack use capacity that other jobs need to
+   be on time, and their callers wait in vain.  A refusal on arrival costs
+   the caller no time and states when to retry.  */
 #include "mm_admission.h"
 
 #include "config.h"
@@ -11,13 +11,13 @@
 #include <math.h>
 
 /**
- * mm_admission_slack_ms() - time to spare.
- * @stretch: objective over the longest chain of work.
- * @slo_ms: added to that.
- * @chain_ms: the longest chain, as declared.
+ * mm_admission_slack_ms() - time for which a job may wait and be on time.
+ * @stretch: factor of the objective on @chain_ms.
+ * @slo_ms: constant part of the objective.
+ * @chain_ms: declared run time of the longest chain of steps.
  *
- * Return: how long a job can wait for room and meet its objective, less
- * the way to the upstream and back.
+ * Return: how long the job can wait for free capacity and still meet its
+ * objective, with the overhead of the calls to the upstream subtracted.
  */
 mm_time_ms
 mm_admission_slack_ms (double stretch, mm_time_ms slo_ms, mm_time_ms chain_ms)
@@ -34,13 +34,15 @@
 }
 
 /**
- * mm_admission_limit_ms() - how long a job that was taken may wait.
- * @stretch: objective over the longest chain of work.
- * @slo_ms: added to that.
- * @chain_ms: the longest chain, as declared.
+ * mm_admission_limit_ms() - how long an accepted job may wait.
+ * @stretch: factor of the objective on @chain_ms.
+ * @slo_ms: constant part of the objective.
+ * @chain_ms: declared run time of the longest chain of steps.
  *
- * An answer up to MM_LATE_FACTOR objectives after the job came is of use
- * to its caller.  Return: the wait that still allows for that.
+ * An answer is of use to the caller until MM_LATE_FACTOR times the objective
+ * has passed since the job arrived.
+ *
+ * Return: the longest wait after which such an answer is still possible.
  */
 mm_time_ms
 mm_admission_limit_ms (double stretch, mm_time_ms slo_ms, mm_time_ms chain_ms)
@@ -57,14 +59,16 @@
 }
 
 /**
- * mm_admission_decide() - take a job or refuse it.
- * @load: the room for its service, as far as known.
- * @tasks: tasks that would start at once.
+ * mm_admission_decide() - accepts or refuses a job.
+ * @load: known load and capacity of the job's service.
+ * @tasks: number of tasks of the job that are ready to start.
  * @slack_ms: from mm_admission_slack_ms().
  *
- * Places come free one by one, evenly over a task's run time: the last of
- * the tasks that find no room now starts after about shortfall / places
- * run times.
+ * Assumes that places become free at an even rate over a task's run time:
+ * the last task that does not fit now starts after about
+ * shortfall / places run times.
+ *
+ * Return: the decision, with the expected wait.
  */
 mm_admission
 mm_admission_decide (const mm_load *load, uint32_t tasks, mm_time_ms slack_ms)
@@ -75,7 +79,8 @@
     return a;
   if (load->places == 0)
     {
-      /* Upstreams that change hands are in nobody's sight for a moment.  */
+      /* During a handover no owner reports the upstreams' capacity for up to
+         MM_OWNER_GAP_MS.  */
       a.wait_ms = MM_OWNER_GAP_MS;
       a.take = a.wait_ms <= slack_ms;
       a.retry_after_s = MM_RETRY_AFTER_NO_ROOM_S;
--- a/src/mm_admission.h
+++ b/src/mm_admission.h
@@ -1,36 +1,39 @@
-/* mm_admission: whether a job is taken or refused at once.  */
+/* mm_admission: decides on arrival whether a job is accepted or refused.  */
 #ifndef MM_ADMISSION_H
 #define MM_ADMISSION_H
 
 #include "masticmill.h"
 
-/* What an instance knows of the room for a service.  */
+/* Load and capacity of a service, as known to this instance.  */
 typedef struct
 {
-  uint32_t places;         /* tasks of the usual size that fit in all */
-  uint32_t free;           /* that fit now */
-  uint32_t waiting;        /* tasks that wait already */
-  mm_time_ms mean_task_ms; /* observed run time */
-  mm_time_ms age_ms;       /* of the oldest report in it */
+  uint32_t places;         /* capacity, in tasks of average size */
+  uint32_t free;           /* places that are free */
+  uint32_t waiting;        /* tasks that are queued ahead of the job */
+  mm_time_ms mean_task_ms; /* mean time for which a task uses its place */
+  mm_time_ms age_ms;       /* age of the oldest report included */
 } mm_load;
 
+/* The decision on a job.  */
+
 typedef struct
 {
-  bool take;
-  mm_time_ms wait_ms;     /* expected until its last task starts */
-  uint32_t retry_after_s; /* when refused */
+  bool take;              /* whether the job is accepted */
+  mm_time_ms wait_ms;     /* expected wait until its last task starts */
+  uint32_t retry_after_s; /* when a refused caller should retry */
 } mm_admission;
 
-/* Time a job can wait and still meet its objective.  */
+/* How long a job can wait and still meet its objective.  */
 mm_time_ms mm_admission_slack_ms (double stretch, mm_time_ms slo_ms,
                                   mm_time_ms chain_ms);
-/* How long after it was handed in an answer is of use.  */
+/* How long after its submission a job's answer is of use to the caller.  */
 mm_time_ms mm_admission_useful_ms (double stretch, mm_time_ms slo_ms,
                                    mm_time_ms chain_ms);
-/* Time a job can wait, until it is too late even for a late answer.  */
+/* How long a job can wait and still be answered while the answer, though
+   late, is of use.  */
 mm_time_ms mm_admission_limit_ms (double stretch, mm_time_ms slo_ms,
                                   mm_time_ms chain_ms);
-/* The same, of an objective that is worked out.  */
+/* Like mm_admission_limit_ms(), for an objective that is already computed. */
 mm_time_ms mm_admission_limit_of (mm_time_ms objective_ms,
                                   mm_time_ms chain_ms);
 mm_admission mm_admission_decide (const mm_load *load, uint32_t tasks,
--- a/src/mm_census.c
+++ b/src/mm_census.c
@@ -1,5 +1,7 @@
-/* mm_census: marks stand for names, so that an answer about a thousand
-   upstreams stays small.  */
+/* mm_search_result: the result of a search for tasks in doubt.
+
+   Runs and upstreams are identified by hashes instead of names, which keeps
+   an answer about a thousand upstreams small.  */
 #include "mm_census.h"
 
 #include <string.h>
--- a/src/mm_census.h
+++ b/src/mm_census.h
@@ -1,10 +1,10 @@
-/* mm_census: what owners say of tasks that their home lost sight of.  */
+/* mm_search_result: what an owner knows of tasks in doubt.  */
 #ifndef MM_CENSUS_H
 #define MM_CENSUS_H
 
 #include "mm_task.h"
 
-/* The end of a run that a search for lost tasks has found.  */
+/* The end of a run that a search for tasks in doubt has found.  */
 typedef struct
 {
   mm_task_id task;
@@ -12,19 +12,21 @@
   uint32_t mark; /* mm_run_mark() of the run */
 } mm_found_end;
 
-/* Tells runs of one task apart.  */
+/* Identifies one run among the runs of a task.  */
 uint32_t mm_run_mark (const char *upstream, uint32_t run);
 
-/* What an owner can say of lost tasks.  */
+/* What an owner knows of the tasks that are searched for.  */
 typedef struct
 {
-  GArray *clear;    /* uint64_t mm_upstream_mark(): none of them runs there */
-  GArray *ends;     /* mm_found_end */
-  uint32_t present; /* of them: waiting for room, or running */
+  /* Upstreams on which none of the tasks runs, as uint64_t hashes
+     (mm_upstream_mark()).  */
+  GArray *clear;
+  GArray *ends;     /* mm_found_end: ends that are not acknowledged yet */
+  uint32_t present; /* number of the tasks that are queued or running */
 } mm_census;
 
 uint64_t mm_upstream_mark (const char *upstream);
 mm_census mm_census_new (void);
-void mm_census_clear (mm_census *c); /* frees what it holds */
+void mm_census_clear (mm_census *c); /* frees the arrays, not @c */
 
 #endif /* MM_CENSUS_H */
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -1,8 +1,9 @@
-/* mm_owner: a queue of tasks over the upstreams owned here.
+/* mm_owner: queues tasks and starts them on the upstreams owned here.
 
-   Room has one owner, so what is seen as free is free.  The queue is
-   short by design: a task says how long it may wait (start_within), and
-   is given back as not run after that, so that its caller learns soon.  */
+   Each upstream has one owner, so capacity that this instance sees as free
+   is free.  The queue is kept short: a task states how long it may wait
+   (start_within) and is returned as not run after that, so that its caller
+   is answered soon.  */
 #include "mm_owner_priv.h"
 
 #include "config.h"
@@ -12,18 +13,18 @@
 
 #include <string.h>
 
-static void pump (mm_owner *o);
+static void start_waiting (mm_owner *o);
 
 void
 mm_owner_free_work (mm_work *w)
 {
-  g_free ((char *)w->t.service);
-  g_free ((char *)w->t.payload);
-  g_free ((char *)w->t.label);
-  g_free ((char *)w->t.data_label);
-  g_free ((char *)w->t.avoid);
-  g_free ((char *)w->t.running_at);
-  g_free (w->ran_at);
+  g_free ((char *)w->request.service);
+  g_free ((char *)w->request.payload);
+  g_free ((char *)w->request.label);
+  g_free ((char *)w->request.data_label);
+  g_free ((char *)w->request.avoid);
+  g_free ((char *)w->request.running_at);
+  g_free (w->orphaned_on);
   g_free (w);
 }
 
@@ -39,29 +40,30 @@
   mm_owner_free_work (w);
 }
 
-/* By priority, then by due time, then by arrival.  A task that comes from
-   another owner's queue keeps its turn by its due time.  */
+/* Orders tasks by priority, due time and arrival.  The due time gives a task
+   that was moved from another owner's queue the same turn here.  */
 static gint
 work_order (gconstpointer a, gconstpointer b, gpointer unused)
 {
   const mm_work *x = a, *y = b;
-  if (x->t.priority != y->t.priority)
-    return x->t.priority < y->t.priority ? -1 : 1;
+  if (x->request.priority != y->request.priority)
+    return x->request.priority < y->request.priority ? -1 : 1;
   if (x->due_ms != y->due_ms)
     return x->due_ms < y->due_ms ? -1 : 1;
-  return x->order < y->order ? -1 : x->order > y->order;
+  return x->arrival < y->arrival ? -1 : x->arrival > y->arrival;
 }
 
 static void
 enqueue (mm_owner *o, mm_work *w)
 {
-  w->at = NULL;
+  w->running_on = NULL;
   g_queue_insert_sorted (o->waiting, w, work_order, NULL);
 }
 
-/* Not started after all: back into the queue, unless that is pointless. */
+/* Queues a task again whose order did not start it.  A task that is cancelled
+   or has waited too long is returned as not run instead.  */
 static void
-give_back (mm_work *w, const char *upstream, const char *why)
+requeue_or_return (mm_work *w, const char *upstream, const char *why)
 {
   mm_owner *o = w->owner;
   bool late = mm_clock_now_ms () > w->start_by_ms;
@@ -72,94 +74,97 @@
 }
 
 static void
-note_trust (mm_slot *s, const char *name, bool ok, mm_time_ms now)
+update_breaker (mm_owned_upstream *owned, const char *name, bool ok,
+                mm_time_ms now)
 {
-  bool was_on_trial = s->trust.on_trial;
-  mm_time_ms excluded_until = s->trust.excluded_until;
-  mm_trust_note (&s->trust, ok, now);
-  if (was_on_trial && !s->trust.on_trial)
+  bool was_on_trial = owned->trust.on_trial;
+  mm_time_ms excluded_until = owned->trust.excluded_until;
+  mm_trust_note (&owned->trust, ok, now);
+  if (was_on_trial && !owned->trust.on_trial)
     mm_log_event (MM_EV_UPSTREAM_TRUSTED, MM_TEXT (name));
-  if (s->trust.excluded_until == excluded_until || ok)
+  if (owned->trust.excluded_until == excluded_until || ok)
     return;
   mm_metrics_count (MM_CT_EXCLUSIONS);
   mm_log_event (MM_EV_UPSTREAM_EXCLUDED, MM_TEXT (name),
-                MM_INT (s->trust.failures_in_row),
-                MM_INT (s->trust.excluded_until - now));
+                MM_INT (owned->trust.failures_in_row),
+                MM_INT (owned->trust.excluded_until - now));
 }
 
 static void
-note_usual (double *usual, double seen)
+update_average (double *average, double value)
 {
-  *usual = *usual > 0 ? *usual + MM_USUAL_GAIN * (seen - *usual) : seen;
+  *average
+      = *average > 0 ? *average + MM_USUAL_GAIN * (value - *average) : value;
 }
 
-/* What a task costs in place-time, with runs that came to nothing: an order
-   without an answer takes its place up until its fate is certain, and an end
-   that is seen late does.  Counted without, admission would take jobs that
-   are all late while many orders are lost.  */
+/* Updates the average time for which a task uses its place, counting runs
+   that were not done.  An order without an answer uses its place until its
+   outcome is known, and so does an end that is noticed late.  Without these,
+   admission would accept jobs that are all late while many orders are
+   lost.  */
 static void
-note_cost (mm_owner *o, mm_end how, mm_time_ms ran_ms)
+record_cost (mm_owner *o, mm_end how, mm_time_ms ran_ms)
 {
-  if (o->run_ms <= 0)
-    o->run_done = 1;
-  note_usual (&o->run_ms, (double)MAX (ran_ms, 1));
-  note_usual (&o->run_done, how == MM_END_DONE ? 1 : 0);
+  if (o->average_place_ms <= 0)
+    o->done_share = 1;
+  update_average (&o->average_place_ms, (double)MAX (ran_ms, 1));
+  update_average (&o->done_share, how == MM_END_DONE ? 1 : 0);
 }
 
 static void
 on_ended (void *ctx, mm_exec *x, void *work, uint32_t run, mm_end how,
           mm_time_ms ran_ms, const char *why)
 {
-  mm_slot *s = ctx;
+  mm_owned_upstream *owned = ctx;
   mm_work *w = work;
-  mm_owner *o = s->owner;
+  mm_owner *o = owned->owner;
   const char *name = mm_exec_info (x)->name;
   mm_time_ms now = mm_clock_now_ms ();
-  /* An order without an answer is no failure of a task: it is stopped and
-     placed again after 100 ms, and with many of them on all upstreams at
-     once, exclusions would leave none.  */
+  /* An order without an answer does not count as a failure.  Its task is
+     stopped and placed again after 100 ms; if many orders to all upstreams
+     got no answer, the circuit breakers would exclude every upstream.  */
   if (how == MM_END_DONE || how == MM_END_FAILED || how == MM_END_LOST)
-    note_trust (s, name, how == MM_END_DONE, now);
+    update_breaker (owned, name, how == MM_END_DONE, now);
   if (how == MM_END_DONE)
     {
       mm_metrics_time (MM_HG_TASK_RUN, ran_ms);
-      mm_log_event (MM_EV_TASK_ENDED, MM_TASK (&w->t.id), MM_TEXT (name),
+      mm_log_event (MM_EV_TASK_ENDED, MM_TASK (&w->request.id), MM_TEXT (name),
                     MM_INT (ran_ms));
     }
-  note_cost (o, how, ran_ms);
-  mm_owner_count_suspect (s, w, -1);
-  g_hash_table_remove (o->active, &w->t.id);
+  record_cost (o, how, ran_ms);
+  mm_owner_count_suspect (owned, w, -1);
+  g_hash_table_remove (o->active, &w->request.id);
   if (how == MM_END_NOT_RUN)
-    give_back (w, name, why);
+    requeue_or_return (w, name, why);
   else
     mm_owner_finish (w, how, name, run, ran_ms, why);
 }
 
 static void
-on_room (void *ctx, mm_exec *x)
+on_capacity_freed (void *ctx, mm_exec *x)
 {
-  mm_slot *s = ctx;
-  pump (s->owner);
+  mm_owned_upstream *owned = ctx;
+  start_waiting (owned->owner);
 }
 
 static void
-slot_free (gpointer p)
+owned_upstream_free (gpointer p)
 {
-  mm_slot *s = p;
-  mm_exec_destroy (s->exec);
-  g_free (s);
+  mm_owned_upstream *owned = p;
+  mm_exec_destroy (owned->exec);
+  g_free (owned);
 }
 
 static void
-on_unwell (void *ctx, mm_exec *x)
+on_unhealthy (void *ctx, mm_exec *x)
 {
-  note_trust (ctx, mm_exec_info (x)->name, false, mm_clock_now_ms ());
+  update_breaker (ctx, mm_exec_info (x)->name, false, mm_clock_now_ms ());
 }
 
 static bool
 on_found (void *ctx, mm_exec *x, const mm_task_id *task, uint32_t run)
 {
-  mm_owner *o = ((mm_slot *)ctx)->owner;
+  mm_owner *o = ((mm_owned_upstream *)ctx)->owner;
   if (!o->links.found)
     return false;
   mm_found_run r = { .upstream = mm_exec_info (x)->name,
@@ -173,16 +178,16 @@
 static void
 on_fenced (void *ctx, mm_exec *x)
 {
-  mm_slot *s = ctx;
+  mm_owned_upstream *owned = ctx;
   mm_metrics_count (MM_CT_FENCED);
   mm_log_event (MM_EV_UPSTREAM_FENCED, MM_TEXT (mm_exec_info (x)->name),
                 MM_INT (mm_exec_fence (x)));
-  mm_owner_orphan_all (s->owner, s, "fenced");
+  mm_owner_orphan_all (owned->owner, owned, "fenced");
 }
 
 /**
- * mm_owner_create() - an owner of no upstreams yet.
- * @port: how upstreams are reached.
+ * mm_owner_create() - creates an owner without upstreams.
+ * @port: the calls that reach upstreams.
  *
  * Return: the owner; free with mm_owner_destroy().
  */
@@ -191,12 +196,12 @@
 {
   mm_owner *o = g_new0 (mm_owner, 1);
   o->port = *port;
-  o->slots
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, slot_free);
+  o->owned_upstreams = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                              owned_upstream_free);
   o->waiting = g_queue_new ();
   o->active = g_hash_table_new (mm_task_id_hash, mm_task_id_equal);
   o->orphans = g_hash_table_new (mm_task_id_hash, mm_task_id_equal);
-  o->passed_on = g_hash_table_new (NULL, NULL);
+  o->transferred = g_hash_table_new (NULL, NULL);
   return o;
 }
 
@@ -230,52 +235,55 @@
   while (g_hash_table_iter_next (&it, NULL, &v))
     mm_owner_free_work (v);
   g_queue_free_full (o->waiting, (GDestroyNotify)mm_owner_free_work);
-  mm_owner_destroy_lost (o);
-  g_hash_table_destroy (o->slots);
+  mm_owner_destroy_transfers (o);
+  g_hash_table_destroy (o->owned_upstreams);
   g_hash_table_destroy (o->active);
   g_free (o);
 }
 
 /**
- * mm_owner_own() - own an upstream.
+ * mm_owner_own() - starts to own an upstream.
  * @o: the owner.
  * @u: the upstream; copied.
- * @fence: our token there; a higher one than before begins a new session.
+ * @fence: this instance's fencing token there.
+ *
+ * If the upstream is owned already, a higher token than before begins a new
+ * session; otherwise a handover that has begun is cancelled.
  */
 void
 mm_owner_own (mm_owner *o, const mm_upstream_info *u, uint64_t fence)
 {
-  mm_slot *s = g_hash_table_lookup (o->slots, u->name);
-  if (s && mm_exec_fence (s->exec) >= fence)
+  mm_owned_upstream *owned = g_hash_table_lookup (o->owned_upstreams, u->name);
+  if (owned && mm_exec_fence (owned->exec) >= fence)
     {
-      s->frozen = false;
-      pump (o);
+      owned->frozen = false;
+      start_waiting (o);
       return;
     }
-  if (s)
+  if (owned)
     mm_owner_disown (o, u->name);
-  s = g_new0 (mm_slot, 1);
-  s->owner = o;
+  owned = g_new0 (mm_owned_upstream, 1);
+  owned->owner = o;
   mm_exec_events ev = { .ended = on_ended,
-                        .room = on_room,
-                        .unwell = on_unwell,
+                        .room = on_capacity_freed,
+                        .unwell = on_unhealthy,
                         .found = on_found,
                         .fenced = on_fenced,
-                        .lost = mm_owner_on_lost,
-                        .back = mm_owner_on_back,
-                        .ctx = s };
-  s->exec = mm_exec_create (u, fence, &o->port, &o->common, &ev);
-  g_hash_table_insert (o->slots, g_strdup (u->name), s);
+                        .lost = mm_owner_on_upstream_lost,
+                        .back = mm_owner_on_upstream_back,
+                        .ctx = owned };
+  owned->exec = mm_exec_create (u, fence, &o->port, &o->common, &ev);
+  g_hash_table_insert (o->owned_upstreams, g_strdup (u->name), owned);
 }
 
-/* Starts nothing: more changes of the same answer may follow, and room that
-   was gained is used at the next tick.  */
+/* Starts no tasks: more changes from the same answer of the store may follow,
+   and new capacity is used at the next tick.  */
 void
 mm_owner_update (mm_owner *o, const mm_upstream_info *u)
 {
-  mm_slot *s = g_hash_table_lookup (o->slots, u->name);
-  if (s)
-    mm_exec_update (s->exec, u);
+  mm_owned_upstream *owned = g_hash_table_lookup (o->owned_upstreams, u->name);
+  if (owned)
+    mm_exec_update (owned->exec, u);
   if (o->suspects)
     mm_suspects_listed (o->suspects, u);
 }
@@ -283,62 +291,66 @@
 void
 mm_owner_disown (mm_owner *o, const char *upstream)
 {
-  mm_slot *s = g_hash_table_lookup (o->slots, upstream);
-  if (!s)
+  mm_owned_upstream *owned
+      = g_hash_table_lookup (o->owned_upstreams, upstream);
+  if (!owned)
     return;
-  s->gone = true;
-  mm_owner_orphan_all (o, s, "upstream handed over or gone");
-  g_hash_table_remove (o->slots, upstream);
+  owned->gone = true;
+  mm_owner_orphan_all (o, owned, "upstream handed over or gone");
+  g_hash_table_remove (o->owned_upstreams, upstream);
 }
 
-/* A hand-over waits for the longest task that runs on any of the upstreams,
-   up to 1 s.  Kept idle meanwhile, half of a data centre's room was lost for
-   that long at each restart; tasks that end sooner cost it no time.  */
+/* A handover waits up to 1 s for the longest task that runs on any of the
+   upstreams.  Tasks that end before that one may still start: they do not
+   delay the handover, and keeping the upstreams idle would take half of a
+   data centre's capacity away for that time at each restart.  */
 void
 mm_owner_freeze (mm_owner *o, const char *upstream)
 {
-  mm_slot *s = g_hash_table_lookup (o->slots, upstream);
-  if (!s || s->frozen)
+  mm_owned_upstream *owned
+      = g_hash_table_lookup (o->owned_upstreams, upstream);
+  if (!owned || owned->frozen)
     return;
   mm_time_ms now = mm_clock_now_ms ();
-  mm_time_ms left_ms = mm_exec_longest_left_ms (s->exec, now);
-  s->frozen = true;
+  mm_time_ms left_ms = mm_exec_longest_left_ms (owned->exec, now);
+  owned->frozen = true;
   o->handover_end_ms
       = MAX (o->handover_end_ms,
              now + MIN (left_ms, MM_HANDOVER_MS - MM_HANDOVER_MARGIN_MS));
 }
 
-/* May a task that usually runs so long start at @s?  */
 bool
-mm_owner_ends_in_time (const mm_slot *s, double run_ms, mm_time_ms now)
+mm_owner_ends_before_handover (const mm_owned_upstream *owned, double run_ms,
+                               mm_time_ms now)
 {
-  double end_ms
-      = (double)now
-        + run_ms * MM_ESTIMATE_ERROR * MAX (mm_exec_slowness (s->exec), 1.0);
-  return !s->frozen
+  double end_ms = (double)now
+                  + run_ms * MM_ESTIMATE_ERROR
+                        * MAX (mm_exec_slowness (owned->exec), 1.0);
+  return !owned->frozen
          || (MM_WITH_HANDOVER_RUNS && run_ms > 0
-             && end_ms <= (double)s->owner->handover_end_ms);
+             && end_ms <= (double)owned->owner->handover_end_ms);
 }
 
-/* Another owner's token was seen at this upstream.  */
 bool
 mm_owner_fenced (const mm_owner *o, const char *upstream)
 {
-  mm_slot *s = g_hash_table_lookup (o->slots, upstream);
-  return s && mm_exec_fenced (s->exec);
+  mm_owned_upstream *owned
+      = g_hash_table_lookup (o->owned_upstreams, upstream);
+  return owned && mm_exec_fenced (owned->exec);
 }
 
 GList *
 mm_owner_names (const mm_owner *o)
 {
-  return g_hash_table_get_keys (o->slots);
+  return g_hash_table_get_keys (o->owned_upstreams);
 }
 
 bool
 mm_owner_quiet (const mm_owner *o, const char *upstream)
 {
-  mm_slot *s = g_hash_table_lookup (o->slots, upstream);
-  return !s || (s->frozen && mm_exec_quiet (s->exec));
+  mm_owned_upstream *owned
+      = g_hash_table_lookup (o->owned_upstreams, upstream);
+  return !owned || (owned->frozen && mm_exec_quiet (owned->exec));
 }
 
 static bool
@@ -350,55 +362,58 @@
 }
 
 static mm_place_candidate
-candidate (mm_slot *s, const mm_work *w, mm_time_ms now)
-{
-  const mm_upstream_info *u = mm_exec_info (s->exec);
-  mm_place_candidate c = { .room = mm_exec_room (s->exec),
-                           .slowness = mm_exec_slowness (s->exec) };
-  size_t runs = mm_exec_runs (s->exec);
-  c.contention = mm_owner_contention (s, w);
-  c.near_data = w->t.data_label && has_label (u, w->t.data_label);
-  c.allowed = mm_owner_ends_in_time (s, (double)w->t.estimate_ms, now)
-              && mm_exec_usable (s->exec) && mm_owner_may_join (s, w)
-              && strcmp (u->service, w->t.service) == 0
-              && has_label (u, w->t.label)
-              && (!w->t.avoid || strcmp (u->name, w->t.avoid) != 0)
-              && (u->slots == 0 || runs < (size_t)u->slots)
-              && mm_trust_allows (&s->trust, runs, now);
+candidate (mm_owned_upstream *owned, const mm_work *w, mm_time_ms now)
+{
+  const mm_upstream_info *u = mm_exec_info (owned->exec);
+  mm_place_candidate c = { .room = mm_exec_room (owned->exec),
+                           .slowness = mm_exec_slowness (owned->exec) };
+  size_t runs = mm_exec_runs (owned->exec);
+  c.contention = mm_owner_contention (owned, w);
+  c.near_data = w->request.data_label && has_label (u, w->request.data_label);
+  c.allowed
+      = mm_owner_ends_before_handover (owned, (double)w->request.estimate_ms,
+                                       now)
+        && mm_exec_usable (owned->exec) && mm_owner_suspect_allowed (owned, w)
+        && strcmp (u->service, w->request.service) == 0
+        && has_label (u, w->request.label)
+        && (!w->request.avoid || strcmp (u->name, w->request.avoid) != 0)
+        && (u->slots == 0 || runs < (size_t)u->slots)
+        && mm_trust_allows (&owned->trust, runs, now);
   return c;
 }
 
-/* Start @w where it fits best.  Return: whether it was started.  */
+/* Starts @w on the upstream where it fits best.  Returns whether it was
+   started.  */
 static bool
-place (mm_owner *o, mm_work *w, mm_time_ms now)
+place_task (mm_owner *o, mm_work *w, mm_time_ms now)
 {
-  guint n = g_hash_table_size (o->slots);
-  if (n == 0 || g_hash_table_contains (o->active, &w->t.id))
-    return false; /* an earlier run of it is not over */
+  guint n = g_hash_table_size (o->owned_upstreams);
+  if (n == 0 || g_hash_table_contains (o->active, &w->request.id))
+    return false; /* an earlier run of the task has not ended */
   mm_place_candidate *c = g_new (mm_place_candidate, n);
-  mm_slot **at = g_new (mm_slot *, n);
+  mm_owned_upstream **candidates = g_new (mm_owned_upstream *, n);
   GHashTableIter it;
   gpointer v;
   size_t i = 0;
-  g_hash_table_iter_init (&it, o->slots);
+  g_hash_table_iter_init (&it, o->owned_upstreams);
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
-      at[i] = v;
+      candidates[i] = v;
       c[i++] = candidate (v, w, now);
     }
-  int best = mm_place_choose (c, n, &w->t.need);
+  int best = mm_place_choose (c, n, &w->request.need);
   if (best >= 0)
     {
-      w->at = at[best];
-      g_hash_table_insert (o->active, &w->t.id, w);
-      mm_owner_count_suspect (w->at, w, 1);
+      w->running_on = candidates[best];
+      g_hash_table_insert (o->active, &w->request.id, w);
+      mm_owner_count_suspect (w->running_on, w, 1);
       mm_metrics_count (MM_CT_TASKS_STARTED);
-      w->t.waited_ms += now - w->taken_ms;
-      mm_metrics_time (MM_HG_QUEUE_WAIT, now - w->taken_ms);
-      mm_exec_start (w->at->exec, &w->t, w);
+      w->request.waited_ms += now - w->accepted_ms;
+      mm_metrics_time (MM_HG_QUEUE_WAIT, now - w->accepted_ms);
+      mm_exec_start (w->running_on->exec, &w->request, w);
     }
   g_free (c);
-  g_free (at);
+  g_free (candidates);
   return best >= 0;
 }
 
@@ -411,7 +426,8 @@
   return NULL;
 }
 
-/* One at a time: what is told of one may cancel others.  */
+/* Looks for the next expired task from the start each time, because the
+   callback of one task may cancel others.  */
 static void
 expire_waiting (mm_owner *o, mm_time_ms now)
 {
@@ -423,10 +439,11 @@
     }
 }
 
-/* One pass over the queue; a task that does not fit does not hold up a
-   smaller one behind it, but only a bounded number of them is tried.  */
+/* Passes over the queue once and starts the tasks that fit.  A task that does
+   not fit does not block smaller tasks behind it; after
+   MM_OWNER_PUMP_MISSES tasks that do not fit, the pass ends.  */
 static void
-pump_once (mm_owner *o)
+start_waiting_once (mm_owner *o)
 {
   mm_time_ms now = mm_clock_now_ms ();
   uint32_t misses = 0;
@@ -436,7 +453,7 @@
       GList *next = l->next;
       mm_work *w = l->data;
       g_queue_unlink (o->waiting, l);
-      if (place (o, w, now))
+      if (place_task (o, w, now))
         g_list_free (l);
       else
         {
@@ -451,27 +468,28 @@
 }
 
 static void
-pump (mm_owner *o)
+start_waiting (mm_owner *o)
 {
   if (o->destroyed)
     return;
-  o->pump_again = true;
-  if (o->pumping)
+  o->start_again = true;
+  if (o->starting)
     return;
-  o->pumping = true;
-  while (o->pump_again)
+  o->starting = true;
+  while (o->start_again)
     {
-      o->pump_again = false;
-      pump_once (o);
+      o->start_again = false;
+      start_waiting_once (o);
     }
-  o->pumping = false;
+  o->starting = false;
 }
 
 /**
- * mm_owner_submit() - run a task once there is room.
+ * mm_owner_submit() - queues a task until there is free capacity for it.
  * @o: the owner.
  * @t: the task; copied.
- * @done: called once, later, unless the work is cancelled before.
+ * @done: called once with the outcome, after this function has returned,
+ *   unless the task is cancelled before.
  * @ctx: for @done.
  *
  * Return: a handle for mm_owner_cancel(), valid until @done.
@@ -482,45 +500,47 @@
 {
   mm_work *w = g_new0 (mm_work, 1);
   w->owner = o;
-  w->t = *t;
-  w->t.service = g_strdup (t->service);
-  w->t.payload = g_strdup (t->payload);
-  w->t.label = g_strdup (t->label);
-  w->t.data_label = g_strdup (t->data_label);
-  w->t.avoid = g_strdup (t->avoid);
-  w->t.running_at = g_strdup (t->running_at);
-  w->taken_ms = mm_clock_now_ms ();
-  w->start_by_ms = w->taken_ms + t->start_within;
-  w->due_ms = w->taken_ms + t->due_within;
-  w->order = ++o->next_order;
+  w->request = *t;
+  w->request.service = g_strdup (t->service);
+  w->request.payload = g_strdup (t->payload);
+  w->request.label = g_strdup (t->label);
+  w->request.data_label = g_strdup (t->data_label);
+  w->request.avoid = g_strdup (t->avoid);
+  w->request.running_at = g_strdup (t->running_at);
+  w->accepted_ms = mm_clock_now_ms ();
+  w->start_by_ms = w->accepted_ms + t->start_within;
+  w->due_ms = w->accepted_ms + t->due_within;
+  w->arrival = ++o->last_arrival;
   w->done = done;
   w->ctx = ctx;
-  note_usual (&o->usual_cpu_milli, (double)t->need.cpu_milli);
-  note_usual (&o->usual_run_ms, (double)t->estimate_ms);
+  update_average (&o->average_cpu_milli, (double)t->need.cpu_milli);
+  update_average (&o->average_run_ms, (double)t->estimate_ms);
   if (t->running_at)
     {
       mm_owner_adopt (o, w);
       return w;
     }
   enqueue (o, w);
-  pump (o);
+  start_waiting (o);
   return w;
 }
 
 /**
- * mm_owner_cancel() - nobody waits for this task any more.
+ * mm_owner_cancel() - cancels a task whose submitter waits no longer.
  * @o: the owner.
- * @w: its handle; not valid after this.
+ * @w: its handle; not valid after this call.
+ *
+ * A task that runs is stopped, one that waits is removed from the queue.
  */
 void
 mm_owner_cancel (mm_owner *o, mm_work *w)
 {
-  if (mm_owner_cancel_lost (o, w))
+  if (mm_owner_cancel_transfer (o, w))
     return;
   w->cancelled = true;
-  if (w->at)
+  if (w->running_on)
     {
-      mm_exec_stop (w->at->exec, w);
+      mm_exec_stop (w->running_on->exec, w);
       return;
     }
   g_queue_remove (o->waiting, w);
@@ -528,14 +548,15 @@
 }
 
 void
-mm_owner_set_sure (mm_owner *o, bool sure)
+mm_owner_set_sure (mm_owner *o, bool confirmed)
 {
-  o->sure = sure;
+  o->confirmed = confirmed;
 }
 
-/* Ends that nobody takes note of must not pile up at the upstreams.  */
+/* Drops ends that were not acknowledged for MM_KEPT_END_MS, so that they do
+   not accumulate at the upstreams.  */
 static void
-expire_held (mm_exec *x, mm_time_ms now)
+drop_expired_ends (mm_exec *x, mm_time_ms now)
 {
   size_t n;
   const mm_held_end *h = mm_exec_held (x, &n);
@@ -550,14 +571,14 @@
   mm_time_ms now = mm_clock_now_ms ();
   expire_waiting (o, now);
   mm_owner_tick_adoption (o, now);
-  GList *slots = g_hash_table_get_values (o->slots);
-  for (GList *l = slots; l; l = l->next)
+  GList *all = g_hash_table_get_values (o->owned_upstreams);
+  for (GList *l = all; l; l = l->next)
     {
-      mm_exec *x = ((mm_slot *)l->data)->exec;
-      expire_held (x, now);
+      mm_exec *x = ((mm_owned_upstream *)l->data)->exec;
+      drop_expired_ends (x, now);
       mm_exec_tick (x);
     }
-  g_list_free (slots);
+  g_list_free (all);
   if (o->waiting->length)
-    pump (o);
+    start_waiting (o);
 }
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -1,5 +1,11 @@
-/* mm_owner: the upstreams this instance owns, and the tasks that wait
-   for room there.  */
+/* mm_owner: the upstreams that this instance owns, and the queue of tasks
+   that wait for free capacity there.
+
+   The owner of an upstream is the one instance that may start tasks there.
+   A kept job is a durable job: it is stored before its caller is told that
+   it is accepted, and is run to its end whatever instance dies.  Its home is
+   the instance that stores and runs it.  A run is one attempt at a task; its
+   end is the outcome.  */
 #ifndef MM_OWNER_H
 #define MM_OWNER_H
 
@@ -9,14 +15,14 @@
 #include "mm_suspects.h"
 
 typedef struct mm_owner mm_owner;
-typedef struct mm_work mm_work; /* a task taken in */
+typedef struct mm_work mm_work; /* a task that was submitted to an owner */
 
-/* What became of a task.  */
+/* The outcome of a task.  */
 typedef struct
 {
   mm_end how;
   const char *upstream; /* where it ran last, or NULL */
-  uint32_t run;         /* its number there */
+  uint32_t run;         /* its run number there */
   mm_time_ms ran_ms;    /* from the order to start to the end, 0: not run */
   const char *why;
   const char *owner; /* the peer that ran it, NULL: this instance */
@@ -24,94 +30,113 @@
 
 typedef void (*mm_work_done) (void *ctx, const mm_work_result *r);
 
-/* Room of one service on the upstreams of one owner.  */
+/* Capacity and load of one service on the upstreams of one owner.  */
 typedef struct
 {
-  uint32_t places;  /* tasks of the usual size that fit in all */
-  uint32_t free;    /* that fit now */
-  uint32_t task_ms; /* place-time a task that was done has cost, 0: unknown */
-  uint32_t waiting; /* tasks that wait for room */
+  uint32_t places;  /* capacity, in tasks of average size */
+  uint32_t free;    /* places that are free */
+  uint32_t task_ms; /* average time that places were in use for each task that
+                       was done, 0: unknown */
+  uint32_t waiting; /* tasks that wait for free capacity */
   uint32_t waiting_at[MM_PRIORITY_LEVELS]; /* of these, by priority; the last
-                                              level holds all beyond it */
+                                              level counts all beyond it */
 } mm_room_report;
 
-/* Tasks that stand before, or beside, one of this priority.  */
+/* Number of waiting tasks that go before a new task of this priority: those
+   of the same or a more urgent one.  */
 uint32_t mm_room_ahead (const mm_room_report *r, uint32_t priority);
 
-/* All services together, for metrics.  */
+/* Totals over all services, for metrics.  */
 typedef struct
 {
   uint32_t upstreams;
-  uint32_t runs;   /* that take up room */
-  uint32_t unsure; /* of these, starts without an answer */
-  mm_room_report room;
+  uint32_t runs;       /* runs that use capacity */
+  uint32_t unsure;     /* of these, starts that have no answer yet */
+  mm_room_report room; /* sums of places, free and waiting */
 } mm_owner_gauges;
 
-/* A run that another owner left at an upstream.  */
+/* A run that another owner started and left at an upstream.  */
 typedef struct
 {
   const char *upstream;
   mm_task_id task;
-  uint32_t run;   /* its number there */
-  uint64_t fence; /* the token of the owner that found it */
+  uint32_t run;   /* its run number there */
+  uint64_t fence; /* fencing token of the owner that found it */
 } mm_found_run;
 
-/* How owners pass runs on to each other, whose upstreams change hands.  */
+/* Callbacks through which the previous and the next owner of an upstream
+   transfer the runs there.  */
 typedef struct
 {
-  /* An earlier owner's run was found: whose is it?  */
+  /* A run of a previous owner was found; requests it from the other owners. */
   void (*found) (void *ctx, const mm_found_run *r);
-  void (*cancel) (void *ctx, void *passed_on); /* nobody waits for it */
+  /* A transferred task is cancelled; @transfer is from mm_owner_pass_on().  */
+  void (*cancel) (void *ctx, void *transfer);
   void *ctx;
 } mm_owner_links;
 
 mm_owner *mm_owner_create (const mm_exec_port *port);
-/* The link that orders go out on, 0 for no limit; and what else goes out.  */
+/* Sets the bandwidth of the uplink on which orders are sent, 0: no limit.  */
 void mm_owner_set_link (mm_owner *o, double mbps);
+/* Records other data that was sent on the same uplink.  */
 void mm_owner_note_sent (mm_owner *o, size_t bytes);
 void mm_owner_set_view (mm_owner *o, const mm_exec_view *v); /* copied */
-/* Notes upstreams that are lost there; must outlive it.  */
+/* Sets where lost upstreams and the tasks there are recorded; @s must outlive
+   the owner.  */
 void mm_owner_set_suspects (mm_owner *o, mm_suspects *s);
 void mm_owner_destroy (mm_owner *o);
-void mm_owner_own (mm_owner *o, const mm_upstream_info *u,
-                   uint64_t fence); /* it is ours, and stays for now */
-/* It is listed like this now, whoever owns it.  */
+/* Starts to own an upstream, or cancels a handover of it that has begun.  */
+void mm_owner_own (mm_owner *o, const mm_upstream_info *u, uint64_t fence);
+/* An upstream's entry in the list has changed, whoever owns it.  */
 void mm_owner_update (mm_owner *o, const mm_upstream_info *u);
-void mm_owner_disown (mm_owner *o, const char *upstream); /* at once */
-/* It is handed over: only tasks that end before what runs there now start. */
+/* Stops owning an upstream at once.  */
+void mm_owner_disown (mm_owner *o, const char *upstream);
+/* Begins a handover: from now on only tasks start there that end before the
+   tasks which run now.  */
 void mm_owner_freeze (mm_owner *o, const char *upstream);
+/* Returns whether another owner's fencing token was seen there.  */
 bool mm_owner_fenced (const mm_owner *o, const char *upstream);
-GList *mm_owner_names (const mm_owner *o); /* owned; free list, not names */
-/* Frozen, and nothing runs there: it can be let go of.  */
+/* Names of the owned upstreams; free the list, not the names.  */
+GList *mm_owner_names (const mm_owner *o);
+/* Returns whether the upstream can be released: it is frozen and nothing runs
+   there, or it is not owned.  */
 bool mm_owner_quiet (const mm_owner *o, const char *upstream);
 mm_work *mm_owner_submit (mm_owner *o, const mm_task_request *t,
-                          mm_work_done done, void *ctx); /* may wait */
+                          mm_work_done done, void *ctx);
 void mm_owner_cancel (mm_owner *o, mm_work *w); /* @done is not called */
-/* The end of a run of a kept job is stored; @mark: mm_run_mark().  */
-void mm_owner_note_end (mm_owner *o, const mm_task_id *task, uint32_t mark);
-/* Membership is confirmed: nobody else can own what is owned here.  */
-void mm_owner_set_sure (mm_owner *o, bool sure);
-/* Look for tasks (a set of mm_task_id) here; @out is added to.  */
+/* Acknowledges the end of a kept job's run, which is stored now.  @run_hash:
+   mm_run_mark() of the run.  */
+void mm_owner_note_end (mm_owner *o, const mm_task_id *task,
+                        uint32_t run_hash);
+/* Sets whether this instance's membership is confirmed, so that no other
+   instance can own its upstreams.  */
+void mm_owner_set_sure (mm_owner *o, bool confirmed);
+/* Searches for tasks (a set of mm_task_id) here and adds to @out.  */
 void mm_owner_census (const mm_owner *o, GHashTable *tasks, mm_census *out);
-/* Adds copies of the ids of jobs of which ends of an earlier owner's runs are
-   held: their homes may ask for these.  */
+/* Adds copies of the ids of jobs for which ends of a previous owner's runs are
+   held until their homes request them.  */
 void mm_owner_foreign_jobs (const mm_owner *o, GHashTable *ids);
-/* No home will ask for its ends: it is not kept, or its outcome is stored. */
+/* Drops the ends of a job that no home will request: it is not a kept job, or
+   its outcome is stored.  */
 void mm_owner_forget_job (mm_owner *o, const char *job_id);
 void mm_owner_set_links (mm_owner *o, const mm_owner_links *l); /* copied */
-/* A run that the upstream's next owner has found, if its task is ours: @t asks
-   that one to take it over.  Pass it to mm_owner_pass_on().  NULL: it is not,
-   or whoever found it has a lower token there than we.  */
+/* Claims a run that the upstream's next owner has found.  If its task was
+   submitted here, fills @t with the request that the next owner take the run
+   over, and returns the task for mm_owner_pass_on().  Returns NULL if the task
+   is not from here, or if the fencing token of the owner that found the run is
+   not higher than the one held here.  */
 mm_work *mm_owner_claim (mm_owner *o, const mm_found_run *r,
                          mm_task_request *t);
-/* It was handed on as @passed_on, NULL: it could not be.  Its end is told to
-   mm_owner_passed_end().  */
-void mm_owner_pass_on (mm_owner *o, mm_work *w, void *passed_on);
+/* A claimed task was dispatched to the next owner; @transfer is its handle
+   there, NULL when it could not be dispatched.  Its end is to be reported
+   with mm_owner_passed_end().  */
+void mm_owner_pass_on (mm_owner *o, mm_work *w, void *transfer);
 void mm_owner_passed_end (void *work, const mm_work_result *r);
-void mm_owner_tick (mm_owner *o); /* each MM_EXEC_TICK_MS */
+void mm_owner_tick (mm_owner *o); /* call each MM_EXEC_TICK_MS */
 mm_room_report mm_owner_report (const mm_owner *o, const char *service);
 mm_owner_gauges mm_owner_measure (const mm_owner *o);
-GList *mm_owner_services (const mm_owner *o); /* names; free list only */
-char *mm_owner_dump (const mm_owner *o);      /* JSON */
+/* Distinct services of the owned upstreams; free the list, not the names.  */
+GList *mm_owner_services (const mm_owner *o);
+char *mm_owner_dump (const mm_owner *o); /* JSON */
 
 #endif /* MM_OWNER_H */
--- a/src/mm_owner_priv.h
+++ b/src/mm_owner_priv.h
@@ -1,37 +1,40 @@
-/* mm_owner_priv: what the parts of mm_owner share.  Internal to it.  */
+/* mm_owner_priv: declarations shared by the source files of mm_owner.  */
 #ifndef MM_OWNER_PRIV_H
 #define MM_OWNER_PRIV_H
 
 #include "mm_owner.h"
 #include "mm_trust.h"
 
-/* An upstream owned here.  */
+/* An upstream that this instance owns.  */
 typedef struct
 {
   mm_owner *owner;
   mm_exec *exec;
   mm_trust trust;
-  bool frozen;         /* being handed over */
-  bool gone;           /* not owned any more: its session is closed */
-  uint32_t n_suspects; /* that run there */
-} mm_slot;
+  bool frozen;         /* a handover to another owner is under way */
+  bool gone;           /* no longer owned, and its session is closed */
+  uint32_t n_suspects; /* suspected poison tasks that run there */
+} mm_owned_upstream;
 
 struct mm_work
 {
   mm_owner *owner;
-  mm_task_request t; /* its strings are ours */
-  mm_time_ms start_by_ms;
-  mm_time_ms due_ms;
-  mm_time_ms taken_ms;
-  uint64_t order;     /* of arrival */
-  mm_slot *at;        /* where it runs or is being stopped, NULL: waiting */
-  char *ran_at;       /* an orphan: the upstream that was lost */
-  uint32_t run;       /* an orphan: its number there */
-  uint64_t ran_fence; /* an orphan: our token there */
-  mm_time_ms ran_ms;
-  mm_time_ms orphaned_ms;
-  void *passed_on; /* the upstream's next owner's handle of it, or NULL */
-  bool cancelled;
+  mm_task_request request; /* its strings are copies */
+  mm_time_ms start_by_ms;  /* returned as not run after this time */
+  mm_time_ms due_ms;       /* decides the order among equal priorities */
+  mm_time_ms accepted_ms;
+  uint64_t arrival; /* rises with each task that is submitted */
+  /* Where the task runs or is being stopped; NULL while it waits.  */
+  mm_owned_upstream *running_on;
+  char *orphaned_on;       /* orphans: the upstream that is no longer owned */
+  uint32_t run;            /* orphans: run number there */
+  uint64_t orphaned_fence; /* orphans: fencing token held there */
+  mm_time_ms ran_ms;       /* orphans: run time until @orphaned_ms */
+  mm_time_ms orphaned_ms;  /* orphans: when the upstream was given up */
+  /* The handle under which the upstream's next owner runs the task, or NULL:
+     not transferred.  */
+  void *transfer;
+  bool cancelled; /* the submitter waits no longer: @done is not called */
   mm_work_done done;
   void *ctx;
 };
@@ -40,47 +43,62 @@
 {
   mm_exec_port port;
   mm_exec_common common;
-  GHashTable *slots;     /* upstream name -> mm_slot */
-  GQueue *waiting;       /* mm_work, by priority and arrival */
-  GHashTable *active;    /* mm_task_id -> mm_work that has a run */
-  GHashTable *orphans;   /* mm_task_id -> mm_work whose upstream was lost */
-  GHashTable *passed_on; /* set of mm_work that run under another owner */
-  GList *unadopted;      /* mm_work that could not be taken over */
+  GHashTable *owned_upstreams; /* upstream name -> mm_owned_upstream */
+  GQueue *waiting;             /* mm_work, by priority, due time and arrival */
+  GHashTable *active;          /* mm_task_id -> mm_work that has a run here */
+  GHashTable *orphans;         /* mm_task_id -> mm_work whose run goes on at an
+                                  upstream that is no longer owned */
+  GHashTable *transferred; /* set of mm_work that run under another owner */
+  GList *unadopted;        /* mm_work whose run could not be taken over */
   mm_owner_links links;
-  mm_suspects *suspects; /* NULL: not followed */
-  uint64_t next_order;
-  mm_time_ms handover_end_ms; /* all that is handed over is idle then */
-  double usual_run_ms;        /* of a task, for reports */
-  double usual_cpu_milli;     /* of a task, for reports */
-  double run_ms;              /* place-time of a run, whatever its end */
-  double run_done;            /* share of the runs that were done */
-  bool sure;                  /* nobody else can own what is owned here */
-  bool pumping;
-  bool pump_again;
+  mm_suspects *suspects;      /* NULL: suspected tasks are not recorded */
+  uint64_t last_arrival;      /* arrival number of the last task */
+  mm_time_ms handover_end_ms; /* all frozen upstreams are idle by then */
+  double average_run_ms;      /* declared run time of a task, for reports */
+  double average_cpu_milli;   /* declared cpu of a task, for reports */
+  double average_place_ms;    /* time for which a run used its place, with
+                                 runs that were not done */
+  double done_share;          /* share of the runs that ended as done, 0..1 */
+  bool confirmed;   /* membership is confirmed: no other instance can own
+                       the upstreams owned here */
+  bool starting;    /* start_waiting() is running */
+  bool start_again; /* start_waiting() was called while it was running */
   bool destroyed;
 };
 
 /* mm_owner_adopt.c */
-void mm_owner_orphan_all (mm_owner *o, mm_slot *s, const char *why);
-void mm_owner_adopt (mm_owner *o, mm_work *w); /* what runs already */
+/* Detaches the tasks that run at @owned, for its next owner to take over.  */
+void mm_owner_orphan_all (mm_owner *o, mm_owned_upstream *owned,
+                          const char *why);
+/* Attaches a submitted task to its run at @w->request.running_at.  */
+void mm_owner_adopt (mm_owner *o, mm_work *w);
 void mm_owner_tick_adoption (mm_owner *o, mm_time_ms now);
-bool mm_owner_cancel_lost (mm_owner *o, mm_work *w); /* false: it is not */
-void mm_owner_destroy_lost (mm_owner *o);
+/* Cancels a task that is orphaned, transferred or not adopted.  Returns
+   whether @w was one.  */
+bool mm_owner_cancel_transfer (mm_owner *o, mm_work *w);
+/* Frees all tasks that are orphaned, transferred or not adopted.  */
+void mm_owner_destroy_transfers (mm_owner *o);
 void mm_owner_free_work (mm_work *w);
 
 /* mm_owner_suspects.c */
-/* It runs there, or does not any more.  */
-void mm_owner_count_suspect (mm_slot *s, const mm_work *w, int by);
-bool mm_owner_may_join (const mm_slot *s, const mm_work *w);
-/* To be avoided by @w, the less the better.  */
-uint32_t mm_owner_contention (const mm_slot *s, const mm_work *w);
-void mm_owner_on_lost (void *slot, mm_exec *x, bool crashed);
-void mm_owner_on_back (void *slot, mm_exec *x);
+/* Adds @by (1 or -1) to the suspects that run at @owned, if @w is one.  */
+void mm_owner_count_suspect (mm_owned_upstream *owned, const mm_work *w,
+                             int by);
+bool mm_owner_suspect_allowed (const mm_owned_upstream *owned,
+                               const mm_work *w);
+/* Weight of the tasks at @owned that @w should not run beside; lower is
+   better.  */
+uint32_t mm_owner_contention (const mm_owned_upstream *owned,
+                              const mm_work *w);
+void mm_owner_on_upstream_lost (void *ctx, mm_exec *x, bool crashed);
+void mm_owner_on_upstream_back (void *ctx, mm_exec *x);
 
-/* The work is over: tell who handed it in, and free it.  */
+/* Reports the task's end to its submitter, unless cancelled, and frees @w.  */
 void mm_owner_finish (mm_work *w, mm_end how, const char *upstream,
                       uint32_t run, mm_time_ms ran_ms, const char *why);
-/* May a task that usually runs so long start there now?  */
-bool mm_owner_ends_in_time (const mm_slot *s, double run_ms, mm_time_ms now);
+/* Returns whether a task of this estimated run time may start at @owned now:
+   if it is frozen, only one that ends before the handover.  */
+bool mm_owner_ends_before_handover (const mm_owned_upstream *owned,
+                                    double run_ms, mm_time_ms now);
 
 #endif /* MM_OWNER_PRIV_H */
--- a/src/mm_owner_suspects.c
+++ b/src/mm_owner_suspects.c
@@ -1,4 +1,8 @@
-/* mm_owner_suspects: tasks that may crash upstreams, at their owner.  */
+/* mm_owner_suspects: runs suspected poison tasks isolated, and records the
+   tasks that ran on an upstream which was lost.
+
+   A poison task crashes the upstream that runs it; a suspect is a task that
+   ran on an upstream when it was lost.  */
 #include "mm_event.h"
 #include "mm_metrics.h"
 #include "mm_owner_priv.h"
@@ -10,63 +14,67 @@
 }
 
 void
-mm_owner_count_suspect (mm_slot *s, const mm_work *w, int by)
+mm_owner_count_suspect (mm_owned_upstream *owned, const mm_work *w, int by)
 {
-  if (w->t.apart)
-    s->n_suspects = (uint32_t)((int)s->n_suspects + by);
+  if (w->request.apart)
+    owned->n_suspects = (uint32_t)((int)owned->n_suspects + by);
 }
 
-/* Two suspects together: another crash would not name the culprit.  */
+/* Returns whether @w may start at @owned.  Two suspects never run on the same
+   upstream: its crash would not show which of them caused it.  */
 bool
-mm_owner_may_join (const mm_slot *s, const mm_work *w)
+mm_owner_suspect_allowed (const mm_owned_upstream *owned, const mm_work *w)
 {
-  return !w->t.apart || s->n_suspects == 0;
+  return !w->request.apart || owned->n_suspects == 0;
 }
 
-/* A suspect runs with as few others beside it as room allows; these go
-   elsewhere if they can.  */
+/* A suspect prefers the upstream with the fewest runs, and other tasks prefer
+   upstreams without suspects.  */
 uint32_t
-mm_owner_contention (const mm_slot *s, const mm_work *w)
+mm_owner_contention (const mm_owned_upstream *owned, const mm_work *w)
 {
-  uint32_t others = w->t.apart ? (uint32_t)mm_exec_runs (s->exec) : 0;
-  return s->n_suspects * G_MAXUINT16 + MIN (others, G_MAXUINT16 - 1);
+  uint32_t others
+      = w->request.apart ? (uint32_t)mm_exec_runs (owned->exec) : 0;
+  return owned->n_suspects * G_MAXUINT16 + MIN (others, G_MAXUINT16 - 1);
 }
 
-/* One that leaves as planned crashes under nobody.  */
+/* Records the tasks that ran on a lost upstream as suspects.  A draining
+   upstream leaves as planned, so its loss counts against no task.  */
 void
-mm_owner_on_lost (void *slot, mm_exec *x, bool crashed)
+mm_owner_on_upstream_lost (void *ctx, mm_exec *x, bool crashed)
 {
-  mm_slot *s = slot;
+  mm_owned_upstream *owned = ctx;
   const mm_upstream_info *u = mm_exec_info (x);
-  mm_suspects *suspects = s->owner->suspects;
+  mm_suspects *suspects = owned->owner->suspects;
   if (!suspects || u->draining)
     return;
-  GArray *marks = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  GArray *hashes = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   GList *tasks = mm_exec_tasks (x);
   for (GList *l = tasks; l; l = l->next)
     {
-      uint64_t mark = mm_task_mark (l->data);
-      g_array_append_val (marks, mark);
+      uint64_t hash = mm_task_mark (l->data);
+      g_array_append_val (hashes, hash);
       mm_metrics_count (MM_CT_TASKS_SUSPECT);
       mm_log_event (MM_EV_TASK_SUSPECT, MM_TASK ((const mm_task_id *)l->data),
                     MM_TEXT (u->name));
     }
   g_list_free (tasks);
-  mm_time_ms silent_ms = mm_exec_silent_ms (x);
+  mm_time_ms unresponsive_since_ms = mm_exec_silent_ms (x);
   mm_loss loss = { .upstream = u->name,
                    .addr = u->addr,
                    .verdict = crashed ? MM_LOSS_CRASHED : MM_LOSS_OPEN,
-                   .silent_ms = silent_ms ? silent_ms : mm_clock_now_ms (),
-                   .tasks = (const uint64_t *)(const void *)marks->data,
-                   .n_tasks = marks->len };
+                   .silent_ms = unresponsive_since_ms ? unresponsive_since_ms
+                                                      : mm_clock_now_ms (),
+                   .tasks = (const uint64_t *)(const void *)hashes->data,
+                   .n_tasks = hashes->len };
   mm_suspects_note (suspects, &loss);
-  g_array_free (marks, TRUE);
+  g_array_free (hashes, TRUE);
 }
 
 void
-mm_owner_on_back (void *slot, mm_exec *x)
+mm_owner_on_upstream_back (void *ctx, mm_exec *x)
 {
-  mm_slot *s = slot;
-  if (s->owner->suspects)
-    mm_suspects_alive (s->owner->suspects, mm_exec_info (x)->name);
+  mm_owned_upstream *owned = ctx;
+  if (owned->owner->suspects)
+    mm_suspects_alive (owned->owner->suspects, mm_exec_info (x)->name);
 }
