--- a/src/mm_patience.c
+++ b/src/mm_patience.c
@@ -1,25 +1,26 @@
-/* mm_patience: what a caller's remaining patience says of its past.
+/* mm_caller_wait: detects from a caller's remaining timeout that it has
+   already waited elsewhere.
 
-   Answers the load of the herd after an outage: callers whose connections
-   broke come again 1.3 s later, all within a second.  Answers to short jobs
-   among them are of no use any more, and they take the room of those who ask
-   for the first time and can still be in time.  Nothing in a request says that
-   it was sent before, but how long its caller still waits: less than half of
-   what callers of that queue usually have to spare.  The half lies in the
-   middle between those who have their whole patience and those who have used
-   up what they had to spare.  */
+   Protects against the load after an outage: callers whose connections broke
+   send their jobs again 1.3 s later, all within a second.  For short jobs
+   among them an answer is of no use any more, and they would use the capacity
+   that callers who send a job for the first time need to be answered in time.
+   A request does not state that it was sent before, but its caller's
+   remaining timeout shows it: the time to spare is less than half of the
+   average of that queue's callers.  Half is midway between callers with their
+   full timeout and callers whose time to spare is used up.  */
 #include "mm_patience.h"
 
 #include "config.h"
 
 /**
- * mm_patience_is_over() - take note of a caller, and judge it.
- * @p: what its queue's callers told before.
- * @patience_ms: how long this one still waits.
- * @useful_ms: an answer is of use to it so long after it first asked.
+ * mm_patience_is_over() - records a caller's remaining timeout and judges it.
+ * @p: record of the callers of the same queue.
+ * @patience_ms: how long this caller still waits.
+ * @useful_ms: how long after its first request an answer is of use to it.
  *
- * Return: true when it has asked before, so long ago that an answer is of no
- * use to it any more.
+ * Return: true if the caller has sent the job before, so long ago that an
+ * answer is of no use to it any more.
  */
 bool
 mm_patience_is_over (mm_patience *p, mm_time_ms patience_ms,
@@ -27,9 +28,9 @@
 {
   double spare_ms = (double)(patience_ms - useful_ms);
   if (!p->seen)
-    p->usual_ms = spare_ms;
+    p->average_spare_ms = spare_ms;
   p->seen = true;
-  bool again = spare_ms < p->usual_ms / 2;
-  p->usual_ms += MM_PATIENCE_GAIN * (spare_ms - p->usual_ms);
-  return again && useful_ms < MM_RESEND_MS;
+  bool resent = spare_ms < p->average_spare_ms / 2;
+  p->average_spare_ms += MM_PATIENCE_GAIN * (spare_ms - p->average_spare_ms);
+  return resent && useful_ms < MM_RESEND_MS;
 }
--- a/src/mm_patience.h
+++ b/src/mm_patience.h
@@ -1,18 +1,21 @@
-/* mm_patience: callers that have waited elsewhere before they came here.  */
+/* mm_caller_wait: detects callers that have already waited elsewhere.  */
 #ifndef MM_PATIENCE_H
 #define MM_PATIENCE_H
 
 #include "masticmill.h"
 
-/* What the callers of one queue tell of how long they wait.  */
+/* How long the callers of one queue wait.  */
 typedef struct
 {
-  double usual_ms; /* beyond the last moment at which an answer is of use */
-  bool seen;
+  /* Average time for which callers wait after the last moment at which an
+     answer is of use to them.  */
+  double average_spare_ms;
+  bool seen; /* at least one caller was recorded */
 } mm_patience;
 
-/* A caller waits for @patience_ms from now on; an answer is of use to it up to
-   @useful_ms after it first asked.  Return: whether that is over already.  */
+/* Records a caller that waits for @patience_ms from now on; an answer is of
+   use to it until @useful_ms after its first request.  Returns whether that
+   time has passed already.  */
 bool mm_patience_is_over (mm_patience *p, mm_time_ms patience_ms,
                           mm_time_ms useful_ms);
 
--- a/src/mm_questions.c
+++ b/src/mm_questions.c
@@ -1,92 +1,96 @@
-/* mm_questions: each is answered, or told to have no answer, once.  */
+/* mm_requests: calls back exactly once for each request, with its answer or
+   when there will be none.  */
 #include "mm_questions.h"
 
 typedef struct
 {
-  uint64_t no;
-  mm_time_ms until_ms;
-  mm_told told;
+  uint64_t number;
+  mm_time_ms expires_ms;
+  mm_told answered;
   void *ctx;
-} question;
+} request;
 
 struct mm_questions
 {
-  GQueue *open; /* in order of their numbers */
-  uint64_t last_no;
+  GQueue *pending; /* in order of their numbers */
+  uint64_t last_number;
 };
 
 mm_questions *
 mm_questions_create (void)
 {
-  mm_questions *q = g_new0 (mm_questions, 1);
-  q->open = g_queue_new ();
-  return q;
+  mm_questions *requests = g_new0 (mm_questions, 1);
+  requests->pending = g_queue_new ();
+  return requests;
 }
 
 void
-mm_questions_destroy (mm_questions *q)
+mm_questions_destroy (mm_questions *requests)
 {
-  if (!q)
+  if (!requests)
     return;
-  g_queue_free_full (q->open, g_free);
-  g_free (q);
+  g_queue_free_full (requests->pending, g_free);
+  g_free (requests);
 }
 
 uint64_t
-mm_questions_add (mm_questions *q, mm_time_ms until_ms, mm_told told,
-                  void *ctx)
+mm_questions_add (mm_questions *requests, mm_time_ms expires_ms,
+                  mm_told answered, void *ctx)
 {
-  question *k = g_new (question, 1);
-  *k = (question){
-    .no = ++q->last_no, .until_ms = until_ms, .told = told, .ctx = ctx
-  };
-  g_queue_push_tail (q->open, k);
-  return k->no;
+  request *r = g_new (request, 1);
+  *r = (request){ .number = ++requests->last_number,
+                  .expires_ms = expires_ms,
+                  .answered = answered,
+                  .ctx = ctx };
+  g_queue_push_tail (requests->pending, r);
+  return r->number;
 }
 
 static void
-finish (mm_questions *q, GList *at, bool ok, const void *data, size_t len)
+finish (mm_questions *requests, GList *link, bool ok, const void *data,
+        size_t len)
 {
-  question *k = at->data;
-  g_queue_delete_link (q->open, at);
-  k->told (k->ctx, ok, data, len);
-  g_free (k);
+  request *r = link->data;
+  g_queue_delete_link (requests->pending, link);
+  r->answered (r->ctx, ok, data, len);
+  g_free (r);
 }
 
 void
-mm_questions_answer (mm_questions *q, uint64_t no, const void *data,
+mm_questions_answer (mm_questions *requests, uint64_t number, const void *data,
                      size_t len)
 {
-  for (GList *l = q->open->head; l; l = l->next)
-    if (((question *)l->data)->no == no)
+  for (GList *l = requests->pending->head; l; l = l->next)
+    if (((request *)l->data)->number == number)
       {
-        finish (q, l, true, data, len);
+        finish (requests, l, true, data, len);
         return;
       }
 }
 
-/* The first one that is over; those told may ask anew meanwhile.  */
+/* Returns the oldest request that has expired, or NULL.  The search starts
+   from the head each time, because a callback may add requests.  */
 static GList *
-first_until (mm_questions *q, mm_time_ms now)
+first_expired (mm_questions *requests, mm_time_ms now)
 {
-  for (GList *l = q->open->head; l; l = l->next)
-    if (((question *)l->data)->until_ms <= now)
+  for (GList *l = requests->pending->head; l; l = l->next)
+    if (((request *)l->data)->expires_ms <= now)
       return l;
   return NULL;
 }
 
 void
-mm_questions_expire (mm_questions *q, mm_time_ms now)
+mm_questions_expire (mm_questions *requests, mm_time_ms now)
 {
   GList *l;
-  while ((l = first_until (q, now)))
-    finish (q, l, false, NULL, 0);
+  while ((l = first_expired (requests, now)))
+    finish (requests, l, false, NULL, 0);
 }
 
 void
-mm_questions_fail_all (mm_questions *q)
+mm_questions_fail_all (mm_questions *requests)
 {
-  guint n = q->open->length;
-  for (guint i = 0; i < n && q->open->head; i++)
-    finish (q, q->open->head, false, NULL, 0);
+  guint n = requests->pending->length;
+  for (guint i = 0; i < n && requests->pending->head; i++)
+    finish (requests, requests->pending->head, false, NULL, 0);
 }
--- a/src/mm_questions.h
+++ b/src/mm_questions.h
@@ -1,4 +1,4 @@
-/* mm_questions: questions to another instance that are not answered yet.  */
+/* mm_requests: requests to another instance that have no answer yet.  */
 #ifndef MM_QUESTIONS_H
 #define MM_QUESTIONS_H
 
@@ -6,16 +6,22 @@
 
 typedef struct mm_questions mm_questions;
 
-/* @ok false: no answer came; whether the question arrived is open.  */
+/* Called once for each request.  @ok: false if no answer came; whether the
+   request has arrived is then unknown.  */
 typedef void (*mm_told) (void *ctx, bool ok, const void *data, size_t len);
 
 mm_questions *mm_questions_create (void);
-void mm_questions_destroy (mm_questions *q); /* nobody is told */
-uint64_t mm_questions_add (mm_questions *q, mm_time_ms until_ms, mm_told told,
-                           void *ctx); /* its number */
-void mm_questions_answer (mm_questions *q, uint64_t no, const void *data,
-                          size_t len); /* unknown numbers are passed over */
-void mm_questions_expire (mm_questions *q, mm_time_ms now);
-void mm_questions_fail_all (mm_questions *q);
+/* Calls none of the callbacks of pending requests.  */
+void mm_questions_destroy (mm_questions *requests);
+/* Adds a request and returns its number.  */
+uint64_t mm_questions_add (mm_questions *requests, mm_time_ms expires_ms,
+                           mm_told answered, void *ctx);
+/* Passes an answer to the request of this number; ignores unknown numbers.  */
+void mm_questions_answer (mm_questions *requests, uint64_t number,
+                          const void *data, size_t len);
+/* Fails all requests that have expired.  */
+void mm_questions_expire (mm_questions *requests, mm_time_ms now);
+/* Fails all pending requests, but not those that callbacks add meanwhile.  */
+void mm_questions_fail_all (mm_questions *requests);
 
 #endif /* MM_QUESTIONS_H */
--- a/src/mm_spread.c
+++ b/src/mm_spread.c
@@ -1,7 +1,8 @@
-/* mm_spread: nearest owner with room, else the shortest queue.
+/* mm_dispatch: chooses the nearest owner with free capacity, or the one with
+   the shortest queue if none has any.
 
-   Keeps traffic inside a data centre while it has room, and lets one with
-   more callers than upstreams overflow into the others.  */
+   Traffic stays inside a data centre while there is free capacity; one with
+   more callers than upstreams overflows into the others.  */
 #include "mm_spread.h"
 
 static double
@@ -18,7 +19,8 @@
     return a_free;
   if (!a_free)
     return queue_length (&a->room) < queue_length (&b->room);
-  /* Its room is not for this task: on an upstream to avoid, or too small.  */
+  /* An owner that returned the task cannot use its free capacity for it: the
+     capacity is on an upstream that the task avoids, or too small.  */
   if (a->gave_back != b->gave_back)
     return b->gave_back;
   if (a->near != b->near)
--- a/src/mm_steps.c
+++ b/src/mm_steps.c
@@ -1,28 +1,29 @@
-/* mm_steps: a step begins once all earlier steps that it names are done.  */
+/* mm_steps: starts a step once all earlier steps that it depends on are
+   done.  */
 #include "mm_steps.h"
 
 #include <string.h>
 
 typedef struct
 {
-  uint32_t first_task;
-  uint32_t done;
-  bool begun;
+  uint32_t first_task; /* number of its first task in the job */
+  uint32_t done;       /* tasks that are done */
+  bool started;
 } step_state;
 
 struct mm_steps
 {
-  const mm_submission *s;
+  const mm_submission *submission;
   step_state *steps;
-  uint32_t n_tasks;
-  uint32_t done;
+  uint32_t n_tasks; /* tasks of all steps */
+  uint32_t done;    /* tasks that are done */
 };
 
 mm_steps *
 mm_steps_create (const mm_submission *s)
 {
   mm_steps *t = g_new0 (mm_steps, 1);
-  t->s = s;
+  t->submission = s;
   t->steps = g_new0 (step_state, (size_t)s->n_steps + 1);
   for (uint32_t i = 0; i < s->n_steps; i++)
     {
@@ -45,7 +46,7 @@
 step_of (const mm_steps *t, uint32_t task)
 {
   uint32_t i = 0;
-  while (i + 1 < t->s->n_steps && t->steps[i + 1].first_task <= task)
+  while (i + 1 < t->submission->n_steps && t->steps[i + 1].first_task <= task)
     i++;
   return i;
 }
@@ -55,15 +56,16 @@
 {
   mm_task_id id = { .step = step_of (t, task) };
   id.index = task - t->steps[id.step].first_task;
-  g_strlcpy (id.job, t->s->id, sizeof id.job);
+  g_strlcpy (id.job, t->submission->id, sizeof id.job);
   return id;
 }
 
 int64_t
 mm_steps_number (const mm_steps *t, const mm_task_id *id)
 {
-  if (strcmp (id->job, t->s->id) != 0 || id->step >= t->s->n_steps
-      || id->index >= t->s->steps[id->step].count)
+  if (strcmp (id->job, t->submission->id) != 0
+      || id->step >= t->submission->n_steps
+      || id->index >= t->submission->steps[id->step].count)
     return -1;
   return t->steps[id->step].first_task + id->index;
 }
@@ -84,30 +86,30 @@
 static bool
 ready (const mm_steps *t, uint32_t step)
 {
-  const mm_step *s = &t->s->steps[step];
+  const mm_step *s = &t->submission->steps[step];
   for (uint32_t k = 0; k < s->n_after; k++)
-    if (t->steps[s->after[k]].done < t->s->steps[s->after[k]].count)
+    if (t->steps[s->after[k]].done < t->submission->steps[s->after[k]].count)
       return false;
   return true;
 }
 
 void
-mm_steps_begin_ready (mm_steps *t, mm_steps_begin begin, void *ctx)
+mm_steps_begin_ready (mm_steps *t, mm_steps_begin start, void *ctx)
 {
-  /* Collected first: @begin may end the job, and with it @t.  */
+  /* The tasks are collected first: @start may end the job and free @t.  */
   GArray *tasks = g_array_new (FALSE, FALSE, sizeof (uint32_t));
-  for (uint32_t i = 0; i < t->s->n_steps; i++)
+  for (uint32_t i = 0; i < t->submission->n_steps; i++)
     {
-      if (t->steps[i].begun || !ready (t, i))
+      if (t->steps[i].started || !ready (t, i))
         continue;
-      t->steps[i].begun = true;
-      for (uint32_t k = 0; k < t->s->steps[i].count; k++)
+      t->steps[i].started = true;
+      for (uint32_t k = 0; k < t->submission->steps[i].count; k++)
         {
           uint32_t task = t->steps[i].first_task + k;
           g_array_append_val (tasks, task);
         }
     }
   for (guint i = 0; i < tasks->len; i++)
-    begin (ctx, g_array_index (tasks, uint32_t, i));
+    start (ctx, g_array_index (tasks, uint32_t, i));
   g_array_free (tasks, TRUE);
 }
--- a/src/mm_steps.h
+++ b/src/mm_steps.h
@@ -1,4 +1,5 @@
-/* mm_steps: the order of a job's steps: which may begin, what is done.  */
+/* mm_steps: tracks which of a job's tasks are done and which steps can
+   start.  */
 #ifndef MM_STEPS_H
 #define MM_STEPS_H
 
@@ -6,18 +7,18 @@
 
 typedef struct mm_steps mm_steps;
 
-/* A task may begin; tasks are numbered through all steps.  */
+/* Starts a task.  Tasks are numbered through all steps of the job from 0.  */
 typedef void (*mm_steps_begin) (void *ctx, uint32_t task);
 
-mm_steps *mm_steps_create (const mm_submission *s); /* outlived by @s */
+mm_steps *mm_steps_create (const mm_submission *s); /* @s must outlive it */
 void mm_steps_destroy (mm_steps *t);
-mm_task_id mm_steps_task (const mm_steps *t, uint32_t task); /* its name */
-/* The number of a named task, -1 if there is none such.  */
+mm_task_id mm_steps_task (const mm_steps *t, uint32_t task); /* its id */
+/* The number of the task with this id, -1 if the job has no such task.  */
 int64_t mm_steps_number (const mm_steps *t, const mm_task_id *id);
 void mm_steps_note_done (mm_steps *t, uint32_t task);
 bool mm_steps_all_done (const mm_steps *t);
-/* Call @begin for each task of every step that newly may begin.  A job may
-   be over, and @t gone, once the last call returns.  */
-void mm_steps_begin_ready (mm_steps *t, mm_steps_begin begin, void *ctx);
+/* Calls @start for each task of every step that has become ready.  The job may
+   have ended, and @t be freed, once the last call returns.  */
+void mm_steps_begin_ready (mm_steps *t, mm_steps_begin start, void *ctx);
 
 #endif /* MM_STEPS_H */
