--- a/tests/owner_world.c
+++ b/tests/owner_world.c
@@ -1,4 +1,4 @@
-/* owner_world: see the header.  */
+/* owner_fixture: an owner with simulated upstreams in memory, for tests.  */
 #include "owner_world.h"
 
 #include <check.h>
@@ -10,55 +10,55 @@
   outcome *r = ctx;
   r->answers++;
   r->how = res->how;
-  r->at_ms = mm_clock_now_ms ();
+  r->ended_ms = mm_clock_now_ms ();
   r->work = NULL;
   g_strlcpy (r->upstream, res->upstream ? res->upstream : "",
              sizeof r->upstream);
 }
 
-world
-world_create (void)
+fixture
+fixture_create (void)
 {
-  world w = { .f = fakes_create () };
-  mm_exec_port port = fakes_port (w.f);
-  w.o = mm_owner_create (&port);
-  return w;
+  fixture fx = { .upstreams = fakes_create () };
+  mm_exec_port port = fakes_port (fx.upstreams);
+  fx.owner = mm_owner_create (&port);
+  return fx;
 }
 
 fake *
-world_add (world *w, const char *name)
+fixture_add (fixture *fx, const char *name)
 {
-  fake *x = fakes_add (w->f, name, WIDE);
-  mm_owner_own (w->o, fake_info (x), 5);
+  fake *x = fakes_add (fx->upstreams, name, UPSTREAM_CPU_MILLI);
+  mm_owner_own (fx->owner, fake_info (x), 5);
   return x;
 }
 
 void
-world_run (world *w, mm_time_ms ms)
+fixture_run (fixture *fx, mm_time_ms ms)
 {
-  fakes_run (w->f, w->o, ms);
+  fakes_run (fx->upstreams, fx->owner, ms);
 }
 
 void
-world_destroy (world *w)
+fixture_destroy (fixture *fx)
 {
-  mm_owner_destroy (w->o);
-  fakes_destroy (w->f);
+  mm_owner_destroy (fx->owner);
+  fakes_destroy (fx->upstreams);
 }
 
 void
-submit (world *w, outcome *r, const char *job, uint32_t index,
+submit (fixture *fx, outcome *r, const char *job, uint32_t index,
         mm_time_ms run_ms)
 {
   memset (r, 0, sizeof *r);
-  mm_task_request t = fakes_task (job, index, USUAL, run_ms);
-  r->work = mm_owner_submit (w->o, &t, on_done, r);
+  mm_task_request t = fakes_task (job, index, TASK_CPU_MILLI, run_ms);
+  r->work = mm_owner_submit (fx->owner, &t, on_done, r);
 }
 
 void
-assert_kept_promises (world *w)
+assert_invariants (fixture *fx)
 {
-  fakes_counts c = fakes_count (w->f);
+  fakes_counts c = fakes_count (fx->upstreams);
   ck_assert_uint_eq (c.over_capacity, 0);
   ck_assert_uint_eq (c.double_runs, 0);
 }
--- a/tests/owner_world.h
+++ b/tests/owner_world.h
@@ -1,36 +1,38 @@
-/* owner_world: an owner with upstreams in memory, for tests.  */
+/* owner_fixture: an owner with simulated upstreams in memory, for tests.  */
 #ifndef OWNER_WORLD_H
 #define OWNER_WORLD_H
 
 #include "fake_upstreams.h"
 
-#define WIDE 32000 /* cpu of an upstream: two tasks of USUAL fit */
-#define USUAL 14000
+#define UPSTREAM_CPU_MILLI 32000 /* two tasks of TASK_CPU_MILLI fit */
+#define TASK_CPU_MILLI 14000
 
-/* What became of a task handed to the owner.  */
+/* What was reported for a task that was submitted to the owner.  */
 typedef struct
 {
-  mm_work *work;
-  uint32_t answers;
+  mm_work *work;    /* NULL once the task has ended */
+  uint32_t answers; /* how often an end was reported */
   mm_end how;
-  mm_time_ms at_ms;
-  char upstream[32];
+  mm_time_ms ended_ms; /* when the end was reported */
+  char upstream[32];   /* where the task ran last, or "" */
 } outcome;
 
 typedef struct
 {
-  fakes *f;
-  mm_owner *o;
-} world;
+  fakes *upstreams;
+  mm_owner *owner;
+} fixture;
 
-world world_create (void);
-fake *world_add (world *w, const char *name); /* owned at once */
-void world_run (world *w, mm_time_ms ms);
-void world_destroy (world *w);
+fixture fixture_create (void);
+fake *fixture_add (fixture *fx, const char *name); /* owned at once */
+void fixture_run (fixture *fx, mm_time_ms ms);
+void fixture_destroy (fixture *fx);
 void on_done (void *ctx, const mm_work_result *res); /* fills an outcome */
-void submit (world *w, outcome *r, const char *job, uint32_t index,
-             mm_time_ms run_ms); /* a task of USUAL size */
-/* No upstream was over its room, no task ran twice at one time.  */
-void assert_kept_promises (world *w);
+/* Submits a task of TASK_CPU_MILLI.  */
+void submit (fixture *fx, outcome *r, const char *job, uint32_t index,
+             mm_time_ms run_ms);
+/* Asserts that no upstream was over its capacity and that no task ran twice at
+   the same time.  */
+void assert_invariants (fixture *fx);
 
 #endif /* OWNER_WORLD_H */
--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -1,5 +1,5 @@
-/* Upstreams change hands while tasks run there: two owners, and links between
-   them that delay and lose their messages.  */
+/* Upstreams change their owner while tasks run there.  Two owners transfer
+   the runs over links that delay and lose messages.  */
 #include "config.h"
 #include "fake_upstreams.h"
 #include "harness.h"
@@ -15,13 +15,14 @@
   CPU_MILLI = 14000,
   UPSTREAM_CPU_MILLI = 32000,
   FAULTS_MS = 6000,
-  END_MS = 12000, /* by then every task has ended */
+  END_MS = 12000, /* every task has ended by then */
   START_WITHIN_MS = 40,
   RUN_MAX_MS = 900,
   LINK_MAX_MS = 80,
-  SILENT_MS = 600, /* then a link is given up at its ends */
+  LINK_TIMEOUT_MS = 600, /* each end notices a broken link within it */
   RECONNECT_MS = 250,
-  RESEND_MS = 1300 /* out of sight, or its caller has left: run again then */
+  RESEND_MS = 1300 /* a task in doubt, or whose caller has left, is submitted
+                      again after it */
 };
 
 typedef enum
@@ -36,82 +37,84 @@
 {
   message_kind kind;
   mm_time_ms due_ms;
-  uint64_t no;
+  uint64_t number;
   mm_task_request request; /* MSG_RUN: its strings are copies */
   char upstream[16];       /* MSG_FOUND, MSG_ENDED */
-  mm_found_run found;      /* MSG_FOUND, but its upstream */
+  mm_found_run found;      /* MSG_FOUND, except the name of the upstream */
   uint32_t run;            /* MSG_ENDED */
   mm_end how;              /* MSG_ENDED */
 } message;
 
 typedef struct link link;
-typedef struct side side;
+typedef struct instance instance;
 
-/* A link from one owner to the other.  */
+/* A link on which one instance sends requests and the other answers.  */
 struct link
 {
-  side *from, *to;
-  GQueue *there, *back; /* messages under way */
+  instance *from, *to;
+  GQueue *requests, *answers; /* messages in flight */
   bool broken;
-  mm_time_ms sender_notices_ms, receiver_notices_ms; /* 0: has noticed */
-  mm_time_ms up_ms;                                  /* connected from then */
-  uint64_t last_no;
-  GHashTable *remote; /* no -> remote */
-  GHashTable *taken;  /* no -> taken */
+  /* When each end notices that the link is broken, 0: it has noticed.  */
+  mm_time_ms sender_notices_ms, receiver_notices_ms;
+  mm_time_ms connected_from_ms;
+  uint64_t last_number;
+  GHashTable *sent_runs;     /* number -> sent_run */
+  GHashTable *received_runs; /* number -> received_run */
 };
 
 typedef struct
 {
-  link *over;
-  uint64_t no;
+  link *via;
+  uint64_t number;
   mm_work *work;
-} remote;
+} sent_run;
 
 typedef struct
 {
-  link *over;
-  uint64_t no;
+  link *via;
+  uint64_t number;
   mm_work *work;
-} taken;
+} received_run;
 
-typedef struct world world;
+typedef struct fixture fixture;
 
-struct side
+struct instance
 {
-  world *at;
-  mm_owner *o;
+  fixture *fx;
+  mm_owner *owner;
   link *to_peer;
 };
 
-/* A task as whoever has its job sees it.  */
+/* A task as its submitter sees it.  */
 typedef struct
 {
-  world *at;
+  fixture *fx;
   uint32_t index;
   mm_time_ms run_ms;
   mm_work *work;
-  int with; /* the owner that has it */
-  mm_time_ms again_ms;
+  int submitted_to; /* index of the instance */
+  mm_time_ms retry_ms;
   bool done;
 } task;
 
-struct world
+struct fixture
 {
-  fakes *f;
+  fakes *fake_upstreams;
   GRand *rand;
-  side p[OWNERS];
-  fake *x[UPSTREAMS];
-  int owner[UPSTREAMS];
-  mm_time_ms disown_ms[UPSTREAMS]; /* the last owner learns by then */
+  instance instances[OWNERS];
+  fake *upstreams[UPSTREAMS];
+  int owner_of[UPSTREAMS]; /* index of the instance */
+  /* When the previous owner learns that it is none any more.  */
+  mm_time_ms disown_at_ms[UPSTREAMS];
   uint64_t fence;
   task tasks[TASKS];
   uint32_t adopted;
 };
 
 static int
-draw (world *s, int below)
+random_below (fixture *fx, int below)
 {
-  return g_rand_int_range (s->rand, 0, below);
+  return g_rand_int_range (fx->rand, 0, below);
 }
 
 /* ---- links ------------------------------------------------------------ */
@@ -119,7 +122,8 @@
 static bool
 connected (const link *l)
 {
-  return !l->sender_notices_ms && fakes_now (l->from->at->f) >= l->up_ms;
+  return !l->sender_notices_ms
+         && fakes_now (l->from->fx->fake_upstreams) >= l->connected_from_ms;
 }
 
 static void
@@ -134,9 +138,10 @@
 static void
 send_message (link *l, GQueue *way, message *m)
 {
-  world *s = l->from->at;
+  fixture *fx = l->from->fx;
   const message *last = g_queue_peek_tail (way);
-  m->due_ms = fakes_now (s->f) + 1 + draw (s, LINK_MAX_MS);
+  m->due_ms
+      = fakes_now (fx->fake_upstreams) + 1 + random_below (fx, LINK_MAX_MS);
   if (last)
     m->due_ms = MAX (m->due_ms, last->due_ms);
   if (l->broken)
@@ -148,31 +153,31 @@
 static void
 break_link (link *l)
 {
-  world *s = l->from->at;
+  fixture *fx = l->from->fx;
   if (l->broken)
     return;
   l->broken = true;
-  g_queue_clear_full (l->there, (GDestroyNotify)message_free);
-  g_queue_clear_full (l->back, (GDestroyNotify)message_free);
-  mm_time_ms now = fakes_now (s->f);
-  l->sender_notices_ms = now + 1 + draw (s, SILENT_MS);
-  l->receiver_notices_ms = now + 1 + draw (s, SILENT_MS);
+  g_queue_clear_full (l->requests, (GDestroyNotify)message_free);
+  g_queue_clear_full (l->answers, (GDestroyNotify)message_free);
+  mm_time_ms now = fakes_now (fx->fake_upstreams);
+  l->sender_notices_ms = now + 1 + random_below (fx, LINK_TIMEOUT_MS);
+  l->receiver_notices_ms = now + 1 + random_below (fx, LINK_TIMEOUT_MS);
 }
 
 static void
 notice_break (link *l)
 {
-  mm_time_ms now = fakes_now (l->from->at->f);
+  mm_time_ms now = fakes_now (l->from->fx->fake_upstreams);
   GHashTableIter it;
   gpointer v;
   if (l->sender_notices_ms && now >= l->sender_notices_ms)
     {
       l->sender_notices_ms = 0;
-      l->up_ms = G_MAXINT64;
-      while (g_hash_table_iter_init (&it, l->remote),
+      l->connected_from_ms = G_MAXINT64;
+      while (g_hash_table_iter_init (&it, l->sent_runs),
              g_hash_table_iter_next (&it, NULL, &v))
         {
-          remote *r = v;
+          sent_run *r = v;
           g_hash_table_iter_steal (&it);
           mm_work_result lost = { .how = MM_END_UNKNOWN, .why = "link lost" };
           mm_owner_passed_end (r->work, &lost);
@@ -182,95 +187,96 @@
   if (l->receiver_notices_ms && now >= l->receiver_notices_ms)
     {
       l->receiver_notices_ms = 0;
-      g_hash_table_iter_init (&it, l->taken);
+      g_hash_table_iter_init (&it, l->received_runs);
       while (g_hash_table_iter_next (&it, NULL, &v))
-        mm_owner_cancel (l->to->o, ((taken *)v)->work);
-      g_hash_table_remove_all (l->taken);
+        mm_owner_cancel (l->to->owner, ((received_run *)v)->work);
+      g_hash_table_remove_all (l->received_runs);
     }
   if (l->broken && !l->sender_notices_ms && !l->receiver_notices_ms)
     {
       l->broken = false;
-      l->up_ms = now + RECONNECT_MS;
+      l->connected_from_ms = now + RECONNECT_MS;
     }
 }
 
 static void
-on_taken_done (void *ctx, const mm_work_result *r)
+on_received_run_done (void *ctx, const mm_work_result *r)
 {
-  taken *t = ctx;
+  received_run *t = ctx;
   message *m = g_new0 (message, 1);
   m->kind = MSG_ENDED;
-  m->no = t->no;
+  m->number = t->number;
   m->how = r->how;
   m->run = r->run;
   g_strlcpy (m->upstream, r->upstream ? r->upstream : "", sizeof m->upstream);
-  send_message (t->over, t->over->back, m);
-  g_hash_table_remove (t->over->taken, &t->no);
+  send_message (t->via, t->via->answers, m);
+  g_hash_table_remove (t->via->received_runs, &t->number);
 }
 
 static void
 receive_run (link *l, const message *m)
 {
-  taken *t = g_new0 (taken, 1);
-  t->over = l;
-  t->no = m->no;
-  g_hash_table_insert (l->taken, &t->no, t);
-  t->work = mm_owner_submit (l->to->o, &m->request, on_taken_done, t);
+  received_run *t = g_new0 (received_run, 1);
+  t->via = l;
+  t->number = m->number;
+  g_hash_table_insert (l->received_runs, &t->number, t);
+  t->work
+      = mm_owner_submit (l->to->owner, &m->request, on_received_run_done, t);
 }
 
 static void
 receive_cancel (link *l, const message *m)
 {
-  taken *t = g_hash_table_lookup (l->taken, &m->no);
+  received_run *t = g_hash_table_lookup (l->received_runs, &m->number);
   if (!t)
     return;
-  mm_owner_cancel (l->to->o, t->work);
-  g_hash_table_remove (l->taken, &m->no);
+  mm_owner_cancel (l->to->owner, t->work);
+  g_hash_table_remove (l->received_runs, &m->number);
 }
 
-static remote *
-pass_on (link *l, const mm_task_request *t, mm_work *w)
+static sent_run *
+transfer_run (link *l, const mm_task_request *t, mm_work *w)
 {
-  remote *r = g_new0 (remote, 1);
-  r->over = l;
-  r->no = ++l->last_no;
+  sent_run *r = g_new0 (sent_run, 1);
+  r->via = l;
+  r->number = ++l->last_number;
   r->work = w;
-  g_hash_table_insert (l->remote, &r->no, r);
+  g_hash_table_insert (l->sent_runs, &r->number, r);
   message *m = g_new0 (message, 1);
   m->kind = MSG_RUN;
-  m->no = r->no;
+  m->number = r->number;
   m->request = *t;
   m->request.service = g_strdup (t->service);
   m->request.payload = g_strdup (t->payload);
   m->request.running_at = g_strdup (t->running_at);
-  send_message (l, l->there, m);
+  send_message (l, l->requests, m);
   return r;
 }
 
-/* The other owner asks whose run it is.  */
+/* The other owner has found a run and requests its task.  */
 static void
 receive_found (link *l, const message *m)
 {
-  side *p = l->to;
+  instance *self = l->to;
   mm_task_request t;
-  if (!connected (p->to_peer))
+  if (!connected (self->to_peer))
     return;
   mm_found_run found = m->found;
   found.upstream = m->upstream;
-  mm_work *w = mm_owner_claim (p->o, &found, &t);
+  mm_work *w = mm_owner_claim (self->owner, &found, &t);
   if (!w)
     return;
-  p->at->adopted++;
-  mm_owner_pass_on (p->o, w, pass_on (p->to_peer, &t, w));
+  self->fx->adopted++;
+  mm_owner_pass_on (self->owner, w, transfer_run (self->to_peer, &t, w));
 }
 
 static void
 receive_ended (link *l, const message *m)
 {
-  remote *r = g_hash_table_lookup (l->remote, &m->no);
+  sent_run *r = g_hash_table_lookup (l->sent_runs, &m->number);
   if (!r)
     return;
-  g_hash_table_steal (l->remote, &m->no);
+  g_hash_table_steal (l->sent_runs, &m->number);
   mm_work_result res
       = { .how = m->how, .upstream = m->upstream, .run = m->run };
   mm_owner_passed_end (r->work, &res);
@@ -302,7 +308,7 @@
 {
   message *m;
   while ((m = g_queue_peek_head (way))
-         && fakes_now (l->from->at->f) >= m->due_ms)
+         && fakes_now (l->from->fx->fake_upstreams) >= m->due_ms)
     {
       g_queue_pop_head (way);
       receive (l, m);
@@ -313,26 +319,26 @@
 static void
 on_found (void *ctx, const mm_found_run *r)
 {
-  side *p = ctx;
-  if (!connected (p->to_peer))
+  instance *self = ctx;
+  if (!connected (self->to_peer))
     return;
   message *m = g_new0 (message, 1);
   m->kind = MSG_FOUND;
   m->found = *r;
   g_strlcpy (m->upstream, r->upstream, sizeof m->upstream);
-  send_message (p->to_peer, p->to_peer->there, m);
+  send_message (self->to_peer, self->to_peer->requests, m);
 }
 
 static void
-on_cancel (void *ctx, void *passed_on)
+on_cancel (void *ctx, void *transfer)
 {
-  remote *r = passed_on;
-  link *l = r->over;
+  sent_run *r = transfer;
+  link *l = r->via;
   message *m = g_new0 (message, 1);
   m->kind = MSG_CANCEL;
-  m->no = r->no;
-  g_hash_table_remove (l->remote, &r->no);
-  send_message (l, l->there, m);
+  m->number = r->number;
+  g_hash_table_remove (l->sent_runs, &r->number);
+  send_message (l, l->requests, m);
 }
 
 /* ---- tasks ------------------------------------------------------------ */
@@ -343,185 +349,197 @@
   task *t = ctx;
   t->work = NULL;
   t->done = r->how == MM_END_DONE;
-  t->again_ms = fakes_now (t->at->f) + 1;
+  t->retry_ms = fakes_now (t->fx->fake_upstreams) + 1;
   if (r->how == MM_END_UNKNOWN)
-    t->again_ms += RESEND_MS;
+    t->retry_ms += RESEND_MS;
 }
 
 static void
-hand_out (task *t)
+submit_task (task *t)
 {
-  world *s = t->at;
+  fixture *fx = t->fx;
   char name[16];
   g_snprintf (name, sizeof name, "job-%u", t->index);
   mm_task_request r = fakes_task (name, 0, CPU_MILLI, t->run_ms);
   r.start_within = START_WITHIN_MS;
-  t->with = draw (s, OWNERS);
-  t->work = mm_owner_submit (s->p[t->with].o, &r, on_task_done, t);
+  t->submitted_to = random_below (fx, OWNERS);
+  t->work = mm_owner_submit (fx->instances[t->submitted_to].owner, &r,
+                             on_task_done, t);
 }
 
-/* Its caller's connection breaks, and it asks again elsewhere.  */
+/* The caller's connection breaks; it sends the task again after RESEND_MS.  */
 static void
-leave (task *t)
+cancel_task (task *t)
 {
   if (!t->work)
     return;
-  mm_owner_cancel (t->at->p[t->with].o, t->work);
+  mm_owner_cancel (t->fx->instances[t->submitted_to].owner, t->work);
   t->work = NULL;
-  t->again_ms = fakes_now (t->at->f) + RESEND_MS;
+  t->retry_ms = fakes_now (t->fx->fake_upstreams) + RESEND_MS;
 }
 
 /* ---- faults ----------------------------------------------------------- */
 
 static link *
-link_create (side *from, side *to)
+link_create (instance *from, instance *to)
 {
   link *l = g_new0 (link, 1);
   l->from = from;
   l->to = to;
-  l->there = g_queue_new ();
-  l->back = g_queue_new ();
-  l->remote
+  l->requests = g_queue_new ();
+  l->answers = g_queue_new ();
+  l->sent_runs
+      = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
+  l->received_runs
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
-  l->taken = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   return l;
 }
 
 static void
 link_free (link *l)
 {
-  g_queue_free_full (l->there, (GDestroyNotify)message_free);
-  g_queue_free_full (l->back, (GDestroyNotify)message_free);
-  g_hash_table_destroy (l->remote);
-  g_hash_table_destroy (l->taken);
+  g_queue_free_full (l->requests, (GDestroyNotify)message_free);
+  g_queue_free_full (l->answers, (GDestroyNotify)message_free);
+  g_hash_table_destroy (l->sent_runs);
+  g_hash_table_destroy (l->received_runs);
   g_free (l);
 }
 
 static void
-move_upstream (world *s, int i)
-{
-  int next = 1 - s->owner[i];
-  s->owner[i] = next;
-  s->disown_ms[i]
-      = draw (s, 2) ? fakes_now (s->f) + draw (s, 300) : G_MAXINT64;
-  mm_owner_own (s->p[next].o, fake_info (s->x[i]), ++s->fence);
+change_owner (fixture *fx, int i)
+{
+  int next = 1 - fx->owner_of[i];
+  fx->owner_of[i] = next;
+  fx->disown_at_ms[i] = random_below (fx, 2) ? fakes_now (fx->fake_upstreams)
+                                                   + random_below (fx, 300)
+                                             : G_MAXINT64;
+  mm_owner_own (fx->instances[next].owner, fake_info (fx->upstreams[i]),
+                ++fx->fence);
 }
 
 static void
-disown (world *s)
+disown_upstreams (fixture *fx)
 {
   for (int i = 0; i < UPSTREAMS; i++)
-    if (fakes_now (s->f) >= s->disown_ms[i])
+    if (fakes_now (fx->fake_upstreams) >= fx->disown_at_ms[i])
       {
-        s->disown_ms[i] = G_MAXINT64;
-        mm_owner_disown (s->p[1 - s->owner[i]].o, fake_info (s->x[i])->name);
+        fx->disown_at_ms[i] = G_MAXINT64;
+        mm_owner_disown (fx->instances[1 - fx->owner_of[i]].owner,
+                         fake_info (fx->upstreams[i])->name);
       }
 }
 
 static void
-cause_faults (world *s)
-{
-  if (draw (s, 250) == 0)
-    move_upstream (s, draw (s, UPSTREAMS));
-  if (draw (s, 700) == 0)
-    break_link (s->p[draw (s, OWNERS)].to_peer);
-  fake_mode *m = fake_mode_of (s->x[draw (s, UPSTREAMS)]);
-  if (draw (s, 400) == 0)
-    m->slow_answers_ms = draw (s, 2) ? draw (s, 40) : 0;
-  if (draw (s, 600) == 0)
+cause_faults (fixture *fx)
+{
+  if (random_below (fx, 250) == 0)
+    change_owner (fx, random_below (fx, UPSTREAMS));
+  if (random_below (fx, 700) == 0)
+    break_link (fx->instances[random_below (fx, OWNERS)].to_peer);
+  fake_mode *m = fake_mode_of (fx->upstreams[random_below (fx, UPSTREAMS)]);
+  if (random_below (fx, 400) == 0)
+    m->slow_answers_ms = random_below (fx, 2) ? random_below (fx, 40) : 0;
+  if (random_below (fx, 600) == 0)
     {
       m->lose_starts = 1;
-      m->late_ms = draw (s, 2) ? 1 + draw (s, 900) : 0;
+      m->late_ms = random_below (fx, 2) ? 1 + random_below (fx, 900) : 0;
     }
-  if (draw (s, 600) == 0)
+  if (random_below (fx, 600) == 0)
     m->lose_holds = 1;
-  if (draw (s, 800) == 0)
-    leave (&s->tasks[draw (s, TASKS)]);
+  if (random_below (fx, 800) == 0)
+    cancel_task (&fx->tasks[random_below (fx, TASKS)]);
 }
 
 static void
-step (world *s, mm_time_ms t)
+step (fixture *fx, mm_time_ms t)
 {
-  fakes_run (s->f, NULL, 1);
+  fakes_run (fx->fake_upstreams, NULL, 1);
   for (int i = 0; i < OWNERS; i++)
     {
-      link *l = s->p[i].to_peer;
+      link *l = fx->instances[i].to_peer;
       notice_break (l);
-      deliver (l, l->there);
-      deliver (l, l->back);
+      deliver (l, l->requests);
+      deliver (l, l->answers);
       if (t % MM_EXEC_TICK_MS == 0)
-        mm_owner_tick (s->p[i].o);
+        mm_owner_tick (fx->instances[i].owner);
     }
-  disown (s);
+  disown_upstreams (fx);
   if (t < FAULTS_MS)
-    cause_faults (s);
+    cause_faults (fx);
   for (int i = 0; i < TASKS; i++)
     {
-      task *k = &s->tasks[i];
-      if (!k->work && !k->done && fakes_now (s->f) >= k->again_ms)
-        hand_out (k);
+      task *k = &fx->tasks[i];
+      if (!k->work && !k->done
+          && fakes_now (fx->fake_upstreams) >= k->retry_ms)
+        submit_task (k);
     }
 }
 
 static void
-begin (world *s, uint32_t seed)
+fixture_init (fixture *fx, uint32_t seed)
 {
-  memset (s, 0, sizeof *s);
-  s->f = fakes_create ();
-  s->rand = g_rand_new_with_seed (seed);
-  s->fence = 1;
-  mm_exec_port port = fakes_port (s->f);
+  memset (fx, 0, sizeof *fx);
+  fx->fake_upstreams = fakes_create ();
+  fx->rand = g_rand_new_with_seed (seed);
+  fx->fence = 1;
+  mm_exec_port port = fakes_port (fx->fake_upstreams);
   for (int i = 0; i < OWNERS; i++)
     {
-      s->p[i].at = s;
-      s->p[i].o = mm_owner_create (&port);
-      s->p[i].to_peer = link_create (&s->p[i], &s->p[1 - i]);
-      mm_owner_links l
-          = { .found = on_found, .cancel = on_cancel, .ctx = &s->p[i] };
-      mm_owner_set_links (s->p[i].o, &l);
+      fx->instances[i].fx = fx;
+      fx->instances[i].owner = mm_owner_create (&port);
+      fx->instances[i].to_peer
+          = link_create (&fx->instances[i], &fx->instances[1 - i]);
+      mm_owner_links l = { .found = on_found,
+                           .cancel = on_cancel,
+                           .ctx = &fx->instances[i] };
+      mm_owner_set_links (fx->instances[i].owner, &l);
     }
   for (int i = 0; i < UPSTREAMS; i++)
     {
       char name[4] = { 'a' + (char)i };
-      s->x[i] = fakes_add (s->f, name, UPSTREAM_CPU_MILLI);
-      s->disown_ms[i] = G_MAXINT64;
-      mm_owner_own (s->p[0].o, fake_info (s->x[i]), s->fence);
+      fx->upstreams[i]
+          = fakes_add (fx->fake_upstreams, name, UPSTREAM_CPU_MILLI);
+      fx->disown_at_ms[i] = G_MAXINT64;
+      mm_owner_own (fx->instances[0].owner, fake_info (fx->upstreams[i]),
+                    fx->fence);
     }
   for (int i = 0; i < TASKS; i++)
-    s->tasks[i] = (task){ .at = s,
-                          .index = (uint32_t)i,
-                          .run_ms = 50 + draw (s, RUN_MAX_MS),
-                          .again_ms = fakes_now (s->f) + draw (s, FAULTS_MS) };
+    fx->tasks[i] = (task){ .fx = fx,
+                           .index = (uint32_t)i,
+                           .run_ms = 50 + random_below (fx, RUN_MAX_MS),
+                           .retry_ms = fakes_now (fx->fake_upstreams)
+                                       + random_below (fx, FAULTS_MS) };
 }
 
 static void
-end (world *s)
+fixture_clear (fixture *fx)
 {
   for (int i = 0; i < OWNERS; i++)
-    mm_owner_destroy (s->p[i].o);
+    mm_owner_destroy (fx->instances[i].owner);
   for (int i = 0; i < OWNERS; i++)
-    link_free (s->p[i].to_peer);
-  g_rand_free (s->rand);
-  fakes_destroy (s->f);
+    link_free (fx->instances[i].to_peer);
+  g_rand_free (fx->rand);
+  fakes_destroy (fx->fake_upstreams);
 }
 
-/* A run that one owner has taken over and the other has given up would start
-   elsewhere while it goes on.  */
-START_TEST (no_task_runs_twice_and_each_ends_while_upstreams_change_hands)
+/* Guards against a task that runs twice at a time: its run goes on under the
+   next owner while the previous one takes it for lost, and the submitter
+   starts it elsewhere.  */
+START_TEST (no_task_runs_twice_and_each_ends_while_owners_change)
 {
-  world s;
-  begin (&s, (uint32_t)_i);
+  fixture fx;
+  fixture_init (&fx, (uint32_t)_i);
   for (mm_time_ms t = 0; t < END_MS; t++)
     {
-      step (&s, t);
-      fakes_counts c = fakes_count (s.f);
+      step (&fx, t);
+      fakes_counts c = fakes_count (fx.fake_upstreams);
       ck_assert_msg (c.double_runs == 0, "seed %d, at %d: ran twice", _i,
                      (int)t);
       ck_assert_uint_eq (c.over_capacity, 0);
     }
   for (int i = 0; i < TASKS; i++)
-    ck_assert_msg (s.tasks[i].done, "seed %d: task %d has no end", _i, i);
-  end (&s);
+    ck_assert_msg (fx.tasks[i].done, "seed %d: task %d has no end", _i, i);
+  fixture_clear (&fx);
 }
 END_TEST
 
@@ -531,9 +549,8 @@
   Suite *s = suite_create ("adoption");
   TCase *c = tcase_create ("faults");
   tcase_set_timeout (c, 60);
-  tcase_add_loop_test (
-      c, no_task_runs_twice_and_each_ends_while_upstreams_change_hands, 0,
-      400);
+  tcase_add_loop_test (c, no_task_runs_twice_and_each_ends_while_owners_change,
+                       0, 400);
   suite_add_tcase (s, c);
   return h_run_suite (s);
 }
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -1,5 +1,5 @@
-/* Decisions of their own: admission, spreading, placing, trust, routes and
-   kinds of jobs; no network, no clock.  */
+/* Decisions that need no network and no clock: admission, dispatch,
+   placement, circuit breaker, routes and kinds of jobs.  */
 #include "config.h"
 #include "mm_admission.h"
 #include "mm_patience.h"
@@ -15,7 +15,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-START_TEST (job_that_fits_is_taken_without_a_wait)
+START_TEST (job_that_fits_is_accepted_without_a_wait)
 {
   mm_load load = { .places = 100, .free = 8, .mean_task_ms = 200 };
   mm_admission a = mm_admission_decide (&load, 8, 0);
@@ -24,9 +24,9 @@
 }
 END_TEST
 
-/* A burst fills all places.  A caller whose job could only come late is
-   told at once, and when to come back; one with time to spare waits.  */
-START_TEST (job_that_would_come_too_late_is_refused_at_once)
+/* A burst fills all places.  A job that would finish too late is refused on
+   arrival, with a time to retry; one with enough slack waits.  */
+START_TEST (job_that_would_finish_too_late_is_refused_at_once)
 {
   mm_load load
       = { .places = 100, .free = 0, .waiting = 92, .mean_task_ms = 200 };
@@ -34,14 +34,14 @@
   ck_assert (!tight.take);
   ck_assert_int_eq (tight.wait_ms, 200);
   ck_assert_uint_ge (tight.retry_after_s, 1);
-  mm_admission roomy = mm_admission_decide (&load, 8, 500);
-  ck_assert (roomy.take);
+  mm_admission relaxed = mm_admission_decide (&load, 8, 500);
+  ck_assert (relaxed.take);
 }
 END_TEST
 
-/* No owner of upstreams is in sight.  They may be changing hands, which a
-   job with half a second to spare can wait for; another is told at once. */
-START_TEST (job_without_any_owner_in_reach_waits_only_if_it_can)
+/* No owner of upstreams is known, which may be due to a handover.  A job with
+   half a second of slack waits for it; another one is refused at once.  */
+START_TEST (job_waits_for_a_new_owner_only_if_it_has_slack)
 {
   mm_load load = { .mean_task_ms = 200 };
   mm_admission a = mm_admission_decide (&load, 1, MM_OWNER_GAP_MS - 1);
@@ -62,16 +62,16 @@
 }
 END_TEST
 
-/* Callers arrive at twice the rate that the places can serve, for three
-   seconds.  Without a refusal the queue grows without end and after a
-   second nobody is in time; with it, most of those taken are.  */
+/* Jobs arrive at twice the rate that the places can serve, for three seconds.
+   Without refusals the queue grows without limit, and after a second every
+   job is late; with them, most accepted jobs are in time.  */
 START_TEST (overload_is_refused_rather_than_served_late)
 {
   enum
   {
     PLACES = 100,
     TASK_MS = 200,
-    PER_MS = 1 /* tasks come one a ms; 0.5 a ms are served */
+    PER_MS = 1 /* one task arrives each ms; 0.5 per ms are served */
   };
   double waiting = 0, busy = 0;
   int taken = 0, refused = 0, late = 0;
@@ -98,13 +98,13 @@
 }
 END_TEST
 
-/* All instances are away for 1.1 s.  Who asked meanwhile comes again 1.3 s
-   after, when others ask for the first time.  100 places, 200 ms a task; 400
-   tasks a second are asked for, 500 can be run.
-   Return: the share of first-timers of the next two seconds who are in time.
- */
+/* Simulates an outage of all instances for 1.1 s.  Callers that sent jobs
+   meanwhile send them again 1.3 s later, beside the new jobs.  There are 100
+   places and a task takes 200 ms; 400 new tasks arrive per second, and 500
+   can be run.  Returns the share of the new jobs of the next two seconds that
+   are in time.  */
 static double
-served_in_time_beside_a_herd (bool judge_patience)
+served_in_time_beside_jobs_sent_again (bool use_timeout)
 {
   enum
   {
@@ -112,35 +112,35 @@
     TASK_MS = 200,
     SLACK_MS = 165,
     USEFUL_MS = 1140,
-    WHOLE_MS = 2640, /* of patience */
-    HERD_FROM_MS = 200,
-    HERD_TO_MS = 1300,
+    TIMEOUT_MS = 2640, /* a caller's full timeout */
+    RESENT_FROM_MS = 200,
+    RESENT_TO_MS = 1300,
     END_MS = 2000
   };
   mm_patience p = { 0 };
-  double busy = 0, waiting = 0, asked = 0, in_time = 0;
+  double busy = 0, waiting = 0, sent = 0, in_time = 0;
   for (int ms = 0; ms < END_MS; ms++)
     {
       double served = busy / TASK_MS;
       busy -= served;
-      bool herd = ms >= HERD_FROM_MS && ms < HERD_TO_MS;
-      for (int again = 0; again <= herd; again++)
+      bool resending = ms >= RESENT_FROM_MS && ms < RESENT_TO_MS;
+      for (int resent = 0; resent <= resending; resent++)
         {
           if (ms % 5 >= 2)
-            continue; /* two tasks each 5 ms */
+            continue; /* two tasks arrive every 5 ms */
           mm_time_ms slack = SLACK_MS;
-          bool over = mm_patience_is_over (
-              &p, again ? WHOLE_MS - MM_RESEND_MS : WHOLE_MS, USEFUL_MS);
-          if (over && judge_patience)
+          bool too_late = mm_patience_is_over (
+              &p, resent ? TIMEOUT_MS - MM_RESEND_MS : TIMEOUT_MS, USEFUL_MS);
+          if (too_late && use_timeout)
             slack = 0;
           mm_load load = { .places = PLACES,
                            .free = (uint32_t)MAX (PLACES - busy - waiting, 0),
                            .waiting = (uint32_t)waiting,
                            .mean_task_ms = TASK_MS };
           mm_admission a = mm_admission_decide (&load, 1, slack);
-          if (!again)
+          if (!resent)
             {
-              asked++;
+              sent++;
               in_time += a.take && waiting * TASK_MS / PLACES <= SLACK_MS;
             }
           waiting += a.take;
@@ -149,42 +149,44 @@
       waiting -= start;
       busy += start;
     }
-  return in_time / asked;
+  return in_time / sent;
 }
 
-/* Callers who lost their connections in an outage take the room of those who
-   could still be in time, though an answer is of no use to them any more: 0.91
-   of these were in time, now all are.  */
-START_TEST (herd_after_an_outage_does_not_push_out_first_timers)
+/* Jobs that are sent again after an outage use the capacity of new jobs that
+   could still be in time, though an answer is of no use to their callers any
+   more.  Without use of the remaining timeout 0.91 of the new jobs are in
+   time, with it all are.  */
+START_TEST (jobs_sent_again_after_an_outage_do_not_displace_new_jobs)
 {
-  double before = served_in_time_beside_a_herd (false);
-  double now = served_in_time_beside_a_herd (true);
+  double before = served_in_time_beside_jobs_sent_again (false);
+  double now = served_in_time_beside_jobs_sent_again (true);
   ck_assert_msg (now >= 0.97 && now > before, "%.2f, %.2f before", now,
                  before);
 }
 END_TEST
 
-/* Callers of a queue have 1.5 s to spare, one has 0.2 s left: it has asked
-   before.  Where all have little to spare nobody has, and where an answer is
-   of use for longer than it takes to come again, it still is.  */
-START_TEST (patience_tells_who_has_asked_before)
+/* Callers of a queue have 1.5 s to spare, and one has 0.2 s left: it has sent
+   its job before.  No caller has where all of them have little time to spare,
+   and where an answer is of use for longer than a caller takes to send a job
+   again, it still is.  */
+START_TEST (remaining_timeout_shows_that_a_job_was_sent_before)
 {
   mm_patience p = { 0 };
   for (int i = 0; i < 20; i++)
     ck_assert (!mm_patience_is_over (&p, 1500 + 470 + i, 470));
   ck_assert (mm_patience_is_over (&p, 200 + 470, 470));
   ck_assert (!mm_patience_is_over (&p, 1500 + 470, 470));
-  mm_patience hurried = { 0 };
+  mm_patience short_timeouts = { 0 };
   for (int i = 0; i < 20; i++)
-    ck_assert (!mm_patience_is_over (&hurried, 300 + 470 - i, 470));
-  mm_patience patient = { 0 };
-  ck_assert (!mm_patience_is_over (&patient, 6000, 4500));
-  ck_assert (!mm_patience_is_over (&patient, 4600, 4500));
+    ck_assert (!mm_patience_is_over (&short_timeouts, 300 + 470 - i, 470));
+  mm_patience long_timeouts = { 0 };
+  ck_assert (!mm_patience_is_over (&long_timeouts, 6000, 4500));
+  ck_assert (!mm_patience_is_over (&long_timeouts, 4600, 4500));
 }
 END_TEST
 
-/* Sixty tasks of a less urgent queue wait.  They stand behind an urgent job,
-   which was refused for them; for one of their own queue they stand before. */
+/* Sixty tasks of a less urgent queue wait.  They must not cause the refusal of
+   an urgent job, which goes before them, but of a job of their own queue.  */
 START_TEST (nobody_is_refused_for_tasks_that_stand_behind)
 {
   mm_room_report r
@@ -209,7 +211,7 @@
   };
 }
 
-START_TEST (task_goes_to_the_nearest_owner_with_room)
+START_TEST (task_goes_to_the_nearest_owner_with_free_capacity)
 {
   mm_spread_choice c[]
       = { owner (MM_NEAR_SELF, 10, 0, 0), owner (MM_NEAR_FAR, 10, 9, 0),
@@ -218,7 +220,7 @@
 }
 END_TEST
 
-START_TEST (task_goes_last_to_the_owner_that_gave_it_back)
+START_TEST (task_goes_last_to_the_owner_that_returned_it)
 {
   mm_spread_choice c[]
       = { owner (MM_NEAR_SELF, 10, 3, 0), owner (MM_NEAR_FAR, 10, 1, 0),
@@ -230,7 +232,7 @@
 }
 END_TEST
 
-START_TEST (task_goes_to_the_shortest_queue_when_all_is_full)
+START_TEST (task_goes_to_the_shortest_queue_when_all_owners_are_full)
 {
   mm_spread_choice c[]
       = { owner (MM_NEAR_SELF, 10, 0, 6), owner (MM_NEAR_FAR, 40, 0, 8),
@@ -263,7 +265,7 @@
 }
 END_TEST
 
-START_TEST (memory_and_accelerators_bound_a_place_too)
+START_TEST (memory_and_gpus_limit_placement_too)
 {
   mm_need need = { .cpu_milli = 1, .mem_mb = 100, .gpus = 1 };
   mm_place_candidate c = upstream (32000, 1);
@@ -276,10 +278,11 @@
 }
 END_TEST
 
-/* An upstream fails what it starts: excluded after three in a row, then
-   one task at a time, for longer after each failed trial.  One task that
-   fails by its own fault excludes nothing.  */
-START_TEST (failures_in_a_row_exclude_an_upstream_until_a_trial_ends_well)
+/* An upstream fails the tasks that it starts.  It is excluded after three
+   failures in a row, then gets one task at a time as a trial, and is excluded
+   for longer after each failed trial.  A single task that fails by its own
+   fault does not exclude it.  */
+START_TEST (failures_in_a_row_exclude_an_upstream_until_a_trial_succeeds)
 {
   mm_trust t = { 0 };
   mm_trust_note (&t, false, 0);
@@ -338,7 +341,7 @@
 }
 END_TEST
 
-START_TEST (jobs_that_are_not_served_are_told_so)
+START_TEST (unsupported_jobs_are_rejected)
 {
   mm_step step = { .count = 2 };
   mm_submission s = { .best_effort = true, .steps = &step, .n_steps = 1 };
@@ -359,13 +362,13 @@
 }
 END_TEST
 
-/* Updates pass through a queue that grows and empties, between clocks that are
-   apart and drift.  */
-START_TEST (time_in_queues_is_found_between_clocks_that_differ)
+/* Updates pass through a queue that grows and empties.  The clocks of sender
+   and receiver differ and drift.  */
+START_TEST (queue_delay_is_found_despite_clock_offset_and_drift)
 {
   GRand *rnd = g_rand_new_with_seed ((guint32)_i);
   mm_transit t = { 0 };
-  mm_time_ms apart_ms = g_rand_int_range (rnd, -1000000, 1000000);
+  mm_time_ms offset_ms = g_rand_int_range (rnd, -1000000, 1000000);
   mm_time_ms queue_ms = 0;
   for (mm_time_ms now = 10000000; now < 10600000; now += 200)
     {
@@ -374,18 +377,18 @@
       if (queue_ms > 5000)
         queue_ms = 0;
       mm_time_ms drift_ms = (now - 10000000) / 10000;
-      mm_time_ms sent_ms = now - queue_ms - 2 + apart_ms - drift_ms;
-      mm_time_ms found_ms = mm_transit_held_up_ms (&t, sent_ms, now);
+      mm_time_ms sent_ms = now - queue_ms - 2 + offset_ms - drift_ms;
+      mm_time_ms delay_ms = mm_transit_held_up_ms (&t, sent_ms, now);
       if (now < 10000000 + MM_TRANSIT_WINDOW_MS)
         continue;
-      ck_assert_int_ge (found_ms, queue_ms - 10);
-      ck_assert_int_le (found_ms, queue_ms + 10);
+      ck_assert_int_ge (delay_ms, queue_ms - 10);
+      ck_assert_int_le (delay_ms, queue_ms + 10);
     }
   g_rand_free (rnd);
 }
 END_TEST
 
-START_TEST (peer_that_stood_still_looks_held_up_for_a_while_only)
+START_TEST (stalled_peer_counts_as_delayed_for_a_while_only)
 {
   mm_transit t = { 0 };
   mm_time_ms now = 1000;
@@ -405,27 +408,27 @@
 {
   Suite *s = suite_create ("decisions");
   TCase *c = tcase_create ("decisions");
-  tcase_add_test (c, job_that_fits_is_taken_without_a_wait);
-  tcase_add_test (c, job_that_would_come_too_late_is_refused_at_once);
-  tcase_add_test (c, job_without_any_owner_in_reach_waits_only_if_it_can);
+  tcase_add_test (c, job_that_fits_is_accepted_without_a_wait);
+  tcase_add_test (c, job_that_would_finish_too_late_is_refused_at_once);
+  tcase_add_test (c, job_waits_for_a_new_owner_only_if_it_has_slack);
   tcase_add_test (c, slack_and_limit_follow_the_objective);
   tcase_add_test (c, overload_is_refused_rather_than_served_late);
-  tcase_add_test (c, herd_after_an_outage_does_not_push_out_first_timers);
-  tcase_add_test (c, patience_tells_who_has_asked_before);
+  tcase_add_test (c, jobs_sent_again_after_an_outage_do_not_displace_new_jobs);
+  tcase_add_test (c, remaining_timeout_shows_that_a_job_was_sent_before);
   tcase_add_test (c, nobody_is_refused_for_tasks_that_stand_behind);
-  tcase_add_test (c, task_goes_to_the_nearest_owner_with_room);
-  tcase_add_test (c, task_goes_last_to_the_owner_that_gave_it_back);
-  tcase_add_test (c, task_goes_to_the_shortest_queue_when_all_is_full);
+  tcase_add_test (c, task_goes_to_the_nearest_owner_with_free_capacity);
+  tcase_add_test (c, task_goes_last_to_the_owner_that_returned_it);
+  tcase_add_test (c, task_goes_to_the_shortest_queue_when_all_owners_are_full);
   tcase_add_test (c, task_is_placed_on_a_fast_upstream_and_fits_tightly);
-  tcase_add_test (c, memory_and_accelerators_bound_a_place_too);
+  tcase_add_test (c, memory_and_gpus_limit_placement_too);
   tcase_add_test (
-      c, failures_in_a_row_exclude_an_upstream_until_a_trial_ends_well);
+      c, failures_in_a_row_exclude_an_upstream_until_a_trial_succeeds);
   tcase_add_test (c, longest_prefix_of_a_host_selects_the_queue);
   tcase_add_test (c, chain_is_the_longest_path_through_the_steps);
-  tcase_add_test (c, jobs_that_are_not_served_are_told_so);
-  tcase_add_loop_test (c, time_in_queues_is_found_between_clocks_that_differ,
+  tcase_add_test (c, unsupported_jobs_are_rejected);
+  tcase_add_loop_test (c, queue_delay_is_found_despite_clock_offset_and_drift,
                        0, 20);
-  tcase_add_test (c, peer_that_stood_still_looks_held_up_for_a_while_only);
+  tcase_add_test (c, stalled_peer_counts_as_delayed_for_a_while_only);
   suite_add_tcase (s, c);
   return h_run_suite (s);
 }
