--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -10,11 +10,10 @@
    connection.  */
 typedef struct
 {
-  fixture fx;        /* with the first owner */
-  mm_owner *next;    /* the second owner */
-  bool disconnected; /* requests between the owners are lost */
-  mm_time_ms
-      requested_ms; /* when the request in flight was sent, 0: none is */
+  fixture fx;              /* with the first owner */
+  mm_owner *next;          /* the second owner */
+  bool disconnected;       /* requests between the owners are lost */
+  mm_time_ms requested_ms; /* when the pending request was sent, 0: none */
   char upstream[32];
   mm_found_run found;
 } succession;
