--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -104,10 +104,9 @@
 mm_work *mm_owner_submit (mm_owner *o, const mm_task_request *t,
                           mm_work_done done, void *ctx);
 void mm_owner_cancel (mm_owner *o, mm_work *w); /* @done is not called */
-/* Acknowledges the end of a kept job's run, which is stored now.  @run_hash:
+/* Acknowledges the end of a kept job's run, which is stored now.  @hash:
    mm_run_mark() of the run.  */
-void mm_owner_note_end (mm_owner *o, const mm_task_id *task,
-                        uint32_t run_hash);
+void mm_owner_note_end (mm_owner *o, const mm_task_id *task, uint32_t hash);
 /* Sets whether this instance's membership is confirmed, so that no other
    instance can own its upstreams.  */
 void mm_owner_set_sure (mm_owner *o, bool confirmed);
--- a/src/mm_owner_kept.c
+++ b/src/mm_owner_kept.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 void
-mm_owner_note_end (mm_owner *o, const mm_task_id *task, uint32_t run_hash)
+mm_owner_note_end (mm_owner *o, const mm_task_id *task, uint32_t hash)
 {
   GHashTableIter it;
   gpointer v;
@@ -17,7 +17,7 @@
       const mm_held_end *h = mm_exec_held (x, &n);
       for (size_t i = n; i-- > 0;)
         if (mm_task_id_equal (&h[i].task, task)
-            && mm_run_mark (mm_exec_info (x)->name, h[i].run) == run_hash)
+            && mm_run_mark (mm_exec_info (x)->name, h[i].run) == hash)
           mm_exec_drop_held (x, i);
     }
 }
