--- a/src/mm_census.c
+++ b/src/mm_census.c
@@ -28,8 +28,8 @@
 }
 
 void
-mm_census_clear (mm_census *c)
+mm_census_clear (mm_census *result)
 {
-  g_array_free (c->clear, TRUE);
-  g_array_free (c->ends, TRUE);
+  g_array_free (result->clear, TRUE);
+  g_array_free (result->ends, TRUE);
 }
--- a/src/mm_census.h
+++ b/src/mm_census.h
@@ -27,6 +27,6 @@
 
 uint64_t mm_upstream_mark (const char *upstream);
 mm_census mm_census_new (void);
-void mm_census_clear (mm_census *c); /* frees the arrays, not @c */
+void mm_census_clear (mm_census *result); /* frees the arrays, not @result */
 
 #endif /* MM_CENSUS_H */
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -530,7 +530,7 @@
  * @o: the owner.
  * @w: its handle; not valid after this call.
  *
- * A task that runs is stopped, one that waits is removed from the queue.
+ * A task that runs here is stopped, one that waits is removed from the queue.
  */
 void
 mm_owner_cancel (mm_owner *o, mm_work *w)
--- a/src/mm_owner_adopt.c
+++ b/src/mm_owner_adopt.c
@@ -29,7 +29,7 @@
   const char *upstream = mm_exec_info (owned->exec)->name;
   w->run = mm_exec_give_up (owned->exec, w, &w->ran_ms);
   if (!w->run && !owned->gone)
-    return; /* the answer to its order is to come and says whether it runs */
+    return; /* the answer to its order will show whether it runs */
   mm_owner_count_suspect (owned, w, -1);
   g_hash_table_remove (o->active, &w->request.id);
   if (w->cancelled || w->request.kept || !w->run || !o->links.found)
--- a/src/mm_owner_priv.h
+++ b/src/mm_owner_priv.h
@@ -46,17 +46,17 @@
   GHashTable *owned_upstreams; /* upstream name -> mm_owned_upstream */
   GQueue *waiting;             /* mm_work, by priority, due time and arrival */
   GHashTable *active;          /* mm_task_id -> mm_work that has a run here */
-  GHashTable *orphans;         /* mm_task_id -> mm_work whose run goes on at an
-                                  upstream that is no longer owned */
+  GHashTable *orphans;         /* mm_task_id -> mm_work that run at an upstream
+                                  that is no longer owned */
   GHashTable *transferred; /* set of mm_work that run under another owner */
   GList *unadopted;        /* mm_work whose run could not be taken over */
   mm_owner_links links;
   mm_suspects *suspects;      /* NULL: suspected tasks are not recorded */
   uint64_t last_arrival;      /* arrival number of the last task */
   mm_time_ms handover_end_ms; /* all frozen upstreams are idle by then */
-  double average_run_ms;      /* declared run time of a task, for reports */
-  double average_cpu_milli;   /* declared cpu of a task, for reports */
-  double average_place_ms;    /* time for which a run used its place, with
+  double average_run_ms;      /* average declared run time, for reports */
+  double average_cpu_milli;   /* average declared cpu of a task, for reports */
+  double average_place_ms;    /* average time a run used its place, with
                                  runs that were not done */
   double done_share;          /* share of the runs that ended as done, 0..1 */
   bool confirmed;   /* membership is confirmed: no other instance can own
--- a/src/mm_owner_report.c
+++ b/src/mm_owner_report.c
@@ -46,9 +46,9 @@
         continue;
       int64_t cpu = average_cpu_milli (o, u);
       r.places += (uint32_t)(u->capacity.cpu_milli / cpu);
-      int64_t room = mm_exec_room (owned->exec).cpu_milli;
-      if (room > 0 && mm_exec_usable (owned->exec))
-        r.free += (uint32_t)(room / cpu);
+      int64_t free_milli = mm_exec_room (owned->exec).cpu_milli;
+      if (free_milli > 0 && mm_exec_usable (owned->exec))
+        r.free += (uint32_t)(free_milli / cpu);
     }
   for (GList *l = o->waiting->head; l; l = l->next)
     {
--- a/src/mm_patience.c
+++ b/src/mm_patience.c
@@ -15,7 +15,7 @@
 
 /**
  * mm_patience_is_over() - records a caller's remaining timeout and judges it.
- * @p: record of the callers of the same queue.
+ * @callers: record of the callers of the same queue.
  * @patience_ms: how long this caller still waits.
  * @useful_ms: how long after its first request an answer is of use to it.
  *
@@ -23,14 +23,15 @@
  * answer is of no use to it any more.
  */
 bool
-mm_patience_is_over (mm_patience *p, mm_time_ms patience_ms,
+mm_patience_is_over (mm_patience *callers, mm_time_ms patience_ms,
                      mm_time_ms useful_ms)
 {
   double spare_ms = (double)(patience_ms - useful_ms);
-  if (!p->seen)
-    p->average_spare_ms = spare_ms;
-  p->seen = true;
-  bool resent = spare_ms < p->average_spare_ms / 2;
-  p->average_spare_ms += MM_PATIENCE_GAIN * (spare_ms - p->average_spare_ms);
+  if (!callers->seen)
+    callers->average_spare_ms = spare_ms;
+  callers->seen = true;
+  bool resent = spare_ms < callers->average_spare_ms / 2;
+  callers->average_spare_ms
+      += MM_PATIENCE_GAIN * (spare_ms - callers->average_spare_ms);
   return resent && useful_ms < MM_RESEND_MS;
 }
--- a/src/mm_patience.h
+++ b/src/mm_patience.h
@@ -16,7 +16,7 @@
 /* Records a caller that waits for @patience_ms from now on; an answer is of
    use to it until @useful_ms after its first request.  Returns whether that
    time has passed already.  */
-bool mm_patience_is_over (mm_patience *p, mm_time_ms patience_ms,
+bool mm_patience_is_over (mm_patience *callers, mm_time_ms patience_ms,
                           mm_time_ms useful_ms);
 
 #endif /* MM_PATIENCE_H */
--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -523,8 +523,8 @@
 }
 
 /* Guards against a task that runs twice at a time: its run goes on under the
-   next owner while the previous one takes it for lost, and the submitter
-   starts it elsewhere.  */
+   next owner after the previous one has given it up, and the submitter starts
+   it elsewhere.  */
 START_TEST (no_task_runs_twice_and_each_ends_while_owners_change)
 {
   fixture fx;
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -645,10 +645,10 @@
   g_strlcpy (id.job, job, sizeof id.job);
   GHashTable *tasks = g_hash_table_new (mm_task_id_hash, mm_task_id_equal);
   g_hash_table_add (tasks, &id);
-  mm_census c = mm_census_new ();
-  mm_owner_census (fx->owner, tasks, &c);
+  mm_census found = mm_census_new ();
+  mm_owner_census (fx->owner, tasks, &found);
   g_hash_table_destroy (tasks);
-  return c;
+  return found;
 }
 
 /* A task's data is in another rack than the upstream that would be chosen
@@ -832,15 +832,16 @@
   ck_assert_int_eq (r.how, MM_END_DONE);
   mm_owner_own (fx.owner, fake_info (a), 6); /* begins a new session */
   mm_owner_set_sure (fx.owner, true);
-  mm_census c = search_for (&fx, "kept", 0);
-  ck_assert_uint_eq (c.clear->len, 0); /* the runs there are not listed yet */
-  mm_census_clear (&c);
+  mm_census found = search_for (&fx, "kept", 0);
+  ck_assert_uint_eq (found.clear->len, 0); /* runs are not listed yet */
+  mm_census_clear (&found);
   fixture_run (&fx, 100);
-  c = search_for (&fx, "kept", 0);
-  ck_assert_uint_eq (c.clear->len, 1);
-  ck_assert_uint_eq (c.ends->len, 1);
-  ck_assert_int_eq (g_array_index (c.ends, mm_found_end, 0).how, MM_END_DONE);
-  mm_census_clear (&c);
+  found = search_for (&fx, "kept", 0);
+  ck_assert_uint_eq (found.clear->len, 1);
+  ck_assert_uint_eq (found.ends->len, 1);
+  ck_assert_int_eq (g_array_index (found.ends, mm_found_end, 0).how,
+                    MM_END_DONE);
+  mm_census_clear (&found);
   fixture_destroy (&fx);
 }
 END_TEST
@@ -889,14 +890,14 @@
   submit_kept (&fx, &r, "kept", 0, 1000);
   fixture_run (&fx, 200);
   mm_owner_set_sure (fx.owner, true);
-  mm_census c = search_for (&fx, "kept", 0);
-  ck_assert_uint_eq (c.present, 1);
-  mm_census_clear (&c);
+  mm_census found = search_for (&fx, "kept", 0);
+  ck_assert_uint_eq (found.present, 1);
+  mm_census_clear (&found);
   mm_owner_set_sure (fx.owner, false);
-  c = search_for (&fx, "kept", 7);
-  ck_assert_uint_eq (c.present, 0);
-  ck_assert_uint_eq (c.clear->len, 0);
-  mm_census_clear (&c);
+  found = search_for (&fx, "kept", 7);
+  ck_assert_uint_eq (found.present, 0);
+  ck_assert_uint_eq (found.clear->len, 0);
+  mm_census_clear (&found);
   fixture_destroy (&fx);
 }
 END_TEST
