--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -87,7 +87,7 @@
 void mm_owner_destroy (mm_owner *o);
 /* Starts to own an upstream, or cancels a handover of it that has begun.  */
 void mm_owner_own (mm_owner *o, const mm_upstream_info *u, uint64_t fence);
-/* An upstream's entry in the list has changed, whoever owns it.  */
+/* Applies a changed list entry of an upstream, whoever owns it.  */
 void mm_owner_update (mm_owner *o, const mm_upstream_info *u);
 /* Stops owning an upstream at once.  */
 void mm_owner_disown (mm_owner *o, const char *upstream);
