--- a/src/mm_census.c
+++ b/src/mm_census.c
@@ -1,5 +1,7 @@
-/* mm_census: marks stand for names, so that an answer about a thousand
-   upstreams stays small.  */
+/* mm_search_result: the result of a search for tasks in doubt.
+
+   Runs and upstreams are identified by hashes instead of names, which keeps
+   an answer about a thousand upstreams small.  */
 #include "mm_census.h"
 
 #include <string.h>
@@ -26,8 +28,8 @@
 }
 
 void
-mm_census_clear (mm_census *c)
+mm_census_clear (mm_census *result)
 {
-  g_array_free (c->clear, TRUE);
-  g_array_free (c->ends, TRUE);
+  g_array_free (result->clear, TRUE);
+  g_array_free (result->ends, TRUE);
 }
