--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -37,8 +37,9 @@
 static void
 try_own (const char *text, size_t size)
 {
-  mm_time_ms patience_ms;
-  mm_submission_free (mm_own_submission (text, size, &patience_ms, NULL));
+  mm_time_ms caller_timeout_ms;
+  mm_submission_free (
+      mm_own_submission (text, size, &caller_timeout_ms, NULL));
   cJSON *o = cJSON_ParseWithLength (text, size);
   mm_order order;
   mm_hold hold;
@@ -82,9 +83,9 @@
   GHashTable *tasks = mm_task_set_read (data, size);
   if (tasks)
     g_hash_table_destroy (tasks);
-  mm_census c = mm_census_new ();
+  mm_search_result c = mm_search_result_init ();
   mm_search_result_read (data, size, &c);
-  mm_census_clear (&c);
+  mm_search_result_clear (&c);
   mm_end_acks_read (data, size, pass_over_note, NULL);
 }
 
@@ -139,7 +140,7 @@
   mm_end_ack note = { .task = id, .mark = 7 };
   mm_found_end end = { .task = id, .how = MM_END_DONE, .mark = 7 };
   mm_kept_answer answer = { .status = MM_KEPT_OK, .pending = 3 };
-  mm_census c = mm_census_new ();
+  mm_search_result c = mm_search_result_init ();
   uint64_t mark = 9;
   g_array_append_val (c.clear, mark);
   g_array_append_val (c.ends, end);
@@ -149,7 +150,7 @@
     mm_search_result_pack (&b, &c);
   else
     mm_kept_answer_pack (&b, &answer);
-  mm_census_clear (&c);
+  mm_search_result_clear (&c);
   return b;
 }
 
--- a/src/config.h
+++ b/src/config.h
@@ -134,8 +134,8 @@
 #define MM_TRUST_FAILURES 3u
 #define MM_TRUST_EXCLUDE_MS 1000 /* the first exclusion's length */
 #define MM_TRUST_MAX_DOUBLINGS 3u
-#define MM_SPEED_GAIN 0.2  /* weight of one run in an upstream's slowness */
-#define MM_USUAL_GAIN 0.05 /* weight of one task in the usual size */
+#define MM_SPEED_GAIN 0.2    /* weight of one run in an upstream's slowness */
+#define MM_AVERAGE_GAIN 0.05 /* weight of one task in the usual size */
 #define MM_PLACE_SPEED_STEP 0.25 /* estimates are off by up to 40 % */
 
 /* Tasks that crash their upstreams (mm_suspects).  */
@@ -147,8 +147,9 @@
 #define MM_SUSPECTS_OPEN_MS 15000
 
 /* Queue of an owner (mm_owner).  */
-#define MM_OWNER_PUMP_MISSES 16u /* tasks tried that do not fit */
-#define MM_LEAST_DONE 0.2 /* share of runs: fewer say nothing of the cost */
+#define MM_OWNER_MAX_MISSES 16u /* tasks tried that do not fit */
+#define MM_MIN_DONE_SHARE                                                     \
+  0.2 /* share of runs: fewer say nothing of the cost */
 #define MM_PRIORITY_LEVELS 4u /* told apart in reports of room */
 
 /* Links between instances (mm_link, mm_mesh).  */
@@ -192,7 +193,7 @@
 #define MM_LATE_FACTOR 3.0 /* answers up to 3 objectives are of use */
 /* Callers send a job again so long after their connection broke.  */
 #define MM_RESEND_MS 1300
-#define MM_PATIENCE_GAIN 0.02 /* weight of one caller in what is usual */
+#define MM_CALLER_WAIT_GAIN 0.02 /* weight of one caller in what is usual */
 /* A task out of sight has ended by then: its lease takes 1,000 ms, on a clock
    2 % slow, the rest is for its owner to notice that we are gone.  */
 #define MM_OUT_OF_SIGHT_MS MM_RESEND_MS
--- a/src/mm_admission.c
+++ b/src/mm_admission.c
@@ -48,11 +48,12 @@
 mm_admission_limit_ms (double stretch, mm_time_ms slo_ms, mm_time_ms chain_ms)
 {
   double objective = stretch * (double)chain_ms + (double)slo_ms;
-  return mm_admission_limit_of ((mm_time_ms)objective, chain_ms);
+  return mm_admission_limit_of_objective_ms ((mm_time_ms)objective, chain_ms);
 }
 
 mm_time_ms
-mm_admission_limit_of (mm_time_ms objective_ms, mm_time_ms chain_ms)
+mm_admission_limit_of_objective_ms (mm_time_ms objective_ms,
+                                    mm_time_ms chain_ms)
 {
   double limit = MM_LATE_FACTOR * (double)objective_ms - (double)chain_ms;
   return MAX ((mm_time_ms)limit - MM_OVERHEAD_MS, 0);
--- a/src/mm_admission.h
+++ b/src/mm_admission.h
@@ -34,8 +34,8 @@
 mm_time_ms mm_admission_limit_ms (double stretch, mm_time_ms slo_ms,
                                   mm_time_ms chain_ms);
 /* Like mm_admission_limit_ms(), for an objective that is already computed. */
-mm_time_ms mm_admission_limit_of (mm_time_ms objective_ms,
-                                  mm_time_ms chain_ms);
+mm_time_ms mm_admission_limit_of_objective_ms (mm_time_ms objective_ms,
+                                               mm_time_ms chain_ms);
 mm_admission mm_admission_decide (const mm_load *load, uint32_t tasks,
                                   mm_time_ms slack_ms);
 
--- a/src/mm_patience.c
+++ b/src/mm_caller_wait.c
@@ -9,29 +9,30 @@
    remaining timeout shows it: the time to spare is less than half of the
    average of that queue's callers.  Half is midway between callers with their
    full timeout and callers whose time to spare is used up.  */
-#include "mm_patience.h"
+#include "mm_caller_wait.h"
 
 #include "config.h"
 
 /**
- * mm_patience_is_over() - records a caller's remaining timeout and judges it.
+ * mm_caller_wait_is_too_late() - records a caller's remaining timeout and
+ * judges it.
  * @callers: record of the callers of the same queue.
- * @patience_ms: how long this caller still waits.
+ * @caller_timeout_ms: how long this caller still waits.
  * @useful_ms: how long after its first request an answer is of use to it.
  *
  * Return: true if the caller has sent the job before, so long ago that an
  * answer is of no use to it any more.
  */
 bool
-mm_patience_is_over (mm_patience *callers, mm_time_ms patience_ms,
-                     mm_time_ms useful_ms)
+mm_caller_wait_is_too_late (mm_caller_wait *callers,
+                            mm_time_ms caller_timeout_ms, mm_time_ms useful_ms)
 {
-  double spare_ms = (double)(patience_ms - useful_ms);
+  double spare_ms = (double)(caller_timeout_ms - useful_ms);
   if (!callers->seen)
     callers->average_spare_ms = spare_ms;
   callers->seen = true;
   bool resent = spare_ms < callers->average_spare_ms / 2;
   callers->average_spare_ms
-      += MM_PATIENCE_GAIN * (spare_ms - callers->average_spare_ms);
+      += MM_CALLER_WAIT_GAIN * (spare_ms - callers->average_spare_ms);
   return resent && useful_ms < MM_RESEND_MS;
 }
--- a/src/mm_spread.c
+++ b/src/mm_dispatch.c
@@ -3,16 +3,16 @@
 
    Traffic stays inside a data centre while there is free capacity; one with
    more callers than upstreams overflows into the others.  */
-#include "mm_spread.h"
+#include "mm_dispatch.h"
 
 static double
-queue_length (const mm_room_report *r)
+queue_length (const mm_capacity_report *r)
 {
   return ((double)r->waiting + 1.0) / (double)r->places;
 }
 
 static bool
-better (const mm_spread_choice *a, const mm_spread_choice *b)
+better (const mm_dispatch_candidate *a, const mm_dispatch_candidate *b)
 {
   bool a_free = a->room.free > 0, b_free = b->room.free > 0;
   if (a_free != b_free)
@@ -21,15 +21,15 @@
     return queue_length (&a->room) < queue_length (&b->room);
   /* An owner that returned the task cannot use its free capacity for it: the
      capacity is on an upstream that the task avoids, or too small.  */
-  if (a->gave_back != b->gave_back)
-    return b->gave_back;
+  if (a->returned_by != b->returned_by)
+    return b->returned_by;
   if (a->near != b->near)
     return a->near < b->near;
   return a->room.free > b->room.free;
 }
 
 int
-mm_spread_choose (const mm_spread_choice *c, size_t n)
+mm_dispatch_choose (const mm_dispatch_candidate *c, size_t n)
 {
   int best = -1;
   for (size_t i = 0; i < n; i++)
--- a/src/mm_spread.h
+++ b/src/mm_dispatch.h
@@ -1,6 +1,6 @@
 /* mm_dispatch: which owner of upstreams a task is dispatched to.  */
-#ifndef MM_SPREAD_H
-#define MM_SPREAD_H
+#ifndef MM_DISPATCH_H
+#define MM_DISPATCH_H
 
 #include "mm_owner.h"
 
@@ -16,11 +16,11 @@
 typedef struct
 {
   mm_nearness near;
-  bool gave_back; /* the owner has just returned this task as not run */
-  mm_room_report room;
-} mm_spread_choice;
+  bool returned_by; /* the owner has just returned this task as not run */
+  mm_capacity_report room;
+} mm_dispatch_candidate;
 
 /* Index of the owner to dispatch to, -1 when none has any capacity.  */
-int mm_spread_choose (const mm_spread_choice *c, size_t n);
+int mm_dispatch_choose (const mm_dispatch_candidate *c, size_t n);
 
-#endif /* MM_SPREAD_H */
+#endif /* MM_DISPATCH_H */
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -4,7 +4,7 @@
 #include "config.h"
 #include "mm_event.h"
 #include "mm_metrics.h"
-#include "mm_spread.h"
+#include "mm_dispatch.h"
 
 #include <string.h>
 
@@ -92,7 +92,7 @@
     {
       load.places += p[i].room.places;
       load.free += p[i].room.free;
-      load.waiting += mm_room_ahead (&p[i].room, priority);
+      load.waiting += mm_capacity_waiting_ahead (&p[i].room, priority);
       load.age_ms = MAX (load.age_ms, p[i].age_ms);
       if (p[i].room.task_ms && p[i].room.places)
         {
@@ -144,7 +144,7 @@
  * mm_fleet_submit() - hand a task to an owner.
  * @f: the fleet.
  * @t: the task.
- * @gave_back: the owner that has just given it back, "": this instance; or
+ * @returned_by: the owner that has just given it back, "": this instance; or
  *             NULL.
  * @done: called once, later, unless it is cancelled before.
  * @ctx: for @done.
@@ -152,12 +152,12 @@
  * Return: a ticket valid until @done, or NULL when no owner has a place.
  */
 mm_ticket *
-mm_fleet_submit (mm_fleet *f, const mm_task_request *t, const char *gave_back,
-                 mm_work_done done, void *ctx)
+mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
+                 const char *returned_by, mm_work_done done, void *ctx)
 {
   note_declared (f, t->estimate_ms);
   mm_mesh_place p[MM_FLEET_MAX];
-  mm_spread_choice c[MM_FLEET_MAX];
+  mm_dispatch_candidate c[MM_FLEET_MAX];
   size_t n = places (f, t->service, p);
   for (size_t i = 0; i < n; i++)
     {
@@ -165,12 +165,13 @@
       c[i].near = i == 0 ? MM_NEAR_SELF
                   : here ? MM_NEAR_DATACENTRE
                          : MM_NEAR_FAR;
-      c[i].gave_back
-          = gave_back && strcmp (p[i].name ? p[i].name : "", gave_back) == 0;
+      c[i].returned_by
+          = returned_by
+            && strcmp (p[i].name ? p[i].name : "", returned_by) == 0;
       c[i].room = p[i].room;
-      c[i].room.waiting = mm_room_ahead (&p[i].room, t->priority);
+      c[i].room.waiting = mm_capacity_waiting_ahead (&p[i].room, t->priority);
     }
-  int best = mm_spread_choose (c, n);
+  int best = mm_dispatch_choose (c, n);
   if (best < 0)
     return NULL;
   mm_ticket *k = g_new0 (mm_ticket, 1);
--- a/src/mm_fleet.h
+++ b/src/mm_fleet.h
@@ -20,7 +20,7 @@
 mm_load mm_fleet_load (const mm_fleet *f, const char *service,
                        uint32_t priority);
 mm_ticket *mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
-                            const char *gave_back, mm_work_done done,
+                            const char *returned_by, mm_work_done done,
                             void *ctx);           /* NULL: no owner */
 void mm_fleet_cancel (mm_fleet *f, mm_ticket *t); /* @done is not called */
 
--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -359,7 +359,7 @@
   mm_time_ms chain_ms = mm_submission_chain_ms (rec->s);
   return mm_admission_decide (
       &load, mm_submission_first_tasks (rec->s),
-      mm_admission_limit_of (rec->objective_ms, chain_ms));
+      mm_admission_limit_of_objective_ms (rec->objective_ms, chain_ms));
 }
 
 /**
--- a/src/mm_job_record.h
+++ b/src/mm_job_record.h
@@ -25,7 +25,7 @@
 {
   bool done;
   uint32_t n_failures;
-  uint32_t failures[MM_JOB_MAX_FAILURES]; /* mm_run_mark() of failed runs */
+  uint32_t failures[MM_JOB_MAX_FAILURES]; /* mm_run_hash() of failed runs */
 } mm_task_progress;
 
 typedef struct
@@ -50,7 +50,7 @@
 mm_job_record *mm_job_record_unpack (const void *data, size_t len,
                                      GError **error);
 /* Records a failed run; the same run counts once, however often it is
-   reported.  @run_hash: mm_run_mark().  */
+   reported.  @run_hash: mm_run_hash().  */
 void mm_task_progress_add_failure (mm_task_progress *p, uint32_t run_hash);
 
 #endif /* MM_JOB_RECORD_H */
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -8,7 +8,7 @@
 #include "config.h"
 #include "mm_event.h"
 #include "mm_metrics.h"
-#include "mm_patience.h"
+#include "mm_caller_wait.h"
 #include "mm_steps.h"
 
 #include <string.h>
@@ -23,7 +23,7 @@
   uint32_t failures;
   mm_time_ms handed_ms;
   char *avoid;         /* upstream of the last failure */
-  char *gave_back;     /* owner that did not start it, "": this instance */
+  char *returned_by;   /* owner that did not start it, "": this instance */
   bool stranded;       /* no owner was in reach */
   bool held;           /* it may crash upstreams: not handed out for now */
   bool apart;          /* handed out as one that may */
@@ -65,7 +65,7 @@
 {
   mm_fleet *fleet;
   GHashTable *by_id;    /* job id -> job */
-  GHashTable *patience; /* queue -> mm_patience */
+  GHashTable *patience; /* queue -> mm_caller_wait */
 };
 
 mm_jobs *
@@ -95,7 +95,7 @@
   for (uint32_t i = 0; i < b->n_tasks; i++)
     {
       g_free (b->tasks[i].avoid);
-      g_free (b->tasks[i].gave_back);
+      g_free (b->tasks[i].returned_by);
     }
   g_free (b->tasks);
   mm_steps_destroy (b->steps);
@@ -212,7 +212,7 @@
                MM_WITH_SPREAD_ANEW ? MM_SPREAD_WAIT_MS : MM_MAX_PATIENCE_MS);
   t->handed_ms = now;
   t->ticket
-      = mm_fleet_submit (b->jobs->fleet, &r, t->gave_back, on_task_done, t);
+      = mm_fleet_submit (b->jobs->fleet, &r, t->returned_by, on_task_done, t);
   t->stranded = !t->ticket;
   b->n_stranded += t->stranded;
   t->apart = t->ticket && r.apart;
@@ -231,11 +231,11 @@
 {
   job *b = t->job;
   t->done = true;
-  mm_steps_note_done (b->steps, (uint32_t)(t - b->tasks));
+  mm_steps_task_done (b->steps, (uint32_t)(t - b->tasks));
   if (mm_steps_all_done (b->steps))
     answer (b, MM_ANSWER_COMPLETED, "", 0);
   else
-    mm_steps_begin_ready (b->steps, begin_task, b);
+    mm_steps_start_ready (b->steps, begin_task, b);
 }
 
 static bool
@@ -336,9 +336,9 @@
   t->ticket = NULL;
   b->n_apart -= t->apart;
   t->apart = false;
-  g_clear_pointer (&t->gave_back, g_free);
+  g_clear_pointer (&t->returned_by, g_free);
   if (how == MM_END_NOT_RUN)
-    t->gave_back = g_strdup (r->owner ? r->owner : "");
+    t->returned_by = g_strdup (r->owner ? r->owner : "");
   mm_metrics_count (end_counters[how]);
   log_end (t, r, now);
   switch (how)
@@ -400,7 +400,7 @@
 
 static job *
 job_create (mm_jobs *j, mm_submission *s, const mm_route *route,
-            mm_time_ms patience_ms, mm_time_ms slack_ms)
+            mm_time_ms caller_timeout_ms, mm_time_ms slack_ms)
 {
   job *b = g_new0 (job, 1);
   mm_time_ms now = mm_clock_now_ms ();
@@ -411,7 +411,7 @@
   b->priority = route->priority;
   b->attempts = MAX (route->attempts, 1);
   b->submitted_ms = now;
-  b->deadline_ms = now + patience_ms;
+  b->deadline_ms = now + caller_timeout_ms;
   b->due_ms = now + slack_ms;
   b->start_by_ms = now
                    + mm_admission_limit_ms (route->stretch, route->slo_ms,
@@ -423,7 +423,7 @@
   for (uint32_t i = 0; i < b->n_tasks; i++)
     {
       b->tasks[i].job = b;
-      b->tasks[i].id = mm_steps_task (b->steps, i);
+      b->tasks[i].id = mm_steps_task_id (b->steps, i);
     }
   g_hash_table_insert (j->by_id, s->id, b);
   return b;
@@ -431,17 +431,17 @@
 
 /* Has the caller asked before, too long ago for an answer to be of use?  */
 static bool
-comes_too_late (mm_jobs *j, const mm_route *route, mm_time_ms patience_ms,
-                mm_time_ms chain_ms)
+comes_too_late (mm_jobs *j, const mm_route *route,
+                mm_time_ms caller_timeout_ms, mm_time_ms chain_ms)
 {
-  mm_patience *p = g_hash_table_lookup (j->patience, route->name);
+  mm_caller_wait *p = g_hash_table_lookup (j->patience, route->name);
   if (!p)
     {
-      p = g_new0 (mm_patience, 1);
+      p = g_new0 (mm_caller_wait, 1);
       g_hash_table_insert (j->patience, g_strdup (route->name), p);
     }
-  return mm_patience_is_over (
-      p, patience_ms,
+  return mm_caller_wait_is_too_late (
+      p, caller_timeout_ms,
       mm_admission_useful_ms (route->stretch, route->slo_ms, chain_ms));
 }
 
@@ -461,7 +461,7 @@
  * @j: the jobs.
  * @s: the job; taken.
  * @route: its queue.
- * @patience_ms: how long its caller waits.
+ * @caller_timeout_ms: how long its caller waits.
  * @on_answer: called once, unless the caller leaves before.
  * @ctx: for @on_answer.
  *
@@ -469,7 +469,8 @@
  */
 mm_caller *
 mm_jobs_submit (mm_jobs *j, mm_submission *s, const mm_route *route,
-                mm_time_ms patience_ms, mm_answer_cb on_answer, void *ctx)
+                mm_time_ms caller_timeout_ms, mm_answer_cb on_answer,
+                void *ctx)
 {
   mm_metrics_count (MM_CT_JOBS_SUBMITTED);
   job *b = g_hash_table_lookup (j->by_id, s->id);
@@ -487,7 +488,8 @@
   mm_time_ms slack
       = mm_admission_slack_ms (route->stretch, route->slo_ms, chain_ms);
   /* It gets what room is free, and queues up before nobody.  */
-  if (MM_WITH_PATIENCE && comes_too_late (j, route, patience_ms, chain_ms))
+  if (MM_WITH_PATIENCE
+      && comes_too_late (j, route, caller_timeout_ms, chain_ms))
     slack = 0;
   uint32_t tasks = mm_submission_first_tasks (s);
   mm_admission a = mm_admission_decide (&load, tasks, slack);
@@ -514,7 +516,7 @@
                 MM_INT (load.places), MM_INT (load.free),
                 MM_INT (load.waiting), MM_INT (load.age_ms),
                 MM_INT (a.wait_ms), MM_INT (slack));
-  b = job_create (j, s, route, patience_ms, slack);
+  b = job_create (j, s, route, caller_timeout_ms, slack);
   mm_caller *c = add_caller (b, on_answer, ctx);
   if (b->n_tasks == 0)
     {
@@ -524,7 +526,7 @@
   /* Handed in again, it crashes nothing more.  */
   if (fail_if_given_up (b))
     return NULL;
-  mm_steps_begin_ready (b->steps, begin_task, b);
+  mm_steps_start_ready (b->steps, begin_task, b);
   return c;
 }
 
--- a/src/mm_jobs.h
+++ b/src/mm_jobs.h
@@ -33,8 +33,8 @@
 void mm_jobs_destroy (mm_jobs *j);
 /* Takes @s.  NULL: @on_answer was called already.  */
 mm_caller *mm_jobs_submit (mm_jobs *j, mm_submission *s, const mm_route *route,
-                           mm_time_ms patience_ms, mm_answer_cb on_answer,
-                           void *ctx);
+                           mm_time_ms caller_timeout_ms,
+                           mm_answer_cb on_answer, void *ctx);
 void mm_jobs_caller_left (mm_jobs *j, mm_caller *c); /* not answered */
 bool mm_jobs_running (const mm_jobs *j, const char *job_id);
 bool mm_jobs_cancel (mm_jobs *j, const char *job_id); /* false: unknown */
--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -18,7 +18,7 @@
     {
       if (!*ack[i].owner)
         {
-          mm_owner_note_end (k->deps.owner, &ack[i].task, ack[i].mark);
+          mm_owner_acknowledge_end (k->deps.owner, &ack[i].task, ack[i].mark);
           continue;
         }
       msgpack_sbuffer b;
--- a/src/mm_kept_peer.c
+++ b/src/mm_kept_peer.c
@@ -155,16 +155,16 @@
 static void
 handle_search (mm_kept *k, const void *data, size_t len, mm_mesh_reply *reply)
 {
-  mm_census c = mm_census_new ();
+  mm_search_result c = mm_search_result_init ();
   GHashTable *tasks = mm_task_set_read (data, len);
   if (tasks)
-    mm_owner_census (k->deps.owner, tasks, &c);
+    mm_owner_search (k->deps.owner, tasks, &c);
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_search_result_pack (&b, &c);
   mm_mesh_answer (reply, b.data, b.size);
   msgpack_sbuffer_destroy (&b);
-  mm_census_clear (&c);
+  mm_search_result_clear (&c);
   if (tasks)
     g_hash_table_destroy (tasks);
 }
@@ -172,7 +172,7 @@
 static void
 ack_end (void *ctx, const mm_task_id *task, uint32_t run_hash)
 {
-  mm_owner_note_end (ctx, task, run_hash);
+  mm_owner_acknowledge_end (ctx, task, run_hash);
 }
 
 /* @text: @data as a string: the job id or queue name of most requests.  */
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_run.c
@@ -87,13 +87,13 @@
     {
       task *t = &r->tasks[i];
       t->run = r;
-      t->id = mm_steps_task (r->steps, i);
+      t->id = mm_steps_task_id (r->steps, i);
       if (!rec->progress[i].done)
         continue;
       t->state = TASK_DONE;
-      mm_steps_note_done (r->steps, i);
+      mm_steps_task_done (r->steps, i);
     }
-  mm_steps_begin_ready (r->steps, set_task_ready, r);
+  mm_steps_start_ready (r->steps, set_task_ready, r);
   /* Tasks of later steps are in doubt too: the earlier home may have started
      them because of ends that it had not stored when it died.  */
   for (uint32_t i = 0; taken_over && i < r->n_tasks; i++)
@@ -145,13 +145,13 @@
   uint32_t number = (uint32_t)(t - r->tasks);
   t->state = TASK_DONE;
   r->rec->progress[number].done = true;
-  mm_steps_note_done (r->steps, number);
+  mm_steps_task_done (r->steps, number);
   if (mm_steps_all_done (r->steps))
     {
       finish (r, MM_JOB_COMPLETED);
       return;
     }
-  mm_steps_begin_ready (r->steps, set_task_ready, r);
+  mm_steps_start_ready (r->steps, set_task_ready, r);
   if (dispatch_waiting (r))
     r->ev.progress (r->ev.ctx);
 }
@@ -226,7 +226,7 @@
 {
   task *t = ctx;
   mm_kept_run *r = t->run;
-  uint32_t run_hash = w->upstream ? mm_run_mark (w->upstream, w->run) : 0;
+  uint32_t run_hash = w->upstream ? mm_run_hash (w->upstream, w->run) : 0;
   t->ticket = NULL;
   r->n_dispatched--;
   r->n_isolated -= t->isolated;
@@ -374,7 +374,7 @@
 mm_kept_run_record_end (mm_kept_run *r, const mm_found_end *e,
                         const char *owner)
 {
-  int64_t number = mm_steps_number (r->steps, &e->task);
+  int64_t number = mm_steps_task_number (r->steps, &e->task);
   if (number < 0 || r->finished || r->tasks[number].state != TASK_IN_DOUBT)
     return;
   task *t = &r->tasks[number];
--- a/src/mm_kept_run.h
+++ b/src/mm_kept_run.h
@@ -26,7 +26,7 @@
 typedef struct
 {
   mm_task_id task;
-  uint32_t mark;  /* mm_run_mark() */
+  uint32_t mark;  /* mm_run_hash() */
   char owner[96]; /* peer that reported the end, "": this instance */
 } mm_end_ack;
 
--- a/src/mm_kept_wire.c
+++ b/src/mm_kept_wire.c
@@ -115,7 +115,7 @@
 }
 
 void
-mm_search_result_pack (msgpack_sbuffer *b, const mm_census *c)
+mm_search_result_pack (msgpack_sbuffer *b, const mm_search_result *c)
 {
   msgpack_packer pk;
   msgpack_packer_init (&pk, b, msgpack_sbuffer_write);
@@ -173,7 +173,7 @@
 }
 
 static bool
-read_result (const msgpack_object *o, mm_census *out)
+read_result (const msgpack_object *o, mm_search_result *out)
 {
   uint32_t present;
   if (!mm_mp_is_array (o, RESULT_FIELDS)
@@ -185,7 +185,7 @@
 }
 
 bool
-mm_search_result_read (const void *data, size_t len, mm_census *out)
+mm_search_result_read (const void *data, size_t len, mm_search_result *out)
 {
   msgpack_unpacked msg;
   bool ok = parse (data, len, &msg) && read_result (&msg.data, out);
--- a/src/mm_kept_wire.h
+++ b/src/mm_kept_wire.h
@@ -59,12 +59,13 @@
 GHashTable *mm_task_set_new (void);
 void mm_task_set_pack (msgpack_sbuffer *b, GHashTable *tasks);
 GHashTable *mm_task_set_read (const void *data, size_t len); /* or NULL */
-void mm_search_result_pack (msgpack_sbuffer *b, const mm_census *c);
+void mm_search_result_pack (msgpack_sbuffer *b, const mm_search_result *c);
 /* Adds the contents of @data to @out.  */
-bool mm_search_result_read (const void *data, size_t len, mm_census *out);
+bool mm_search_result_read (const void *data, size_t len,
+                            mm_search_result *out);
 void mm_end_acks_pack (msgpack_sbuffer *b, const mm_end_ack *acks,
                        size_t count);
-/* Calls @acked for each acknowledged end.  @hash: mm_run_mark().  */
+/* Calls @acked for each acknowledged end.  @hash: mm_run_hash().  */
 bool mm_end_acks_read (const void *data, size_t len,
                        void (*acked) (void *ctx, const mm_task_id *task,
                                       uint32_t hash),
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -241,7 +241,7 @@
   if (ok && m.kind == MM_MESH_ENDED)
     take_ended (p, &m);
   else if (ok && m.kind == MM_MESH_TOLD)
-    mm_questions_answer (p->questions, m.no, m.data, m.len);
+    mm_requests_answer (p->questions, m.no, m.data, m.len);
   else if (ok && m.kind == MM_MESH_REPORT)
     ok = take_report (p, &m);
   else if (ok && m.kind == MM_MESH_UPDATE)
@@ -298,7 +298,7 @@
       r->done (r->ctx, &out_of_contact);
       g_free (r);
     }
-  mm_questions_fail_all (p->questions);
+  mm_requests_fail_all (p->questions);
 }
 
 static void
@@ -342,7 +342,7 @@
   if (p->link)
     mm_link_close (p->link, "peer not listed any more");
   g_hash_table_destroy (p->remote);
-  mm_questions_destroy (p->questions);
+  mm_requests_destroy (p->questions);
   g_free (p->rooms);
   mm_peer_info_clear (&p->info);
   g_free (p);
@@ -368,7 +368,7 @@
     peer_connect (p, now);
   if (!p->link)
     return;
-  mm_questions_expire (p->questions, now);
+  mm_requests_expire (p->questions, now);
   if (now - p->beat_ms < MM_MESH_BEAT_MS)
     return;
   p->beat_ms = now;
@@ -491,10 +491,10 @@
   m->leaving = true;
 }
 
-static mm_room_report
+static mm_capacity_report
 room_at (const mm_mesh_peer *p, const char *service)
 {
-  mm_room_report r = { 0 };
+  mm_capacity_report r = { 0 };
   for (size_t i = 0; i < p->n_rooms; i++)
     if (strcmp (p->rooms[i].service, service) == 0)
       r = p->rooms[i].room;
@@ -503,7 +503,7 @@
   r.free -= used;
   /* Of unknown priority: they count for everybody.  */
   r.waiting += (uint32_t)(unseen - used);
-  r.waiting_at[0] += (uint32_t)(unseen - used);
+  r.waiting_by_priority[0] += (uint32_t)(unseen - used);
   return r;
 }
 
@@ -556,7 +556,7 @@
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_mesh_pack_run (&b, r->no, t);
-  mm_owner_note_sent (m->owner, b.size);
+  mm_owner_record_sent (m->owner, b.size);
   mm_link_send (p->link, &b);
   msgpack_sbuffer_destroy (&b);
   return r;
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -3,7 +3,7 @@
 #define MM_MESH_H
 
 #include "mm_owner.h"
-#include "mm_questions.h"
+#include "mm_requests.h"
 
 #include <msgpack.h>
 
@@ -25,8 +25,8 @@
 {
   const char *name;
   const char *datacentre;
-  mm_room_report room; /* less what was sent there since */
-  mm_time_ms age_ms;   /* of the report */
+  mm_capacity_report room; /* less what was sent there since */
+  mm_time_ms age_ms;       /* of the report */
 } mm_mesh_place;
 
 mm_mesh *mm_mesh_create (struct ev_loop *loop, const char *self,
@@ -56,7 +56,7 @@
    once; at once when there is no link.  */
 void mm_mesh_ask (mm_mesh *m, const char *peer, uint32_t verb,
                   const void *data, size_t len, mm_time_ms timeout_ms,
-                  mm_told told, void *ctx);
+                  mm_answered told, void *ctx);
 /* A question of a peer, or what it tells (@reply NULL).  The reply is
    answered once, now or later.  */
 typedef struct mm_mesh_reply mm_mesh_reply;
--- a/src/mm_mesh_adopt.c
+++ b/src/mm_mesh_adopt.c
@@ -40,6 +40,7 @@
     return;
   mm_work *w = mm_owner_claim (m->owner, &q->found, &t);
   if (w)
-    mm_owner_pass_on (
-        m->owner, w, mm_mesh_submit (m, in->name, &t, mm_owner_passed_end, w));
+    mm_owner_transfer (
+        m->owner, w,
+        mm_mesh_submit (m, in->name, &t, mm_owner_transferred_end, w));
 }
--- a/src/mm_mesh_ask.c
+++ b/src/mm_mesh_ask.c
@@ -42,8 +42,8 @@
 
 void
 mm_mesh_ask (mm_mesh *m, const char *peer_name, uint32_t verb,
-             const void *data, size_t len, mm_time_ms timeout_ms, mm_told told,
-             void *ctx)
+             const void *data, size_t len, mm_time_ms timeout_ms,
+             mm_answered told, void *ctx)
 {
   mm_mesh_peer *p = g_hash_table_lookup (m->peers, peer_name);
   if (!p || !p->connected)
@@ -53,8 +53,7 @@
       return;
     }
   mm_time_ms until_ms = mm_clock_now_ms () + timeout_ms;
-  uint64_t no
-      = told ? mm_questions_add (p->questions, until_ms, told, ctx) : 0;
+  uint64_t no = told ? mm_requests_add (p->questions, until_ms, told, ctx) : 0;
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_mesh_pack_ask (&b, no, verb, data, len);
--- a/src/mm_mesh_msg.c
+++ b/src/mm_mesh_msg.c
@@ -142,7 +142,7 @@
       msgpack_pack_uint32 (&pk, rooms[i].room.task_ms);
       msgpack_pack_array (&pk, MM_PRIORITY_LEVELS);
       for (size_t k = 0; k < MM_PRIORITY_LEVELS; k++)
-        msgpack_pack_uint32 (&pk, rooms[i].room.waiting_at[k]);
+        msgpack_pack_uint32 (&pk, rooms[i].room.waiting_by_priority[k]);
     }
 }
 
@@ -261,13 +261,13 @@
 }
 
 static bool
-read_levels (const msgpack_object *o, uint32_t waiting_at[])
+read_levels (const msgpack_object *o, uint32_t waiting_by_priority[])
 {
   if (o->type != MSGPACK_OBJECT_ARRAY
       || o->via.array.size != MM_PRIORITY_LEVELS)
     return false;
   for (size_t i = 0; i < MM_PRIORITY_LEVELS; i++)
-    if (!mm_mp_read_u32 (&o->via.array.ptr[i], &waiting_at[i]))
+    if (!mm_mp_read_u32 (&o->via.array.ptr[i], &waiting_by_priority[i]))
       return false;
   return true;
 }
@@ -295,7 +295,7 @@
           || !mm_mp_read_u32 (&r[2], &out->room.free)
           || !mm_mp_read_u32 (&r[3], &out->room.waiting)
           || !mm_mp_read_u32 (&r[4], &out->room.task_ms)
-          || !read_levels (&r[5], out->room.waiting_at))
+          || !read_levels (&r[5], out->room.waiting_by_priority))
         return false;
       m->n_rooms++;
     }
--- a/src/mm_mesh_msg.h
+++ b/src/mm_mesh_msg.h
@@ -47,7 +47,7 @@
 typedef struct
 {
   char service[64];
-  mm_room_report room;
+  mm_capacity_report room;
 } mm_mesh_room;
 
 typedef struct
--- a/src/mm_mesh_peers.c
+++ b/src/mm_mesh_peers.c
@@ -60,7 +60,7 @@
   p->info.stands_in = info->stands_in;
   p->known_ms = mm_clock_now_ms ();
   p->remote = g_hash_table_new (g_int64_hash, g_int64_equal);
-  p->questions = mm_questions_create ();
+  p->questions = mm_requests_create ();
   g_hash_table_insert (m->peers, p->info.name, p);
 }
 
--- a/src/mm_mesh_priv.h
+++ b/src/mm_mesh_priv.h
@@ -20,7 +20,7 @@
   bool leaving;         /* it is shutting down */
   mm_time_ms lost_ms;   /* when a link to it was last lost, 0: never */
   mm_time_ms needed_ms; /* until then it is linked to in any case */
-  mm_questions *questions;
+  mm_requests *questions;
   mm_time_ms tried_ms;
   mm_time_ms beat_ms;
   uint64_t next_no;
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -210,7 +210,7 @@
   mm_ownership_tick (n->ownership, mm_stream_fresh (n->upstreams));
   mm_suspects_tick (n->suspects);
   mm_mesh_tick (n->mesh);
-  mm_owner_set_sure (n->owner, mm_holdings_sure (n->holdings));
+  mm_owner_set_confirmed (n->owner, mm_holdings_sure (n->holdings));
   mm_owner_tick (n->owner);
   mm_jobs_tick (n->jobs);
   mm_list_share_tick (n->list);
--- a/src/mm_own.h
+++ b/src/mm_own.h
@@ -19,6 +19,7 @@
 /* ---- mm_own_front: callers' jobs ---- */
 void mm_own_front_request (mm_http_request *req, void *ctx /* mm_front */);
 mm_submission *mm_own_submission (const char *body, size_t len,
-                                  mm_time_ms *patience_ms, GError **error);
+                                  mm_time_ms *caller_timeout_ms,
+                                  GError **error);
 
 #endif /* MM_OWN_H */
--- a/src/mm_own_front.c
+++ b/src/mm_own_front.c
@@ -142,18 +142,18 @@
  * mm_own_submission() - a job in our own JSON, as the core takes it.
  * @body: JSON text.
  * @len: bytes of it.
- * @patience_ms: set to its first deadline.
+ * @caller_timeout_ms: set to its first deadline.
  * @error: MM_ERROR_BAD_REQUEST or MM_ERROR_JOB_SIZE.
  */
 mm_submission *
-mm_own_submission (const char *body, size_t len, mm_time_ms *patience_ms,
+mm_own_submission (const char *body, size_t len, mm_time_ms *caller_timeout_ms,
                    GError **error)
 {
   mm_job *job
       = mm_job_parse_json (body, len, MM_DEFAULT_MAX_TASKS_PER_JOB, error);
   mm_submission *s = job ? submission_of (job, error) : NULL;
   if (s)
-    *patience_ms = patience_of (job);
+    *caller_timeout_ms = patience_of (job);
   mm_job_destroy (job);
   return s;
 }
@@ -304,11 +304,11 @@
       waiting *w = g_new0 (waiting, 1);
       w->front = f;
       w->req = req;
-      mm_time_ms patience_ms = patience_of (job);
+      mm_time_ms caller_timeout_ms = patience_of (job);
       w->job = g_steal_pointer (&job);
       mm_caller *c = mm_jobs_submit (mm_node_jobs (mm_front_node (f)),
-                                     g_steal_pointer (&s), queue, patience_ms,
-                                     on_answer, w);
+                                     g_steal_pointer (&s), queue,
+                                     caller_timeout_ms, on_answer, w);
       if (c)
         {
           w->caller = c;
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -94,7 +94,7 @@
 update_average (double *average, double value)
 {
   *average
-      = *average > 0 ? *average + MM_USUAL_GAIN * (value - *average) : value;
+      = *average > 0 ? *average + MM_AVERAGE_GAIN * (value - *average) : value;
 }
 
 /* Updates the average time for which a task uses its place, counting runs
@@ -212,7 +212,7 @@
 }
 
 void
-mm_owner_note_sent (mm_owner *o, size_t bytes)
+mm_owner_record_sent (mm_owner *o, size_t bytes)
 {
   mm_uplink_sent (&o->common.uplink, bytes, mm_clock_now_ms ());
 }
@@ -242,7 +242,7 @@
 }
 
 /**
- * mm_owner_own() - starts to own an upstream.
+ * mm_owner_add_upstream() - starts to own an upstream.
  * @o: the owner.
  * @u: the upstream; copied.
  * @fence: this instance's fencing token there.
@@ -251,7 +251,7 @@
  * session; otherwise a handover that has begun is cancelled.
  */
 void
-mm_owner_own (mm_owner *o, const mm_upstream_info *u, uint64_t fence)
+mm_owner_add_upstream (mm_owner *o, const mm_upstream_info *u, uint64_t fence)
 {
   mm_owned_upstream *owned = g_hash_table_lookup (o->owned_upstreams, u->name);
   if (owned && mm_exec_fence (owned->exec) >= fence)
@@ -261,7 +261,7 @@
       return;
     }
   if (owned)
-    mm_owner_disown (o, u->name);
+    mm_owner_remove_upstream (o, u->name);
   owned = g_new0 (mm_owned_upstream, 1);
   owned->owner = o;
   mm_exec_events ev = { .ended = on_ended,
@@ -279,7 +279,7 @@
 /* Starts no tasks: more changes from the same answer of the store may follow,
    and new capacity is used at the next tick.  */
 void
-mm_owner_update (mm_owner *o, const mm_upstream_info *u)
+mm_owner_update_upstream (mm_owner *o, const mm_upstream_info *u)
 {
   mm_owned_upstream *owned = g_hash_table_lookup (o->owned_upstreams, u->name);
   if (owned)
@@ -289,7 +289,7 @@
 }
 
 void
-mm_owner_disown (mm_owner *o, const char *upstream)
+mm_owner_remove_upstream (mm_owner *o, const char *upstream)
 {
   mm_owned_upstream *owned
       = g_hash_table_lookup (o->owned_upstreams, upstream);
@@ -305,7 +305,7 @@
    delay the handover, and keeping the upstreams idle would take half of a
    data centre's capacity away for that time at each restart.  */
 void
-mm_owner_freeze (mm_owner *o, const char *upstream)
+mm_owner_freeze_upstream (mm_owner *o, const char *upstream)
 {
   mm_owned_upstream *owned
       = g_hash_table_lookup (o->owned_upstreams, upstream);
@@ -340,13 +340,13 @@
 }
 
 GList *
-mm_owner_names (const mm_owner *o)
+mm_owner_upstream_names (const mm_owner *o)
 {
   return g_hash_table_get_keys (o->owned_upstreams);
 }
 
 bool
-mm_owner_quiet (const mm_owner *o, const char *upstream)
+mm_owner_idle (const mm_owner *o, const char *upstream)
 {
   mm_owned_upstream *owned
       = g_hash_table_lookup (o->owned_upstreams, upstream);
@@ -441,14 +441,14 @@
 
 /* Passes over the queue once and starts the tasks that fit.  A task that does
    not fit does not block smaller tasks behind it; after
-   MM_OWNER_PUMP_MISSES tasks that do not fit, the pass ends.  */
+   MM_OWNER_MAX_MISSES tasks that do not fit, the pass ends.  */
 static void
 start_waiting_once (mm_owner *o)
 {
   mm_time_ms now = mm_clock_now_ms ();
   uint32_t misses = 0;
   GList *l = o->waiting->head;
-  while (l && misses < MM_OWNER_PUMP_MISSES)
+  while (l && misses < MM_OWNER_MAX_MISSES)
     {
       GList *next = l->next;
       mm_work *w = l->data;
@@ -548,7 +548,7 @@
 }
 
 void
-mm_owner_set_sure (mm_owner *o, bool confirmed)
+mm_owner_set_confirmed (mm_owner *o, bool confirmed)
 {
   o->confirmed = confirmed;
 }
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -10,7 +10,7 @@
 #define MM_OWNER_H
 
 #include "config.h"
-#include "mm_census.h"
+#include "mm_search_result.h"
 #include "mm_exec.h"
 #include "mm_suspects.h"
 
@@ -38,21 +38,23 @@
   uint32_t task_ms; /* average time that places were in use for each task that
                        was done, 0: unknown */
   uint32_t waiting; /* tasks that wait for free capacity */
-  uint32_t waiting_at[MM_PRIORITY_LEVELS]; /* of these, by priority; the last
-                                              level counts all beyond it */
-} mm_room_report;
+  uint32_t
+      waiting_by_priority[MM_PRIORITY_LEVELS]; /* of these, by priority; the
+                                         last level counts all beyond it */
+} mm_capacity_report;
 
 /* Number of waiting tasks that go before a new task of this priority: those
    of the same or a more urgent one.  */
-uint32_t mm_room_ahead (const mm_room_report *r, uint32_t priority);
+uint32_t mm_capacity_waiting_ahead (const mm_capacity_report *r,
+                                    uint32_t priority);
 
 /* Totals over all services, for metrics.  */
 typedef struct
 {
   uint32_t upstreams;
-  uint32_t runs;       /* runs that use capacity */
-  uint32_t unsure;     /* of these, starts that have no answer yet */
-  mm_room_report room; /* sums of places, free and waiting */
+  uint32_t runs;           /* runs that use capacity */
+  uint32_t unsure;         /* of these, starts that have no answer yet */
+  mm_capacity_report room; /* sums of places, free and waiting */
 } mm_owner_gauges;
 
 /* A run that another owner started and left at an upstream.  */
@@ -70,7 +72,7 @@
 {
   /* A run of a previous owner was found; requests it from the other owners. */
   void (*found) (void *ctx, const mm_found_run *r);
-  /* A transferred task is cancelled; @transfer is from mm_owner_pass_on().  */
+  /* A transferred task is cancelled; @transfer is from mm_owner_transfer(). */
   void (*cancel) (void *ctx, void *transfer);
   void *ctx;
 } mm_owner_links;
@@ -79,39 +81,42 @@
 /* Sets the bandwidth of the uplink on which orders are sent, 0: no limit.  */
 void mm_owner_set_link (mm_owner *o, double mbps);
 /* Records other data that was sent on the same uplink.  */
-void mm_owner_note_sent (mm_owner *o, size_t bytes);
+void mm_owner_record_sent (mm_owner *o, size_t bytes);
 void mm_owner_set_view (mm_owner *o, const mm_exec_view *v); /* copied */
 /* Sets where lost upstreams and the tasks there are recorded; @s must outlive
    the owner.  */
 void mm_owner_set_suspects (mm_owner *o, mm_suspects *s);
 void mm_owner_destroy (mm_owner *o);
 /* Starts to own an upstream, or cancels a handover of it that has begun.  */
-void mm_owner_own (mm_owner *o, const mm_upstream_info *u, uint64_t fence);
+void mm_owner_add_upstream (mm_owner *o, const mm_upstream_info *u,
+                            uint64_t fence);
 /* Applies a changed list entry of an upstream, whoever owns it.  */
-void mm_owner_update (mm_owner *o, const mm_upstream_info *u);
+void mm_owner_update_upstream (mm_owner *o, const mm_upstream_info *u);
 /* Stops owning an upstream at once.  */
-void mm_owner_disown (mm_owner *o, const char *upstream);
+void mm_owner_remove_upstream (mm_owner *o, const char *upstream);
 /* Begins a handover: from now on only tasks start there that end before the
    tasks which run now.  */
-void mm_owner_freeze (mm_owner *o, const char *upstream);
+void mm_owner_freeze_upstream (mm_owner *o, const char *upstream);
 /* Returns whether another owner's fencing token was seen there.  */
 bool mm_owner_fenced (const mm_owner *o, const char *upstream);
 /* Names of the owned upstreams; free the list, not the names.  */
-GList *mm_owner_names (const mm_owner *o);
+GList *mm_owner_upstream_names (const mm_owner *o);
 /* Returns whether the upstream can be released: it is frozen and nothing runs
    there, or it is not owned.  */
-bool mm_owner_quiet (const mm_owner *o, const char *upstream);
+bool mm_owner_idle (const mm_owner *o, const char *upstream);
 mm_work *mm_owner_submit (mm_owner *o, const mm_task_request *t,
                           mm_work_done done, void *ctx);
 void mm_owner_cancel (mm_owner *o, mm_work *w); /* @done is not called */
 /* Acknowledges the end of a kept job's run, which is stored now.  @hash:
-   mm_run_mark() of the run.  */
-void mm_owner_note_end (mm_owner *o, const mm_task_id *task, uint32_t hash);
+   mm_run_hash() of the run.  */
+void mm_owner_acknowledge_end (mm_owner *o, const mm_task_id *task,
+                               uint32_t hash);
 /* Sets whether this instance's membership is confirmed, so that no other
    instance can own its upstreams.  */
-void mm_owner_set_sure (mm_owner *o, bool confirmed);
+void mm_owner_set_confirmed (mm_owner *o, bool confirmed);
 /* Searches for tasks (a set of mm_task_id) here and adds to @out.  */
-void mm_owner_census (const mm_owner *o, GHashTable *tasks, mm_census *out);
+void mm_owner_search (const mm_owner *o, GHashTable *tasks,
+                      mm_search_result *out);
 /* Adds copies of the ids of jobs for which ends of a previous owner's runs are
    held until their homes request them.  */
 void mm_owner_foreign_jobs (const mm_owner *o, GHashTable *ids);
@@ -121,18 +126,18 @@
 void mm_owner_set_links (mm_owner *o, const mm_owner_links *l); /* copied */
 /* Claims a run that the upstream's next owner has found.  If its task was
    submitted here, fills @t with the request that the next owner take the run
-   over, and returns the task for mm_owner_pass_on().  Returns NULL if the task
-   is not from here, or if the fencing token of the owner that found the run is
-   not higher than the one held here.  */
+   over, and returns the task for mm_owner_transfer().  Returns NULL if the
+   task is not from here, or if the fencing token of the owner that found the
+   run is not higher than the one held here.  */
 mm_work *mm_owner_claim (mm_owner *o, const mm_found_run *r,
                          mm_task_request *t);
 /* A claimed task was dispatched to the next owner; @transfer is its handle
    there, NULL when it could not be dispatched.  Its end is to be reported
-   with mm_owner_passed_end().  */
-void mm_owner_pass_on (mm_owner *o, mm_work *w, void *transfer);
-void mm_owner_passed_end (void *work, const mm_work_result *r);
+   with mm_owner_transferred_end().  */
+void mm_owner_transfer (mm_owner *o, mm_work *w, void *transfer);
+void mm_owner_transferred_end (void *work, const mm_work_result *r);
 void mm_owner_tick (mm_owner *o); /* call each MM_EXEC_TICK_MS */
-mm_room_report mm_owner_report (const mm_owner *o, const char *service);
+mm_capacity_report mm_owner_report (const mm_owner *o, const char *service);
 mm_owner_gauges mm_owner_measure (const mm_owner *o);
 /* Distinct services of the owned upstreams; free the list, not the names.  */
 GList *mm_owner_services (const mm_owner *o);
--- a/src/mm_owner_adopt.c
+++ b/src/mm_owner_adopt.c
@@ -109,7 +109,7 @@
 }
 
 void
-mm_owner_pass_on (mm_owner *o, mm_work *w, void *transfer)
+mm_owner_transfer (mm_owner *o, mm_work *w, void *transfer)
 {
   if (!transfer)
     {
@@ -121,7 +121,7 @@
 }
 
 void
-mm_owner_passed_end (void *work, const mm_work_result *r)
+mm_owner_transferred_end (void *work, const mm_work_result *r)
 {
   mm_work *w = work;
   g_hash_table_remove (w->owner->transferred, w);
--- a/src/mm_owner_kept.c
+++ b/src/mm_owner_kept.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 void
-mm_owner_note_end (mm_owner *o, const mm_task_id *task, uint32_t hash)
+mm_owner_acknowledge_end (mm_owner *o, const mm_task_id *task, uint32_t hash)
 {
   GHashTableIter it;
   gpointer v;
@@ -17,7 +17,7 @@
       const mm_held_end *h = mm_exec_held (x, &n);
       for (size_t i = n; i-- > 0;)
         if (mm_task_id_equal (&h[i].task, task)
-            && mm_run_mark (mm_exec_info (x)->name, h[i].run) == hash)
+            && mm_run_hash (mm_exec_info (x)->name, h[i].run) == hash)
           mm_exec_drop_held (x, i);
     }
 }
@@ -42,14 +42,14 @@
       mm_found_end e
           = { .task = h[i].task,
               .how = h[i].how,
-              .mark = mm_run_mark (mm_exec_info (x)->name, h[i].run) };
+              .mark = mm_run_hash (mm_exec_info (x)->name, h[i].run) };
       if (g_hash_table_contains (tasks, &e.task))
         g_array_append_val (ends, e);
     }
 }
 
 /**
- * mm_owner_census() - searches for tasks that are in doubt at their home.
+ * mm_owner_search() - searches for tasks that are in doubt at their home.
  * @o: the owner.
  * @tasks: a set of mm_task_id.
  * @out: the result is added to it: upstreams on which none of the tasks runs
@@ -57,7 +57,7 @@
  *   acknowledged, and the number of the tasks that wait or run here.
  */
 void
-mm_owner_census (const mm_owner *o, GHashTable *tasks, mm_census *out)
+mm_owner_search (const mm_owner *o, GHashTable *tasks, mm_search_result *out)
 {
   out->present += count_waiting (o, tasks);
   GHashTableIter it;
@@ -72,7 +72,7 @@
          owner with a higher fencing token may have started one there.  */
       if (!o->confirmed || !mm_exec_sure (x))
         continue;
-      uint64_t hash = mm_upstream_mark (mm_exec_info (x)->name);
+      uint64_t hash = mm_upstream_hash (mm_exec_info (x)->name);
       g_array_append_val (out->clear, hash);
       add_held (x, tasks, out->ends);
     }
--- a/src/mm_owner_report.c
+++ b/src/mm_owner_report.c
@@ -24,13 +24,13 @@
  * Return: the report; capacity is counted in tasks of the average size of
  * those submitted recently.
  */
-mm_room_report
+mm_capacity_report
 mm_owner_report (const mm_owner *o, const char *service)
 {
-  mm_room_report r = { 0 };
+  mm_capacity_report r = { 0 };
   if (o->done_share > 0)
-    r.task_ms
-        = (uint32_t)(o->average_place_ms / MAX (o->done_share, MM_LEAST_DONE));
+    r.task_ms = (uint32_t)(o->average_place_ms
+                           / MAX (o->done_share, MM_MIN_DONE_SHARE));
   mm_time_ms now = mm_clock_now_ms ();
   GHashTableIter it;
   gpointer v;
@@ -56,19 +56,20 @@
       if (strcmp (w->request.service, service) != 0)
         continue;
       r.waiting++;
-      r.waiting_at[MIN (w->request.priority, MM_PRIORITY_LEVELS - 1)]++;
+      r.waiting_by_priority[MIN (w->request.priority,
+                                 MM_PRIORITY_LEVELS - 1)]++;
     }
   return r;
 }
 
 uint32_t
-mm_room_ahead (const mm_room_report *r, uint32_t priority)
+mm_capacity_waiting_ahead (const mm_capacity_report *r, uint32_t priority)
 {
   uint32_t n = 0;
   if (!MM_WITH_PRIORITY)
     return r->waiting;
   for (uint32_t i = 0; i < MM_PRIORITY_LEVELS && i <= priority; i++)
-    n += r->waiting_at[i];
+    n += r->waiting_by_priority[i];
   return n;
 }
 
@@ -87,7 +88,7 @@
   GList *services = mm_owner_services (o);
   for (GList *l = services; l; l = l->next)
     {
-      mm_room_report r = mm_owner_report (o, l->data);
+      mm_capacity_report r = mm_owner_report (o, l->data);
       g.room.places += r.places;
       g.room.free += r.free;
       g.room.waiting += r.waiting;
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -18,7 +18,7 @@
 static void
 on_listed (void *ctx, const mm_upstream_info *u)
 {
-  mm_owner_update (((mm_ownership *)ctx)->owner, u);
+  mm_owner_update_upstream (((mm_ownership *)ctx)->owner, u);
 }
 
 /**
@@ -62,16 +62,16 @@
 static void
 let_go (mm_ownership *w)
 {
-  GList *owned = mm_owner_names (w->owner);
+  GList *owned = mm_owner_upstream_names (w->owner);
   for (GList *l = owned; l; l = l->next)
     {
       uint64_t fence;
       const mm_upstream_info *u = mm_catalog_find (w->catalog, l->data);
       mm_share_state state = u ? share_of (w, u, &fence) : MM_SHARE_OTHERS;
       if (state == MM_SHARE_OTHERS)
-        mm_owner_disown (w->owner, l->data);
+        mm_owner_remove_upstream (w->owner, l->data);
       else if (state == MM_SHARE_LEAVING)
-        mm_owner_freeze (w->owner, l->data);
+        mm_owner_freeze_upstream (w->owner, l->data);
     }
   g_list_free (owned);
 }
@@ -87,7 +87,7 @@
       w->shares.retake (w->shares.ctx, u);
       share_of (w, u, &fence);
     }
-  mm_owner_own (w->owner, u, fence);
+  mm_owner_add_upstream (w->owner, u, fence);
 }
 
 static void
@@ -121,14 +121,14 @@
 mm_ownership_quiet (const mm_ownership *w, const char *datacentre)
 {
   bool quiet = true;
-  GList *owned = mm_owner_names (w->owner);
+  GList *owned = mm_owner_upstream_names (w->owner);
   for (GList *l = owned; l && quiet; l = l->next)
     {
       uint64_t fence;
       const mm_upstream_info *u = mm_catalog_find (w->catalog, l->data);
       if (u && strcmp (u->datacentre, datacentre) == 0
           && share_of (w, u, &fence) == MM_SHARE_LEAVING
-          && !mm_owner_quiet (w->owner, l->data))
+          && !mm_owner_idle (w->owner, l->data))
         quiet = false;
     }
   g_list_free (owned);
--- a/src/mm_questions.c
+++ b/src/mm_requests.c
@@ -1,31 +1,31 @@
 /* mm_requests: calls back exactly once for each request, with its answer or
    when there will be none.  */
-#include "mm_questions.h"
+#include "mm_requests.h"
 
 typedef struct
 {
   uint64_t number;
   mm_time_ms expires_ms;
-  mm_told answered;
+  mm_answered answered;
   void *ctx;
 } request;
 
-struct mm_questions
+struct mm_requests
 {
   GQueue *pending; /* in order of their numbers */
   uint64_t last_number;
 };
 
-mm_questions *
-mm_questions_create (void)
+mm_requests *
+mm_requests_create (void)
 {
-  mm_questions *requests = g_new0 (mm_questions, 1);
+  mm_requests *requests = g_new0 (mm_requests, 1);
   requests->pending = g_queue_new ();
   return requests;
 }
 
 void
-mm_questions_destroy (mm_questions *requests)
+mm_requests_destroy (mm_requests *requests)
 {
   if (!requests)
     return;
@@ -34,8 +34,8 @@
 }
 
 uint64_t
-mm_questions_add (mm_questions *requests, mm_time_ms expires_ms,
-                  mm_told answered, void *ctx)
+mm_requests_add (mm_requests *requests, mm_time_ms expires_ms,
+                 mm_answered answered, void *ctx)
 {
   request *r = g_new (request, 1);
   *r = (request){ .number = ++requests->last_number,
@@ -47,7 +47,7 @@
 }
 
 static void
-finish (mm_questions *requests, GList *link, bool ok, const void *data,
+finish (mm_requests *requests, GList *link, bool ok, const void *data,
         size_t len)
 {
   request *r = link->data;
@@ -57,8 +57,8 @@
 }
 
 void
-mm_questions_answer (mm_questions *requests, uint64_t number, const void *data,
-                     size_t len)
+mm_requests_answer (mm_requests *requests, uint64_t number, const void *data,
+                    size_t len)
 {
   for (GList *l = requests->pending->head; l; l = l->next)
     if (((request *)l->data)->number == number)
@@ -71,7 +71,7 @@
 /* Returns the oldest request that has expired, or NULL.  The search starts
    from the head each time, because a callback may add requests.  */
 static GList *
-first_expired (mm_questions *requests, mm_time_ms now)
+first_expired (mm_requests *requests, mm_time_ms now)
 {
   for (GList *l = requests->pending->head; l; l = l->next)
     if (((request *)l->data)->expires_ms <= now)
@@ -80,7 +80,7 @@
 }
 
 void
-mm_questions_expire (mm_questions *requests, mm_time_ms now)
+mm_requests_expire (mm_requests *requests, mm_time_ms now)
 {
   GList *l;
   while ((l = first_expired (requests, now)))
@@ -88,7 +88,7 @@
 }
 
 void
-mm_questions_fail_all (mm_questions *requests)
+mm_requests_fail_all (mm_requests *requests)
 {
   guint n = requests->pending->length;
   for (guint i = 0; i < n && requests->pending->head; i++)
--- a/src/mm_census.h
+++ b/src/mm_search_result.h
@@ -1,6 +1,6 @@
 /* mm_search_result: what an owner knows of tasks in doubt.  */
-#ifndef MM_CENSUS_H
-#define MM_CENSUS_H
+#ifndef MM_SEARCH_RESULT_H
+#define MM_SEARCH_RESULT_H
 
 #include "mm_task.h"
 
@@ -9,24 +9,25 @@
 {
   mm_task_id task;
   mm_end how;
-  uint32_t mark; /* mm_run_mark() of the run */
+  uint32_t mark; /* mm_run_hash() of the run */
 } mm_found_end;
 
 /* Identifies one run among the runs of a task.  */
-uint32_t mm_run_mark (const char *upstream, uint32_t run);
+uint32_t mm_run_hash (const char *upstream, uint32_t run);
 
 /* What an owner knows of the tasks that are searched for.  */
 typedef struct
 {
   /* Upstreams on which none of the tasks runs, as uint64_t hashes
-     (mm_upstream_mark()).  */
+     (mm_upstream_hash()).  */
   GArray *clear;
   GArray *ends;     /* mm_found_end: ends that are not acknowledged yet */
   uint32_t present; /* number of the tasks that are queued or running */
-} mm_census;
+} mm_search_result;
 
-uint64_t mm_upstream_mark (const char *upstream);
-mm_census mm_census_new (void);
-void mm_census_clear (mm_census *result); /* frees the arrays, not @result */
+uint64_t mm_upstream_hash (const char *upstream);
+mm_search_result mm_search_result_init (void);
+void mm_search_result_clear (
+    mm_search_result *result); /* frees the arrays, not @result */
 
-#endif /* MM_CENSUS_H */
+#endif /* MM_SEARCH_RESULT_H */
--- a/src/mm_steps.c
+++ b/src/mm_steps.c
@@ -52,7 +52,7 @@
 }
 
 mm_task_id
-mm_steps_task (const mm_steps *t, uint32_t task)
+mm_steps_task_id (const mm_steps *t, uint32_t task)
 {
   mm_task_id id = { .step = step_of (t, task) };
   id.index = task - t->steps[id.step].first_task;
@@ -61,7 +61,7 @@
 }
 
 int64_t
-mm_steps_number (const mm_steps *t, const mm_task_id *id)
+mm_steps_task_number (const mm_steps *t, const mm_task_id *id)
 {
   if (strcmp (id->job, t->submission->id) != 0
       || id->step >= t->submission->n_steps
@@ -71,7 +71,7 @@
 }
 
 void
-mm_steps_note_done (mm_steps *t, uint32_t task)
+mm_steps_task_done (mm_steps *t, uint32_t task)
 {
   t->steps[step_of (t, task)].done++;
   t->done++;
@@ -94,7 +94,7 @@
 }
 
 void
-mm_steps_begin_ready (mm_steps *t, mm_steps_begin start, void *ctx)
+mm_steps_start_ready (mm_steps *t, mm_steps_start start, void *ctx)
 {
   /* The tasks are collected first: @start may end the job and free @t.  */
   GArray *tasks = g_array_new (FALSE, FALSE, sizeof (uint32_t));
--- a/src/mm_steps.h
+++ b/src/mm_steps.h
@@ -8,17 +8,17 @@
 typedef struct mm_steps mm_steps;
 
 /* Starts a task.  Tasks are numbered through all steps of the job from 0.  */
-typedef void (*mm_steps_begin) (void *ctx, uint32_t task);
+typedef void (*mm_steps_start) (void *ctx, uint32_t task);
 
 mm_steps *mm_steps_create (const mm_submission *s); /* @s must outlive it */
 void mm_steps_destroy (mm_steps *t);
-mm_task_id mm_steps_task (const mm_steps *t, uint32_t task); /* its id */
+mm_task_id mm_steps_task_id (const mm_steps *t, uint32_t task); /* its id */
 /* The number of the task with this id, -1 if the job has no such task.  */
-int64_t mm_steps_number (const mm_steps *t, const mm_task_id *id);
-void mm_steps_note_done (mm_steps *t, uint32_t task);
+int64_t mm_steps_task_number (const mm_steps *t, const mm_task_id *id);
+void mm_steps_task_done (mm_steps *t, uint32_t task);
 bool mm_steps_all_done (const mm_steps *t);
 /* Calls @start for each task of every step that has become ready.  The job may
    have ended, and @t be freed, once the last call returns.  */
-void mm_steps_begin_ready (mm_steps *t, mm_steps_begin start, void *ctx);
+void mm_steps_start_ready (mm_steps *t, mm_steps_start start, void *ctx);
 
 #endif /* MM_STEPS_H */
--- a/src/mm_task_search.c
+++ b/src/mm_task_search.c
@@ -14,7 +14,7 @@
   const mm_catalog *catalog;
   mm_task_search_events ev;
   GHashTable *tasks;           /* the tasks of this round, NULL: no round */
-  GHashTable *clear_upstreams; /* uint64_t mm_upstream_mark(): none of the
+  GHashTable *clear_upstreams; /* uint64_t mm_upstream_hash(): none of the
                                   tasks runs there */
   uint32_t n_present;          /* tasks found waiting or running */
   bool complete;               /* the catalog named every upstream */
@@ -70,7 +70,7 @@
 }
 
 static void
-add_result (mm_task_search *s, const mm_census *c, const char *owner)
+add_result (mm_task_search *s, const mm_search_result *c, const char *owner)
 {
   s->n_present += c->present;
   for (guint i = 0; i < c->clear->len; i++)
@@ -89,7 +89,7 @@
   for (GList *l = list; l && all; l = l->next)
     {
       uint64_t hash
-          = mm_upstream_mark (((const mm_upstream_info *)l->data)->name);
+          = mm_upstream_hash (((const mm_upstream_info *)l->data)->name);
       all = g_hash_table_contains (s->clear_upstreams, &hash);
     }
   g_list_free (list);
@@ -110,12 +110,12 @@
 {
   search_request *req = ctx;
   mm_task_search *s = req->search;
-  mm_census c = mm_census_new ();
+  mm_search_result c = mm_search_result_init ();
   /* A missing answer does not end the round: the peer's upstreams are reported
      by their present owner, or stay missing from clear_upstreams.  */
   if (!s->closed && ok && mm_search_result_read (data, len, &c))
     add_result (s, &c, req->peer);
-  mm_census_clear (&c);
+  mm_search_result_clear (&c);
   s->outstanding--;
   if (!s->closed && s->outstanding == 0)
     end_round (s);
@@ -155,10 +155,10 @@
   /* Owners need not be neighbours, so link to all known instances.  */
   mm_mesh_need (s->mesh, NULL);
   s->outstanding = 1;
-  mm_census local = mm_census_new ();
-  mm_owner_census (s->owner, s->tasks, &local);
+  mm_search_result local = mm_search_result_init ();
+  mm_owner_search (s->owner, s->tasks, &local);
   add_result (s, &local, NULL);
-  mm_census_clear (&local);
+  mm_search_result_clear (&local);
   send_requests (s);
   if (--s->outstanding == 0)
     end_round (s);
--- a/tests/owner_world.c
+++ b/tests/owner_fixture.c
@@ -1,5 +1,5 @@
 /* owner_fixture: an owner with simulated upstreams in memory, for tests.  */
-#include "owner_world.h"
+#include "owner_fixture.h"
 
 #include <check.h>
 #include <string.h>
@@ -29,7 +29,7 @@
 fixture_add (fixture *fx, const char *name)
 {
   fake *x = fakes_add (fx->upstreams, name, UPSTREAM_CPU_MILLI);
-  mm_owner_own (fx->owner, fake_info (x), 5);
+  mm_owner_add_upstream (fx->owner, fake_info (x), 5);
   return x;
 }
 
--- a/tests/owner_world.h
+++ b/tests/owner_fixture.h
@@ -1,6 +1,6 @@
 /* owner_fixture: an owner with simulated upstreams in memory, for tests.  */
-#ifndef OWNER_WORLD_H
-#define OWNER_WORLD_H
+#ifndef OWNER_FIXTURE_H
+#define OWNER_FIXTURE_H
 
 #include "fake_upstreams.h"
 
@@ -35,4 +35,4 @@
    the same time.  */
 void assert_invariants (fixture *fx);
 
-#endif /* OWNER_WORLD_H */
+#endif /* OWNER_FIXTURE_H */
--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -180,7 +180,7 @@
           sent_run *r = v;
           g_hash_table_iter_steal (&it);
           mm_work_result lost = { .how = MM_END_UNKNOWN, .why = "link lost" };
-          mm_owner_passed_end (r->work, &lost);
+          mm_owner_transferred_end (r->work, &lost);
           g_free (r);
         }
     }
@@ -267,7 +267,7 @@
   if (!w)
     return;
   self->fx->adopted++;
-  mm_owner_pass_on (self->owner, w, transfer_run (self->to_peer, &t, w));
+  mm_owner_transfer (self->owner, w, transfer_run (self->to_peer, &t, w));
 }
 
 static void
@@ -279,7 +279,7 @@
   g_hash_table_steal (l->sent_runs, &m->number);
   mm_work_result res
       = { .how = m->how, .upstream = m->upstream, .run = m->run };
-  mm_owner_passed_end (r->work, &res);
+  mm_owner_transferred_end (r->work, &res);
   g_free (r);
 }
 
@@ -413,8 +413,8 @@
   fx->disown_at_ms[i] = random_below (fx, 2) ? fakes_now (fx->fake_upstreams)
                                                    + random_below (fx, 300)
                                              : G_MAXINT64;
-  mm_owner_own (fx->instances[next].owner, fake_info (fx->upstreams[i]),
-                ++fx->fence);
+  mm_owner_add_upstream (fx->instances[next].owner,
+                         fake_info (fx->upstreams[i]), ++fx->fence);
 }
 
 static void
@@ -424,8 +424,8 @@
     if (fakes_now (fx->fake_upstreams) >= fx->disown_at_ms[i])
       {
         fx->disown_at_ms[i] = G_MAXINT64;
-        mm_owner_disown (fx->instances[1 - fx->owner_of[i]].owner,
-                         fake_info (fx->upstreams[i])->name);
+        mm_owner_remove_upstream (fx->instances[1 - fx->owner_of[i]].owner,
+                                  fake_info (fx->upstreams[i])->name);
       }
 }
 
@@ -500,8 +500,8 @@
       fx->upstreams[i]
           = fakes_add (fx->fake_upstreams, name, UPSTREAM_CPU_MILLI);
       fx->disown_at_ms[i] = G_MAXINT64;
-      mm_owner_own (fx->instances[0].owner, fake_info (fx->upstreams[i]),
-                    fx->fence);
+      mm_owner_add_upstream (fx->instances[0].owner,
+                             fake_info (fx->upstreams[i]), fx->fence);
     }
   for (int i = 0; i < TASKS; i++)
     fx->tasks[i] = (task){ .fx = fx,
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -2,10 +2,10 @@
    placement, circuit breaker, routes and kinds of jobs.  */
 #include "config.h"
 #include "mm_admission.h"
-#include "mm_patience.h"
+#include "mm_caller_wait.h"
 #include "mm_place.h"
 #include "mm_routes.h"
-#include "mm_spread.h"
+#include "mm_dispatch.h"
 #include "mm_submission.h"
 #include "mm_transit.h"
 #include "mm_trust.h"
@@ -117,7 +117,7 @@
     RESENT_TO_MS = 1300,
     END_MS = 2000
   };
-  mm_patience p = { 0 };
+  mm_caller_wait p = { 0 };
   double busy = 0, waiting = 0, sent = 0, in_time = 0;
   for (int ms = 0; ms < END_MS; ms++)
     {
@@ -129,7 +129,7 @@
           if (ms % 5 >= 2)
             continue; /* two tasks arrive every 5 ms */
           mm_time_ms slack = SLACK_MS;
-          bool too_late = mm_patience_is_over (
+          bool too_late = mm_caller_wait_is_too_late (
               &p, resent ? TIMEOUT_MS - MM_RESEND_MS : TIMEOUT_MS, USEFUL_MS);
           if (too_late && use_timeout)
             slack = 0;
@@ -171,17 +171,18 @@
    again, it still is.  */
 START_TEST (remaining_timeout_shows_that_a_job_was_sent_before)
 {
-  mm_patience p = { 0 };
+  mm_caller_wait p = { 0 };
   for (int i = 0; i < 20; i++)
-    ck_assert (!mm_patience_is_over (&p, 1500 + 470 + i, 470));
-  ck_assert (mm_patience_is_over (&p, 200 + 470, 470));
-  ck_assert (!mm_patience_is_over (&p, 1500 + 470, 470));
-  mm_patience short_timeouts = { 0 };
+    ck_assert (!mm_caller_wait_is_too_late (&p, 1500 + 470 + i, 470));
+  ck_assert (mm_caller_wait_is_too_late (&p, 200 + 470, 470));
+  ck_assert (!mm_caller_wait_is_too_late (&p, 1500 + 470, 470));
+  mm_caller_wait short_timeouts = { 0 };
   for (int i = 0; i < 20; i++)
-    ck_assert (!mm_patience_is_over (&short_timeouts, 300 + 470 - i, 470));
-  mm_patience long_timeouts = { 0 };
-  ck_assert (!mm_patience_is_over (&long_timeouts, 6000, 4500));
-  ck_assert (!mm_patience_is_over (&long_timeouts, 4600, 4500));
+    ck_assert (
+        !mm_caller_wait_is_too_late (&short_timeouts, 300 + 470 - i, 470));
+  mm_caller_wait long_timeouts = { 0 };
+  ck_assert (!mm_caller_wait_is_too_late (&long_timeouts, 6000, 4500));
+  ck_assert (!mm_caller_wait_is_too_late (&long_timeouts, 4600, 4500));
 }
 END_TEST
 
@@ -189,23 +190,24 @@
    an urgent job, which goes before them, but of a job of their own queue.  */
 START_TEST (nobody_is_refused_for_tasks_that_stand_behind)
 {
-  mm_room_report r
-      = { .places = 100, .waiting = 60, .waiting_at = { 0, 0, 60 } };
+  mm_capacity_report r
+      = { .places = 100, .waiting = 60, .waiting_by_priority = { 0, 0, 60 } };
   mm_load urgent = { .places = r.places,
-                     .waiting = mm_room_ahead (&r, 0),
+                     .waiting = mm_capacity_waiting_ahead (&r, 0),
                      .mean_task_ms = 200 };
   mm_load other = urgent;
-  other.waiting = mm_room_ahead (&r, 2);
+  other.waiting = mm_capacity_waiting_ahead (&r, 2);
   ck_assert (mm_admission_decide (&urgent, 8, 80).take);
   ck_assert (!mm_admission_decide (&other, 8, 80).take);
-  ck_assert_uint_eq (mm_room_ahead (&r, MM_PRIORITY_LEVELS + 5), 60);
+  ck_assert_uint_eq (mm_capacity_waiting_ahead (&r, MM_PRIORITY_LEVELS + 5),
+                     60);
 }
 END_TEST
 
-static mm_spread_choice
+static mm_dispatch_candidate
 owner (mm_nearness near, uint32_t places, uint32_t free, uint32_t waiting)
 {
-  return (mm_spread_choice){
+  return (mm_dispatch_candidate){
     .near = near,
     .room = { .places = places, .free = free, .waiting = waiting }
   };
@@ -213,32 +215,32 @@
 
 START_TEST (task_goes_to_the_nearest_owner_with_free_capacity)
 {
-  mm_spread_choice c[]
+  mm_dispatch_candidate c[]
       = { owner (MM_NEAR_SELF, 10, 0, 0), owner (MM_NEAR_FAR, 10, 9, 0),
           owner (MM_NEAR_DATACENTRE, 10, 1, 0) };
-  ck_assert_int_eq (mm_spread_choose (c, 3), 2);
+  ck_assert_int_eq (mm_dispatch_choose (c, 3), 2);
 }
 END_TEST
 
 START_TEST (task_goes_last_to_the_owner_that_returned_it)
 {
-  mm_spread_choice c[]
+  mm_dispatch_candidate c[]
       = { owner (MM_NEAR_SELF, 10, 3, 0), owner (MM_NEAR_FAR, 10, 1, 0),
           owner (MM_NEAR_DATACENTRE, 10, 0, 0) };
-  ck_assert_int_eq (mm_spread_choose (c, 3), 0);
-  c[0].gave_back = true;
-  ck_assert_int_eq (mm_spread_choose (c, 3), 1);
-  ck_assert_int_eq (mm_spread_choose (c, 1), 0);
+  ck_assert_int_eq (mm_dispatch_choose (c, 3), 0);
+  c[0].returned_by = true;
+  ck_assert_int_eq (mm_dispatch_choose (c, 3), 1);
+  ck_assert_int_eq (mm_dispatch_choose (c, 1), 0);
 }
 END_TEST
 
 START_TEST (task_goes_to_the_shortest_queue_when_all_owners_are_full)
 {
-  mm_spread_choice c[]
+  mm_dispatch_candidate c[]
       = { owner (MM_NEAR_SELF, 10, 0, 6), owner (MM_NEAR_FAR, 40, 0, 8),
           owner (MM_NEAR_DATACENTRE, 0, 0, 0) };
-  ck_assert_int_eq (mm_spread_choose (c, 3), 1);
-  ck_assert_int_eq (mm_spread_choose (&c[2], 1), -1);
+  ck_assert_int_eq (mm_dispatch_choose (c, 3), 1);
+  ck_assert_int_eq (mm_dispatch_choose (&c[2], 1), -1);
 }
 END_TEST
 
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -273,9 +273,10 @@
                         .running_at = "up",
                         .run = 3,
                         .ran_ms = 40 };
-  mm_mesh_room room
-      = { .service = "s",
-          .room = { .places = 9, .waiting = 3, .waiting_at = { 1, 0, 2 } } };
+  mm_mesh_room room = {
+    .service = "s",
+    .room = { .places = 9, .waiting = 3, .waiting_by_priority = { 1, 0, 2 } }
+  };
   mm_work_result result = { .how = MM_END_DONE, .run = 3 };
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
@@ -325,8 +326,9 @@
                    && m.loss.tasks[0] == mark
                    && m.loss.silent_ms >= loss.silent_ms);
       if (kind == MM_MESH_REPORT)
-        ck_assert (m.leaving && mm_room_ahead (&m.rooms[0].room, 1) == 1
-                   && mm_room_ahead (&m.rooms[0].room, 2) == 3);
+        ck_assert (m.leaving
+                   && mm_capacity_waiting_ahead (&m.rooms[0].room, 1) == 1
+                   && mm_capacity_waiting_ahead (&m.rooms[0].room, 2) == 3);
       mm_mesh_msg_clear (&m);
     }
   msgpack_unpacked_destroy (&o);
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -3,7 +3,7 @@
 #include "config.h"
 #include "harness.h"
 #include "mm_metrics.h"
-#include "owner_world.h"
+#include "owner_fixture.h"
 
 #include <check.h>
 #include <stdio.h>
@@ -181,14 +181,15 @@
       submit (&fx, &r[i], "lossy", i, RUN_MS);
       fixture_run (&fx, 200);
     }
-  mm_room_report lossy = mm_owner_report (fx.owner, fake_info (a)->service);
+  mm_capacity_report lossy
+      = mm_owner_report (fx.owner, fake_info (a)->service);
   ck_assert_uint_ge (lossy.task_ms, RUN_MS + MM_RTO_MIN_MS / 2);
   for (uint32_t i = 0; i < TASKS; i++)
     {
       submit (&fx, &r[i], "calm", i, RUN_MS);
       fixture_run (&fx, 200);
     }
-  mm_room_report calm = mm_owner_report (fx.owner, fake_info (a)->service);
+  mm_capacity_report calm = mm_owner_report (fx.owner, fake_info (a)->service);
   ck_assert_uint_le (calm.task_ms, RUN_MS + MM_RTO_MIN_MS / 4);
   fixture_destroy (&fx);
 }
@@ -292,7 +293,7 @@
   fixture fx = fixture_create ();
   fake *a = fakes_add (fx.upstreams, "a", UPSTREAM_CPU_MILLI);
   fake_start_foreign (a, "orphan", 4, 20000, 5000);
-  mm_owner_own (fx.owner, fake_info (a), 5);
+  mm_owner_add_upstream (fx.owner, fake_info (a), 5);
   outcome r[2];
   submit (&fx, &r[0], "mine", 0, 100);
   submit (&fx, &r[1], "mine", 1, 100);
@@ -408,7 +409,7 @@
   mm_upstream_info *u = mm_upstream_info_copy (fake_info (a));
   u->draining = draining;
   u->capacity.cpu_milli = cpu_milli;
-  mm_owner_update (fx.owner, u);
+  mm_owner_update_upstream (fx.owner, u);
   fixture_run (&fx, 200);
   starts = fake_starts (a) - starts;
   mm_upstream_info_free (u);
@@ -553,7 +554,7 @@
   fixture_run (&fx, 10);
   mm_upstream_info *u = mm_upstream_info_copy (fake_info (a));
   u->draining = true;
-  mm_owner_update (fx.owner, u);
+  mm_owner_update_upstream (fx.owner, u);
   submit (&fx, &r[1], "drain", 1, 100);
   fixture_run (&fx, 600);
   ck_assert_int_eq (r[0].how, MM_END_DONE);
@@ -638,15 +639,15 @@
 }
 
 /* Searches the owner for task @index of @job.  */
-static mm_census
+static mm_search_result
 search_for (const fixture *fx, const char *job, uint32_t index)
 {
   mm_task_id id = { .index = index };
   g_strlcpy (id.job, job, sizeof id.job);
   GHashTable *tasks = g_hash_table_new (mm_task_id_hash, mm_task_id_equal);
   g_hash_table_add (tasks, &id);
-  mm_census found = mm_census_new ();
-  mm_owner_census (fx->owner, tasks, &found);
+  mm_search_result found = mm_search_result_init ();
+  mm_owner_search (fx->owner, tasks, &found);
   g_hash_table_destroy (tasks);
   return found;
 }
@@ -662,8 +663,8 @@
   mm_upstream_info near = *fake_info (b), far = *fake_info (a);
   near.labels = rack_2;
   far.labels = rack_1;
-  mm_owner_own (fx.owner, &far, 5);
-  mm_owner_own (fx.owner, &near, 5);
+  mm_owner_add_upstream (fx.owner, &far, 5);
+  mm_owner_add_upstream (fx.owner, &near, 5);
   fixture_run (&fx, 10);
   outcome r[2] = { 0 };
   mm_task_request t = fakes_task ("racks", 0, TASK_CPU_MILLI, 100);
@@ -694,7 +695,7 @@
   ck_assert_int_eq (r.how, MM_END_DONE);
   ck_assert_uint_ge (fake_listed (a), 1);
   mm_task_id id = { .job = "kept" };
-  mm_owner_note_end (fx.owner, &id, mm_run_mark ("a", 1));
+  mm_owner_acknowledge_end (fx.owner, &id, mm_run_hash ("a", 1));
   fixture_run (&fx, 1000);
   ck_assert_uint_eq (fake_listed (a), 0);
   /* An end that is never acknowledged is dropped after MM_KEPT_END_MS.  */
@@ -752,8 +753,8 @@
   outcome longest, more, s[SHORT];
   submit (&fx, &longest, "long", 0, LONG_MS);
   fixture_run (&fx, 50);
-  mm_owner_freeze (fx.owner, "a");
-  mm_owner_freeze (fx.owner, "b");
+  mm_owner_freeze_upstream (fx.owner, "a");
+  mm_owner_freeze_upstream (fx.owner, "b");
   mm_time_ms handover_ms = mm_clock_now_ms ();
   submit (&fx, &more, "more", 0, LONG_MS);
   int in_time = 0;
@@ -769,7 +770,7 @@
     in_time += s[i].answers == 1 && s[i].how == MM_END_DONE
                && s[i].ended_ms <= longest.ended_ms;
   ck_assert_int_eq (in_time, SHORT);
-  ck_assert (mm_owner_quiet (fx.owner, "a") && mm_owner_quiet (fx.owner, "b"));
+  ck_assert (mm_owner_idle (fx.owner, "a") && mm_owner_idle (fx.owner, "b"));
   ck_assert_int_le (longest.ended_ms - handover_ms, LONG_MS);
   assert_invariants (&fx);
   mm_owner_cancel (fx.owner, more.work);
@@ -830,18 +831,19 @@
   submit_kept (&fx, &r, "kept", 0, 100);
   fixture_run (&fx, 300);
   ck_assert_int_eq (r.how, MM_END_DONE);
-  mm_owner_own (fx.owner, fake_info (a), 6); /* begins a new session */
-  mm_owner_set_sure (fx.owner, true);
-  mm_census found = search_for (&fx, "kept", 0);
+  mm_owner_add_upstream (fx.owner, fake_info (a),
+                         6); /* begins a new session */
+  mm_owner_set_confirmed (fx.owner, true);
+  mm_search_result found = search_for (&fx, "kept", 0);
   ck_assert_uint_eq (found.clear->len, 0); /* runs are not listed yet */
-  mm_census_clear (&found);
+  mm_search_result_clear (&found);
   fixture_run (&fx, 100);
   found = search_for (&fx, "kept", 0);
   ck_assert_uint_eq (found.clear->len, 1);
   ck_assert_uint_eq (found.ends->len, 1);
   ck_assert_int_eq (g_array_index (found.ends, mm_found_end, 0).how,
                     MM_END_DONE);
-  mm_census_clear (&found);
+  mm_search_result_clear (&found);
   fixture_destroy (&fx);
 }
 END_TEST
@@ -859,7 +861,7 @@
       fake_start_foreign (a, "orphan", 4, TASK_CPU_MILLI, 100);
       fakes_run (fx.upstreams, NULL, 300);
       ck_assert_uint_eq (fake_listed (a), 1);
-      mm_owner_own (fx.owner, fake_info (a), 5);
+      mm_owner_add_upstream (fx.owner, fake_info (a), 5);
       fixture_run (&fx, 500);
       GHashTable *ids
           = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -889,15 +891,15 @@
   fixture_run (&fx, 10);
   submit_kept (&fx, &r, "kept", 0, 1000);
   fixture_run (&fx, 200);
-  mm_owner_set_sure (fx.owner, true);
-  mm_census found = search_for (&fx, "kept", 0);
+  mm_owner_set_confirmed (fx.owner, true);
+  mm_search_result found = search_for (&fx, "kept", 0);
   ck_assert_uint_eq (found.present, 1);
-  mm_census_clear (&found);
-  mm_owner_set_sure (fx.owner, false);
+  mm_search_result_clear (&found);
+  mm_owner_set_confirmed (fx.owner, false);
   found = search_for (&fx, "kept", 7);
   ck_assert_uint_eq (found.present, 0);
   ck_assert_uint_eq (found.clear->len, 0);
-  mm_census_clear (&found);
+  mm_search_result_clear (&found);
   fixture_destroy (&fx);
 }
 END_TEST
@@ -1005,7 +1007,7 @@
       fixture_run (&fx, 200);
     }
   uint64_t before = mm_metrics_counter (MM_CT_ORDERS_UNANSWERED);
-  mm_owner_note_sent (fx.owner, 50 * 2000 / 8);
+  mm_owner_record_sent (fx.owner, 50 * 2000 / 8);
   fake_mode_of (x)->way_ms = 50;
   outcome r;
   submit (&fx, &r, "behind", 0, 60);
--- a/tests/test_ownership_changes.c
+++ b/tests/test_ownership_changes.c
@@ -291,7 +291,7 @@
     }
   mm_catalog_tick (w->catalog, true);
   run (w, MM_EXEC_TICK_MS);
-  GList *names = mm_owner_names (w->owner);
+  GList *names = mm_owner_upstream_names (w->owner);
   ck_assert_uint_eq (g_list_length (names), UPSTREAMS - 1);
   g_list_free (names);
   world_destroy (w);
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -2,7 +2,7 @@
    fault.  */
 #include "config.h"
 #include "harness.h"
-#include "owner_world.h"
+#include "owner_fixture.h"
 
 #include <string.h>
 
@@ -27,8 +27,9 @@
   mm_task_request t;
   mm_work *w = s->disconnected ? NULL : mm_owner_claim (s->fx.owner, r, &t);
   if (w)
-    mm_owner_pass_on (s->fx.owner, w,
-                      mm_owner_submit (s->next, &t, mm_owner_passed_end, w));
+    mm_owner_transfer (
+        s->fx.owner, w,
+        mm_owner_submit (s->next, &t, mm_owner_transferred_end, w));
 }
 
 static void
@@ -98,7 +99,7 @@
   submit (&s.fx, &r[0], "stays", 0, 600);
   submit (&s.fx, &r[1], "leaves", 0, 3000);
   succession_run (&s, 100);
-  mm_owner_own (s.next, fake_info (a), 6);
+  mm_owner_add_upstream (s.next, fake_info (a), 6);
   succession_run (&s, 100);
   ck_assert_uint_eq (fake_running (a), 2);
   mm_owner_cancel (s.fx.owner, r[1].work);
@@ -127,7 +128,7 @@
   outcome r;
   submit (&s.fx, &r, "leased", 0, 700);
   succession_run (&s, 100);
-  mm_owner_own (s.next, fake_info (a), 6);
+  mm_owner_add_upstream (s.next, fake_info (a), 6);
   mm_owner_links l = { .found = on_found_later,
                        .cancel = on_cancel_transferred,
                        .ctx = &s };
@@ -157,7 +158,7 @@
   fake_mode_of (a)->slow_answers_ms = 20;
   submit (&s.fx, &r[0], "claimed", 0, 600);
   succession_run (&s, 5);
-  mm_owner_own (s.next, fake_info (a), 6);
+  mm_owner_add_upstream (s.next, fake_info (a), 6);
   succession_run (&s, 10);
   fixture_add (&s.fx, "b");
   succession_run (&s, 50);
@@ -178,8 +179,9 @@
   mm_task_request t;
   mm_work *w = mm_owner_claim (s->next, r, &t);
   if (w)
-    mm_owner_pass_on (
-        s->next, w, mm_owner_submit (s->fx.owner, &t, mm_owner_passed_end, w));
+    mm_owner_transfer (
+        s->next, w,
+        mm_owner_submit (s->fx.owner, &t, mm_owner_transferred_end, w));
 }
 
 /* A hold that the first owner sent before the change of owner lists a run that
@@ -196,7 +198,7 @@
   outcome before, newer;
   submit (&s.fx, &before, "before", 0, 900);
   succession_run (&s, 50);
-  mm_owner_own (s.next, fake_info (a), 6);
+  mm_owner_add_upstream (s.next, fake_info (a), 6);
   succession_run (&s, 10);
   memset (&newer, 0, sizeof newer);
   mm_task_request t = fakes_task ("newer", 0, TASK_CPU_MILLI, 400);
@@ -221,7 +223,7 @@
   succession_init (&s, false);
   fake *a = fixture_add (&s.fx, "a");
   succession_run (&s, 10);
-  mm_owner_own (s.next, fake_info (a), 6);
+  mm_owner_add_upstream (s.next, fake_info (a), 6);
   succession_run (&s, 10);
   outcome r[2];
   submit (&s.fx, &r[0], "both", 0, 100);
@@ -251,7 +253,7 @@
   outcome r;
   submit (&s.fx, &r, "lost", 0, 3000);
   succession_run (&s, 100);
-  mm_owner_own (s.next, fake_info (a), 6);
+  mm_owner_add_upstream (s.next, fake_info (a), 6);
   succession_run (&s, MM_ADOPT_MS + 100);
   ck_assert_uint_eq (fake_running (a), 0);
   succession_run (&s, MM_HOLD_WAIT_MS + MM_ORPHAN_MS + 50);
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -284,7 +284,7 @@
     {
       g_snprintf (name, sizeof name, "up%d", i);
       fake *x = fakes_add (w.f, name, WIDE);
-      mm_owner_own (w.o, fake_info (x), 5);
+      mm_owner_add_upstream (w.o, fake_info (x), 5);
       fakes_run (w.f, w.o, 10);
       mm_end how;
       mm_task_id id = start_task (&w, "innocent", i > 0, &how);
@@ -297,7 +297,7 @@
       fake_mode_of (x)->silent = false;
       fakes_run (w.f, w.o, 1000);
       ck_assert_int_eq (mm_suspects_decide (w.s, &id), MM_SUSPECT_RUN);
-      mm_owner_disown (w.o, name);
+      mm_owner_remove_upstream (w.o, name);
     }
   world_destroy (&w);
 }
@@ -308,7 +308,7 @@
   world w = world_create ();
   fake *a = fakes_add (w.f, "a", WIDE), *b = fakes_add (w.f, "b", WIDE);
   mm_end how;
-  mm_owner_own (w.o, fake_info (a), 5);
+  mm_owner_add_upstream (w.o, fake_info (a), 5);
   fakes_run (w.f, w.o, 10);
   mm_task_id id = start_task (&w, "crash", false, &how);
   fakes_run (w.f, w.o, 100);
@@ -316,12 +316,12 @@
   fakes_run (w.f, w.o, 500);
   ck_assert_int_eq (how, MM_END_LOST);
   ck_assert_uint_eq (mm_suspects_crashes (w.s, &id), 1);
-  mm_owner_own (w.o, fake_info (b), 5);
+  mm_owner_add_upstream (w.o, fake_info (b), 5);
   fakes_run (w.f, w.o, 10);
   start_task (&w, "crash", true, &how);
   fakes_run (w.f, w.o, 100);
   fake_set_draining (b, true);
-  mm_owner_update (w.o, fake_info (b));
+  mm_owner_update_upstream (w.o, fake_info (b));
   fake_restart (b);
   fakes_run (w.f, w.o, 500);
   ck_assert_int_eq (how, MM_END_LOST);
@@ -339,7 +339,7 @@
   for (int i = 0; i < 3; i++)
     {
       x[i] = fakes_add (w.f, names[i], WIDE);
-      mm_owner_own (w.o, fake_info (x[i]), 5);
+      mm_owner_add_upstream (w.o, fake_info (x[i]), 5);
     }
   fakes_run (w.f, w.o, 10);
   mm_end how[4];
