--- a/src/mm_exec.c
+++ b/src/mm_exec.c
@@ -1,12 +1,12 @@
-/* mm_exec: one upstream's runs, leases, unanswered orders and room.
-
-   Every run keeps its room from the order to start it until the upstream
-   lists its end, or until it is certain that it neither runs nor will:
-   an order without an answer may be carried out seconds later, and an
-   upstream starts it whether it fits or not.  Certain is
-   - a stop of that run was answered and a later hold shows no trace of
-     it (a run stopped ahead of its start is rejected), or
-   - the order's deadline has passed on the upstream's clock.  */
+/* mm_exec: one upstream's runs, leases, unanswered orders and capacity.
+
+   A run uses capacity from its start order until the upstream lists its end,
+   or until it is certain that the run neither exists nor will start: an order
+   without an answer may be carried out seconds later, and the upstream starts
+   the task whether it fits or not.  It is certain when
+   - a stop of the run was answered and a later hold does not list the run
+     (the upstream rejects the start of a run that was stopped before), or
+   - the deadline of the start order has passed on the upstream's clock.  */
 #include "mm_exec_priv.h"
 
 #include "config.h"
@@ -30,7 +30,7 @@
   if (--x->refs > 0)
     return;
   g_hash_table_destroy (x->runs);
-  g_array_free (x->held, TRUE);
+  g_array_free (x->unacked, TRUE);
   mm_upstream_info_free (x->info);
   g_free (x);
 }
@@ -43,9 +43,9 @@
   g_free (r);
 }
 
-/* Tell the owner, once.  */
+/* Notifies the owner of the end of a run, at most once.  */
 static void
-report (mm_exec_run *r, mm_end how, const char *why)
+report_end (mm_exec_run *r, mm_end how, const char *why)
 {
   void *work = r->work;
   mm_exec *x = r->exec;
@@ -56,16 +56,16 @@
 }
 
 static void
-free_if_over (mm_exec_run *r)
+free_if_unused (mm_exec_run *r)
 {
   if (r->gone && !r->start_in_flight && !r->stop_in_flight)
     run_free (r);
 }
 
-/* The run is over: its room is free.  The struct lives on while a call
-   about it is open (see mm_exec_call_close).  */
+/* The struct is freed only after its last open call has been answered, see
+   mm_exec_call_close.  */
 void
-mm_exec_release (mm_exec_run *r, mm_end how, const char *why)
+mm_exec_finish_run (mm_exec_run *r, mm_end how, const char *why)
 {
   mm_exec *x = r->exec;
   if (r->gone)
@@ -75,8 +75,8 @@
   if (r->foreign)
     x->n_foreign--;
   g_hash_table_steal (x->runs, &r->id);
-  report (r, how, why);
-  free_if_over (r);
+  report_end (r, how, why);
+  free_if_unused (r);
   if (!x->closed)
     x->ev.room (x->ev.ctx, x);
 }
@@ -99,7 +99,7 @@
 }
 
 static void
-note_unanswered (const mm_exec_run *r, const char *what)
+record_unanswered (const mm_exec_run *r, const char *what)
 {
   mm_metrics_count (MM_CT_ORDERS_UNANSWERED);
   mm_log_event (MM_EV_TASK_ORDER_UNANSWERED, MM_TASK (&r->id),
@@ -110,54 +110,55 @@
 void
 mm_exec_become_fenced (mm_exec *x, mm_exec_run *refused)
 {
-  bool known = x->fenced;
+  bool already = x->fenced;
   x->fenced = true;
   if (refused)
-    mm_exec_release (refused, MM_END_NOT_RUN, "fenced");
-  if (known || x->closed)
+    mm_exec_finish_run (refused, MM_END_NOT_RUN, "fenced");
+  if (already || x->closed)
     return;
   x->ev.fenced (x->ev.ctx, x);
   GList *runs = g_hash_table_get_values (x->runs);
   for (GList *l = runs; l && !x->closed; l = l->next)
     {
       mm_exec_run *r = l->data;
-      /* The answer to its start will tell: refused too, it did not run.  */
+      /* A start without an answer yet may be refused too; its answer then
+         shows that the task did not run.  */
       if (r->phase != RUN_ORDERED)
-        report (r, MM_END_UNKNOWN, "fenced");
+        report_end (r, MM_END_UNKNOWN, "fenced");
     }
   g_list_free (runs);
 }
 
 static void
-drop_all_runs (mm_exec *x, const char *why)
+end_all_runs (mm_exec *x, const char *why)
 {
   GList *runs = g_hash_table_get_values (x->runs);
   for (GList *l = runs; l && !x->closed; l = l->next)
-    mm_exec_release (l->data, MM_END_LOST, why);
+    mm_exec_finish_run (l->data, MM_END_LOST, why);
   g_list_free (runs);
 }
 
 void
-mm_exec_on_gone (mm_exec *x)
+mm_exec_on_replaced (mm_exec *x)
 {
   x->gone = true;
   x->ev.lost (x->ev.ctx, x, true);
-  drop_all_runs (x, "upstream restarted");
+  end_all_runs (x, "upstream restarted");
 }
 
-/* An order was answered.  Return: false when its run is over already; the
-   call is closed then.  */
+/* Processes what all answers to orders have in common.  Return: false when
+   the run has ended already; the call is closed then.  */
 static bool
-still_matters (mm_exec_call *c, const mm_call_result *res)
+accept_order_answer (mm_exec_call *c, const mm_call_result *res)
 {
   if (c->exec->closed || c->run->gone)
     {
-      free_if_over (c->run);
+      free_if_unused (c->run);
       mm_exec_call_close (c, res->open);
       return false;
     }
-  mm_exec_learn_clock (c->exec, res);
-  mm_exec_note_time (c->exec, c, res->verdict);
+  mm_exec_update_clock (c->exec, res);
+  mm_exec_record_time (c->exec, c, res->verdict);
   return true;
 }
 
@@ -173,15 +174,16 @@
   mm_exec *x = c->exec;
   mm_exec_run *r = c->run;
   r->stop_in_flight = false;
-  if (!still_matters (c, res))
+  if (!accept_order_answer (c, res))
     return;
   switch (res->verdict)
     {
     case MM_CALL_OK:
-      r->stop_answered_event = ++x->events;
+      r->stop_answered_event = ++x->last_event;
       mm_exec_become_usable (x);
-      /* Never seen to run: only a hold after this can show that it is not
-         there; a waiting hold would show it up to its wait later.  */
+      /* Only a hold that is sent after this answer can show that an
+         unconfirmed run does not exist.  A hold that waits for an end would
+         delay that by up to its wait.  */
       if (r->phase != RUN_RUNNING)
         mm_exec_send_hold (x, 0, false);
       break;
@@ -189,13 +191,13 @@
       mm_exec_become_fenced (x, NULL);
       break;
     case MM_CALL_GONE:
-      mm_exec_on_gone (x);
+      mm_exec_on_replaced (x);
       break;
     default:
-      note_unanswered (r, "stop");
+      record_unanswered (r, "stop");
       mm_exec_become_suspect (x, "stop", res->verdict);
-      /* Refused at once, as by a machine whose process has died: it would be
-         sent again without a pause.  */
+      /* A machine whose process has died refuses connections at once.
+         Sending the stop again at the next tick avoids a busy loop.  */
       if (mm_clock_now_ms () - c->sent_ms < MM_EXEC_TICK_MS)
         x->stops_due = true;
       else
@@ -228,25 +230,26 @@
 {
   r->phase = RUN_RUNNING;
   if (!r->running_event)
-    r->running_event = ++r->exec->events;
+    r->running_event = ++r->exec->last_event;
 }
 
-/* A start was under way when another owner took over, and runs, or may: that
-   owner will say.  */
+/* A start that was open when another owner took over has started the run, or
+   may have: only the new owner can report its end.  */
 static void
-tell_if_fenced (mm_exec *x)
+notify_if_fenced (mm_exec *x)
 {
   if (x->fenced && !x->closed)
     x->ev.fenced (x->ev.ctx, x);
 }
 
-/* May an order be sent again?  The upstream may be listed with other words
-   since it was decided on; its room is counted as used.  */
+/* Returns whether a start order may be sent again.  The upstream's entry in
+   the list may have changed since the task was placed there; the run itself
+   is already counted as used capacity.  */
 static bool
-still_fits (const mm_exec *x)
+may_send_again (const mm_exec *x)
 {
-  mm_need room = mm_exec_room (x);
-  return !x->info->draining && mm_need_fits (&(mm_need){ 0 }, &room);
+  mm_need free_capacity = mm_exec_room (x);
+  return !x->info->draining && mm_need_fits (&(mm_need){ 0 }, &free_capacity);
 }
 
 static void
@@ -259,52 +262,52 @@
       mm_exec_set_running (r);
       if (r->stop_wanted)
         mm_exec_send_stop (r, false);
-      tell_if_fenced (x);
+      notify_if_fenced (x);
       break;
     case MM_CALL_OLD_RUN:
       if (r->stop_wanted)
         {
-          mm_exec_release (r,
-                           r->stop_by_owner ? MM_END_STOPPED : MM_END_NOT_RUN,
-                           "stopped before its start");
+          mm_exec_finish_run (
+              r, r->stop_by_owner ? MM_END_STOPPED : MM_END_NOT_RUN,
+              "stopped before its start");
           break;
         }
-      if (!still_fits (x))
+      if (!may_send_again (x))
         {
-          mm_exec_release (r, MM_END_NOT_RUN, "upstream changed");
+          mm_exec_finish_run (r, MM_END_NOT_RUN, "upstream changed");
           break;
         }
       r->number *= 2;
       send_start (r);
       break;
     case MM_CALL_NO_ANSWER:
-      r->phase = RUN_UNSURE;
-      note_unanswered (r, "start");
+      r->phase = RUN_IN_DOUBT;
+      record_unanswered (r, "start");
       mm_exec_become_suspect (x, "start", v);
       r->stop_wanted = true;
       mm_exec_send_stop (r, true);
-      tell_if_fenced (x);
+      notify_if_fenced (x);
       break;
     case MM_CALL_FENCED:
       mm_exec_become_fenced (x, r);
       break;
     case MM_CALL_GONE:
-      mm_exec_release (r, MM_END_NOT_RUN, "upstream restarted");
+      mm_exec_finish_run (r, MM_END_NOT_RUN, "upstream restarted");
       if (!x->closed)
-        mm_exec_on_gone (x);
+        mm_exec_on_replaced (x);
       break;
     case MM_CALL_BAD:
-      mm_exec_release (r, MM_END_FAILED, "start not understood");
+      mm_exec_finish_run (r, MM_END_FAILED, "start not understood");
       break;
     case MM_CALL_REFUSED:
       x->ev.unwell (x->ev.ctx, x);
       mm_exec_become_suspect (x, "start", v);
-      mm_exec_release (r, MM_END_NOT_RUN, mm_call_verdict_name (v));
+      mm_exec_finish_run (r, MM_END_NOT_RUN, mm_call_verdict_name (v));
       break;
     case MM_CALL_LATE:
     case MM_CALL_NO_ROOM:
       mm_exec_become_suspect (x, "start", v);
-      mm_exec_release (r, MM_END_NOT_RUN, mm_call_verdict_name (v));
+      mm_exec_finish_run (r, MM_END_NOT_RUN, mm_call_verdict_name (v));
       break;
     }
 }
@@ -332,14 +335,14 @@
     }
   mm_exec_run *r = c->run;
   r->start_in_flight = false;
-  if (!still_matters (c, res))
+  if (!accept_order_answer (c, res))
     return;
   mm_metrics_time (MM_HG_START_CALL, mm_clock_now_ms () - r->sent_ms);
   log_if_draining (r, res->verdict);
-  /* A hold may have shown it running before this answer came.  */
+  /* A hold may have listed the run before this answer arrived.  */
   if (r->phase == RUN_ORDERED)
     {
-      r->phase = RUN_UNSURE;
+      r->phase = RUN_IN_DOUBT;
       on_start_verdict (r, res->verdict);
     }
   mm_exec_call_close (c, res->open);
@@ -349,7 +352,7 @@
 mm_exec_lease_deadline (mm_exec *x)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  x->lease_until_ms = MAX (x->lease_until_ms, now + MM_LEASE_MS);
+  x->leases_expire_ms = MAX (x->leases_expire_ms, now + MM_LEASE_MS);
   return now + x->clock_offset_ms + MM_LEASE_MS;
 }
 
@@ -373,8 +376,8 @@
                  mm_exec_call_open (x, r));
 }
 
-/* Return: how long ago the view was true that a start is decided on now, -1:
-   not known.  */
+/* Returns the age of the upstream list on which starts are decided, -1 when
+   it is not known.  */
 static mm_time_ms
 view_age_ms (const mm_exec *x)
 {
@@ -384,10 +387,10 @@
 }
 
 /**
- * mm_exec_start() - order a task to start.
+ * mm_exec_start() - order the upstream to start a task.
  * @x: the session; mm_exec_usable(), and the task fits mm_exec_room().
  * @t: the task.
- * @work: the owner's handle, named when the run ends.
+ * @work: the owner's handle, passed back when the run ends.
  */
 void
 mm_exec_start (mm_exec *x, const mm_task_request *t, void *work)
@@ -426,9 +429,9 @@
 }
 
 /**
- * mm_exec_stop() - stop the run of a handle.
+ * mm_exec_stop() - stop a run.
  * @x: the session.
- * @work: as given to mm_exec_start(); its end is reported.
+ * @work: as given to mm_exec_start(). The end of its run is reported.
  */
 void
 mm_exec_stop (mm_exec *x, void *work)
@@ -438,7 +441,7 @@
     return;
   r->stop_wanted = r->stop_by_owner = true;
   mm_log_event (MM_EV_TASK_STOPPED, MM_TASK (&r->id), MM_TEXT (x->info->name),
-                MM_TEXT ("nobody waits for it"));
+                MM_TEXT ("its caller no longer waits"));
   mm_exec_send_stop (r, false);
 }
 
@@ -476,15 +479,16 @@
 }
 
 /**
- * mm_exec_create() - begin a session with an upstream.
+ * mm_exec_create() - start a session with an upstream.
  * @u: the upstream; copied.
- * @fence: our token, higher than any earlier owner's.
- * @port: how it is reached.
+ * @fence: our fencing token, higher than that of any earlier owner.
+ * @port: functions that call the upstream.
  * @common: shared with the other sessions; must outlive this one.
- * @events: what the owner is told.
+ * @events: notifications to the owner.
  *
- * The first hold makes the token known there and shows what an earlier
- * owner left running; until it is answered nothing is started.
+ * The first hold makes the fencing token known to the upstream and lists the
+ * runs that an earlier owner started. Nothing is started until that hold is
+ * answered.
  *
  * Return: the session; free with mm_exec_destroy().
  */
@@ -501,7 +505,7 @@
   x->common = common;
   x->ev = *events;
   x->slowness = 1.0;
-  x->held = g_array_new (FALSE, FALSE, sizeof (mm_held_end));
+  x->unacked = g_array_new (FALSE, FALSE, sizeof (mm_held_end));
   x->runs = g_hash_table_new_full (mm_task_id_hash, mm_task_id_equal, NULL,
                                    run_free);
   mm_exec_send_hold (x, 0, false);
@@ -514,7 +518,7 @@
   if (!x || x->closed)
     return;
   x->closed = true;
-  /* Runs with an open call are freed by its answer.  */
+  /* Runs with an open call are freed when the call is answered.  */
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init (&it, x->runs);
@@ -539,7 +543,8 @@
 }
 
 static void
-note_capacity (const mm_exec *x, const mm_need *before, const mm_need *now)
+record_capacity_change (const mm_exec *x, const mm_need *before,
+                        const mm_need *now)
 {
   if (memcmp (before, now, sizeof *now) == 0)
     return;
@@ -554,9 +559,9 @@
 }
 
 /**
- * mm_exec_update() - the upstream is listed with other words now.
+ * mm_exec_update() - use a changed list entry of the upstream.
  * @x: the session.
- * @u: same name, maybe draining now.
+ * @u: the entry, with the same name.
  */
 void
 mm_exec_update (mm_exec *x, const mm_upstream_info *u)
@@ -565,6 +570,6 @@
   x->info = mm_upstream_info_copy (u);
   if (u->draining && !old->draining)
     log_draining (x);
-  note_capacity (x, &old->capacity, &u->capacity);
+  record_capacity_change (x, &old->capacity, &u->capacity);
   mm_upstream_info_free (old);
 }
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -1,9 +1,10 @@
 /* mm_exec: the session of an owner with one upstream.
 
-   An upstream starts whatever it is told, so exactly one instance at a
-   time may order starts there.  The session carries that instance's
-   fencing token, keeps the leases of what runs, and accounts for the
-   room that runs, unanswered orders and stops take up.  */
+   An upstream carries out every start order, whether the task fits or not,
+   so exactly one instance at a time may order starts there.  The session
+   carries that instance's fencing token, renews the leases of the runs, and
+   accounts for the capacity that is used by runs, unanswered start orders
+   and runs that are being stopped.  */
 #ifndef MM_EXEC_H
 #define MM_EXEC_H
 
@@ -11,40 +12,42 @@
 #include "mm_uplink.h"
 #include "mm_upstream_info.h"
 
-/* What came of a call to an upstream.  */
+/* Outcome of a call to an upstream.  */
 typedef enum
 {
   MM_CALL_OK,
-  MM_CALL_FENCED,   /* a higher token was seen there */
-  MM_CALL_OLD_RUN,  /* the run number is not higher than an ended one */
-  MM_CALL_LATE,     /* its deadline had passed on arrival */
-  MM_CALL_NO_ROOM,  /* it guards its capacity, and is full */
-  MM_CALL_BAD,      /* not understood */
-  MM_CALL_REFUSED,  /* unhealthy: nothing was done */
-  MM_CALL_GONE,     /* another incarnation answers at that address */
-  MM_CALL_NO_ANSWER /* may have been carried out, or may be yet */
+  MM_CALL_FENCED,   /* the upstream has seen a higher fencing token */
+  MM_CALL_OLD_RUN,  /* a run with this or a higher number has ended */
+  MM_CALL_LATE,     /* the deadline had passed on arrival */
+  MM_CALL_NO_ROOM,  /* the upstream checks its capacity and is full */
+  MM_CALL_BAD,      /* the upstream did not understand the call */
+  MM_CALL_REFUSED,  /* unhealthy upstream: nothing was done */
+  MM_CALL_GONE,     /* another incarnation is at that address */
+  MM_CALL_NO_ANSWER /* may have been carried out, or may still be */
 } mm_call_verdict;
 
-const char *mm_call_verdict_name (mm_call_verdict v); /* "ok", ... */
+const char *mm_call_verdict_name (mm_call_verdict v); /* such as "ok" */
 
 typedef struct
 {
   mm_call_verdict verdict;
-  mm_time_ms clock_ms; /* the upstream's clock, -1 when not told */
-  bool open; /* without an answer so far: told again when it has ended */
-  bool late; /* told so before */
+  mm_time_ms clock_ms; /* the upstream's clock, -1: not in the answer */
+  bool open;           /* no answer yet: the callback is called once more */
+  bool late;           /* this is the second callback, after one with @open */
 } mm_call_result;
 
+/* A running task in the answer to a hold.  */
 typedef struct
 {
   mm_task_id task;
   uint32_t run;
-  int32_t percent; /* done so far */
+  int32_t percent; /* of the task done so far, negative: not reported */
 } mm_running;
 
+/* The end of a run in the answer to a hold.  */
 typedef struct
 {
-  uint64_t seq; /* rises within an incarnation */
+  uint64_t seq; /* increases within an incarnation */
   mm_task_id task;
   uint32_t run;
   mm_end how;
@@ -57,46 +60,48 @@
   size_t n_running;
   const mm_ended *ended;
   size_t n_ended;
-  bool more_ended; /* there are more ends than one answer holds */
+  bool more_ended; /* not all ends fitted into the answer */
 } mm_hold_result;
 
+/* An order to start or stop one run.  */
 typedef struct
 {
   const mm_task_id *task;
   uint32_t run;
   const char *payload;
   uint64_t fence;
-  mm_time_ms deadline_ms; /* on the upstream's clock: void after it */
-  bool fresh;             /* on a new connection */
+  mm_time_ms deadline_ms; /* void after this time of the upstream's clock */
+  bool fresh;             /* use a new connection */
   mm_time_ms timeout_ms;
 } mm_order;
 
+/* A call that renews the leases of all runs and lists runs and ends.  */
 typedef struct
 {
   uint64_t fence;
-  uint64_t acked_seq;     /* ends up to it may be forgotten */
-  mm_time_ms deadline_ms; /* new lease of all that runs, 0 for none */
-  mm_time_ms wait_ms;     /* answer later, when a run ends */
-  bool fresh;
+  uint64_t acked_seq;     /* the upstream may forget ends up to this one */
+  mm_time_ms deadline_ms; /* new lease of all runs, 0: do not renew */
+  mm_time_ms wait_ms;     /* wait this long for an end before answering */
+  bool fresh;             /* use a new connection */
   mm_time_ms timeout_ms;
 } mm_hold;
 
-/* An end that the upstream goes on listing until it is taken note of.  */
+/* An end that the upstream lists until it is acknowledged.  */
 typedef struct
 {
   mm_task_id task;
   uint32_t run;
   mm_end how;
   uint64_t seq;
-  mm_time_ms since_ms;
-  bool foreign; /* of an earlier owner's run */
+  mm_time_ms since_ms; /* when this instance first saw it */
+  bool foreign;        /* the run was started by an earlier owner */
 } mm_held_end;
 
 typedef void (*mm_call_done) (const mm_call_result *res, void *ctx);
 typedef void (*mm_hold_done) (const mm_hold_result *res, void *ctx);
 
-/* How a session reaches its upstream; an answer never comes before the
-   call has returned.  */
+/* How a session reaches its upstream.  Callbacks are never called before
+   the function that started the call has returned.  */
 typedef struct
 {
   void (*start) (void *ctx, const mm_upstream_info *u, const mm_order *o,
@@ -110,80 +115,89 @@
 
 typedef struct mm_exec mm_exec;
 
-/* What a session tells its owner.  */
+/* Notifications from a session to its owner.  */
 typedef struct
 {
-  /* The run @run of a task is over; @why says what was seen.  */
+  /* The run @run of a task has ended; @why says how this was found out.  */
   void (*ended) (void *ctx, mm_exec *x, void *work, uint32_t run, mm_end how,
                  mm_time_ms ran_ms, const char *why);
-  /* Room came free, or the session can be used (again).  */
+  /* Capacity became free, or the session became usable.  */
   void (*room) (void *ctx, mm_exec *x);
-  /* It refused a start, or a task stands still there.  */
+  /* The upstream refused a start, or a task there is stalled.  */
   void (*unwell) (void *ctx, mm_exec *x);
-  /* An earlier owner's run was found.  Return: whether somebody was asked to
-     go on with it (mm_exec_adopt); false, it is stopped at once.  */
+  /* A run that an earlier owner started was found.  Return: true when an
+     instance was asked to adopt the run (mm_exec_adopt); false stops the run
+     at once.  */
   bool (*found) (void *ctx, mm_exec *x, const mm_task_id *task, uint32_t run);
-  /* Another owner's token was seen: this session is over.  */
+  /* The upstream has seen another owner's fencing token: this session has
+     ended.  */
   void (*fenced) (void *ctx, mm_exec *x);
-  /* It is lost with all that runs there, whose ends are told next: out of
-     contact for longer than any lease, or another incarnation answers.  */
+  /* The upstream is lost with all its runs: it was out of contact for longer
+     than any lease, or another incarnation answers (@crashed).  The ends of
+     the runs are reported after this call.  */
   void (*lost) (void *ctx, mm_exec *x, bool crashed);
-  void (*back) (void *ctx, mm_exec *x); /* it was, and answers again */
+  /* An upstream that was reported as lost answers again.  */
+  void (*back) (void *ctx, mm_exec *x);
   void *ctx;
 } mm_exec_events;
 
-/* When the upstreams were last known to be as listed, 0: never.  */
+/* Age of the upstream list on which starts are decided.  */
 typedef struct
 {
-  mm_time_ms (*known_ms) (void *ctx); /* NULL: not followed */
+  /* When the list was last known to be current, 0: never.  NULL: not
+     measured.  */
+  mm_time_ms (*known_ms) (void *ctx);
   void *ctx;
 } mm_exec_view;
 
-/* What the sessions of an owner share.  */
+/* State that all sessions of an owner share.  */
 typedef struct
 {
-  mm_rto_floor floor; /* of their timeouts */
-  mm_uplink uplink;   /* that their orders go out on */
+  mm_rto_floor floor; /* lower bound of the timeouts */
+  mm_uplink uplink;   /* the link that carries the orders */
   mm_exec_view view;
 } mm_exec_common;
 
 mm_exec *mm_exec_create (const mm_upstream_info *u, uint64_t fence,
                          const mm_exec_port *port, mm_exec_common *common,
-                         const mm_exec_events *events); /* first: a hold */
-void mm_exec_destroy (mm_exec *x); /* no events from now on */
+                         const mm_exec_events *events);
+void mm_exec_destroy (mm_exec *x); /* stops all notifications */
 void mm_exec_update (mm_exec *x, const mm_upstream_info *u);
-void mm_exec_tick (mm_exec *x);           /* call each MM_EXEC_TICK_MS */
-bool mm_exec_usable (const mm_exec *x);   /* may take a start */
-bool mm_exec_in_sight (const mm_exec *x); /* or soon usable again */
-bool mm_exec_fenced (const mm_exec *x);   /* another owns it */
-bool mm_exec_quiet (const mm_exec *x);    /* nothing runs */
-mm_need mm_exec_room (const mm_exec *x);  /* what is free */
-size_t mm_exec_runs (const mm_exec *x);   /* runs it accounts */
-GList *mm_exec_tasks (const mm_exec *x);  /* their mm_task_id; free list */
-/* When a hold last failed, 0: the last one did not.  */
+void mm_exec_tick (mm_exec *x);         /* call each MM_EXEC_TICK_MS */
+bool mm_exec_usable (const mm_exec *x); /* may be sent a start */
+/* Usable, or only suspect for a moment: its capacity still counts.  */
+bool mm_exec_in_sight (const mm_exec *x);
+bool mm_exec_fenced (const mm_exec *x);  /* another instance owns it */
+bool mm_exec_quiet (const mm_exec *x);   /* has no runs */
+mm_need mm_exec_room (const mm_exec *x); /* free capacity */
+size_t mm_exec_runs (const mm_exec *x);  /* runs that use its capacity */
+GList *mm_exec_tasks (const mm_exec *x); /* of mm_task_id; g_list_free() */
+/* When a hold last failed, 0: the last one was answered.  */
 mm_time_ms mm_exec_silent_ms (const mm_exec *x);
-/* Until the last of what runs has ended, as far as was declared.  */
+/* Time until the last run ends, estimated from declared run times and the
+   slowness of the upstream.  */
 mm_time_ms mm_exec_longest_left_ms (const mm_exec *x, mm_time_ms now);
-size_t mm_exec_unsure (const mm_exec *x); /* of these, start unanswered */
+size_t mm_exec_unsure (const mm_exec *x); /* runs whose start had no answer */
 const mm_upstream_info *mm_exec_info (const mm_exec *x);
 uint64_t mm_exec_fence (const mm_exec *x);
 void mm_exec_start (mm_exec *x, const mm_task_request *t,
                     void *work);            /* must fit */
-void mm_exec_stop (mm_exec *x, void *work); /* ends as stopped */
-/* The run that an earlier owner started is this task's, and goes on.  False:
-   it is not there any more, or being stopped.  */
+void mm_exec_stop (mm_exec *x, void *work); /* the run ends as stopped */
+/* Continues a foreign run as the run of this task.  Return: false when the
+   run has ended or is being stopped.  */
 bool mm_exec_adopt (mm_exec *x, const mm_task_request *t, void *work);
-/* Nobody here waits for the run of @work any more; it is not stopped.
-   Return: its number there, and in @ran_ms for how long it ran; 0, and nothing
-   is done, while its start has no answer yet.  */
+/* Detaches @work from its run, which is not stopped.  Return: the run's number
+   and, in @ran_ms, for how long it ran; 0, with nothing done, while the start
+   has no answer yet.  */
 uint32_t mm_exec_give_up (mm_exec *x, void *work, mm_time_ms *ran_ms);
-double mm_exec_slowness (const mm_exec *x); /* run time over estimate */
-/* Ends that are not taken note of yet.  */
+double mm_exec_slowness (const mm_exec *x); /* run time / estimate */
+/* Ends that are not acknowledged yet.  */
 const mm_held_end *mm_exec_held (const mm_exec *x, size_t *n);
-void mm_exec_drop_held (mm_exec *x, size_t i); /* it is taken note of */
-void mm_exec_forget_job (mm_exec *x, const char *job_id); /* hold no ends */
-bool mm_exec_sure (const mm_exec *x); /* what runs there is known */
-/* How many runs of these tasks (a set of mm_task_id) are there?  */
+void mm_exec_drop_held (mm_exec *x, size_t i); /* acknowledges it */
+/* Ends of this job's runs no longer wait for its home's acknowledgement.  */
+void mm_exec_forget_job (mm_exec *x, const char *job_id);
+bool mm_exec_sure (const mm_exec *x); /* the runs there are known */
+/* Number of runs of @tasks, a set of mm_task_id.  */
 uint32_t mm_exec_count_of (const mm_exec *x, GHashTable *tasks);
 
 #endif /* MM_EXEC_H */
--- a/src/mm_exec_call.c
+++ b/src/mm_exec_call.c
@@ -1,27 +1,28 @@
-/* mm_exec_call: a session's calls, how long their answers take, and what
-   answers tell of the upstream's clock.  */
+/* mm_exec_call: a session's calls, their timeouts, and the estimate of the
+   upstream's clock.  */
 #include "mm_exec_priv.h"
 
 #include "config.h"
 #include "mm_metrics.h"
 
 void
-mm_exec_learn_clock (mm_exec *x, const mm_call_result *res)
+mm_exec_update_clock (mm_exec *x, const mm_call_result *res)
 {
   if (res->clock_ms < 0)
     return;
-  /* An answer that was long under way, or whose clock was read before a
-     hold's wait, makes the upstream's clock look behind, and a lease made
-     from it up to 250 ms too short: one lost hold then costs the lease.
-     The largest offset seen is the nearest; it may sink, as the upstream's
-     clock may be slow.  */
+  /* An answer that travelled for long, or a clock that was read before a
+     hold waited, makes the upstream's clock appear to be behind.  A lease
+     computed from such an offset is up to 250 ms too short, and then one
+     lost hold lets it expire.  So the largest offset seen is used, reduced
+     over time because the upstream's clock may be slow.  */
   mm_time_ms now = mm_clock_now_ms ();
   mm_time_ms offset_ms = res->clock_ms - now;
-  mm_time_ms sunk_ms = (now - x->clock_ms) * MM_CLOCK_SLOW_PERCENT / 100;
-  if (!x->clock_known || offset_ms >= x->clock_offset_ms - sunk_ms)
+  mm_time_ms drift_ms
+      = (now - x->clock_offset_set_ms) * MM_CLOCK_SLOW_PERCENT / 100;
+  if (!x->clock_known || offset_ms >= x->clock_offset_ms - drift_ms)
     {
       x->clock_offset_ms = offset_ms;
-      x->clock_ms = now;
+      x->clock_offset_set_ms = now;
     }
   x->clock_known = true;
 }
@@ -32,15 +33,15 @@
   mm_exec_call *c = g_new0 (mm_exec_call, 1);
   c->exec = x;
   c->run = r;
-  c->sent_event = ++x->events;
+  c->sent_event = ++x->last_event;
   c->sent_ms = mm_clock_now_ms ();
   x->refs++;
   mm_uplink_sent (&x->common->uplink, MM_ORDER_BYTES, c->sent_ms);
   return c;
 }
 
-/* A call without an answer stays open for a while: what it would tell is told
-   once more.  */
+/* A call without an answer stays open for a while: a late answer is passed to
+   the callback once more.  */
 void
 mm_exec_call_close (mm_exec_call *c, bool open)
 {
@@ -59,9 +60,10 @@
          + mm_uplink_backlog_ms (&x->common->uplink, now);
 }
 
-/* The end of a call that had no answer in time.  An answer after all shows
-   that nothing was lost: what was done meanwhile stays done, but the upstream
-   is not suspect for it, and the next calls are waited for longer.  */
+/* Processes the final result of a call that had timed out.  A late answer
+   shows that no message was lost.  What was done after the timeout is not
+   undone, but the upstream is no longer suspect because of this call, and the
+   timeouts of the next calls become longer.  */
 void
 mm_exec_call_late (mm_exec_call *c, const mm_call_result *res)
 {
@@ -73,11 +75,11 @@
       mm_metrics_count (MM_CT_ANSWERS_LATE);
       mm_rto_late (&x->rto, took_ms);
       mm_rto_floor_late (&x->common->floor, x, took_ms, now);
-      mm_exec_learn_clock (x, res);
+      mm_exec_update_clock (x, res);
     }
-  bool back = !x->closed && res->verdict == MM_CALL_OK && x->suspect
-              && !x->hold_failed_ms;
-  if (back)
+  bool recovered = !x->closed && res->verdict == MM_CALL_OK && x->suspect
+                   && !x->hold_failed_ms;
+  if (recovered)
     {
       mm_exec_become_usable (x);
       x->ev.room (x->ev.ctx, x);
@@ -85,16 +87,17 @@
   mm_exec_call_close (c, false);
 }
 
-/* Learn from how long a call took, or that it got no answer.  A hold that
-   waited at the upstream tells nothing of its way.  */
+/* Updates the timeout from the time that a call took, or from the lack of an
+   answer.  The time of a hold that waited for an end says nothing about the
+   network and is left out.  */
 void
-mm_exec_note_time (mm_exec *x, const mm_exec_call *c, mm_call_verdict v)
+mm_exec_record_time (mm_exec *x, const mm_exec_call *c, mm_call_verdict v)
 {
   mm_time_ms now = mm_clock_now_ms ();
   if (v == MM_CALL_NO_ANSWER)
     {
       mm_rto_unanswered (&x->rto);
-      x->lossy_ms = now;
+      x->last_unanswered_ms = now;
     }
   else if (c->wait_ms == 0)
     mm_rto_answered (&x->rto, now - c->sent_ms);
--- a/src/mm_exec_hold.c
+++ b/src/mm_exec_hold.c
@@ -1,13 +1,14 @@
-/* mm_exec_hold: a session's holds, which renew leases and show what runs, and
-   its timers.  */
+/* mm_exec_hold: a session's timers and its holds, which renew leases and list
+   runs and ends.  */
 #include "config.h"
 #include "mm_event.h"
 #include "mm_exec_priv.h"
 #include "mm_metrics.h"
 
-/* Nobody has asked for them: stopped, so that their room can be used.  */
+/* Stops foreign runs that no instance has adopted within MM_ADOPT_MS, so that
+   their capacity can be used.  */
 static void
-stop_unclaimed (mm_exec *x, mm_time_ms now)
+stop_unadopted (mm_exec *x, mm_time_ms now)
 {
   if (x->n_foreign == 0)
     return;
@@ -25,7 +26,7 @@
 }
 
 static void
-send_due_stops (mm_exec *x)
+resend_due_stops (mm_exec *x)
 {
   if (!x->stops_due)
     return;
@@ -38,8 +39,9 @@
       mm_exec_send_stop (v, true);
 }
 
-/* A single lost hold must not cost a lease: it is asked again at once, on
-   a new connection, and the lease renewed as soon as that is answered.  */
+/* A single lost hold must not let the leases expire.  The first hold that
+   fails is sent again at once on a new connection, and the leases are renewed
+   as soon as that one is answered.  */
 static void
 on_hold_failed (mm_exec *x, mm_call_verdict v)
 {
@@ -51,14 +53,15 @@
     mm_exec_send_hold (x, 0, false);
 }
 
-/* Its lists are as good as any, unless a later hold's were taken.  */
+/* Uses the lists in a late answer, unless those of a later hold were processed
+   already.  */
 static void
-on_late_hold (mm_exec_call *c, const mm_hold_result *res)
+on_overdue_hold_answer (mm_exec_call *c, const mm_hold_result *res)
 {
   mm_exec *x = c->exec;
   if (!x->closed && !x->fenced && !x->gone && res->call.verdict == MM_CALL_OK
-      && c->sent_event > x->hold_taken_event)
-    mm_exec_take_lists (x, c, res);
+      && c->sent_event > x->processed_hold_event)
+    mm_exec_process_lists (x, c, res);
   mm_exec_call_late (c, &res->call);
 }
 
@@ -68,7 +71,7 @@
   mm_exec_call *c = ctx;
   if (res->call.late)
     {
-      on_late_hold (c, res);
+      on_overdue_hold_answer (c, res);
       return;
     }
   mm_exec *x = c->exec;
@@ -78,13 +81,13 @@
       mm_exec_call_close (c, res->call.open);
       return;
     }
-  mm_exec_note_time (x, c, res->call.verdict);
+  mm_exec_record_time (x, c, res->call.verdict);
   switch (res->call.verdict)
     {
     case MM_CALL_OK:
       {
         bool was_suspect = x->suspect;
-        mm_exec_take_lists (x, c, res);
+        mm_exec_process_lists (x, c, res);
         if (was_suspect && !x->closed)
           x->ev.room (x->ev.ctx, x);
         if (!x->closed)
@@ -95,7 +98,7 @@
       mm_exec_become_fenced (x, NULL);
       break;
     case MM_CALL_GONE:
-      mm_exec_on_gone (x);
+      mm_exec_on_replaced (x);
       break;
     default:
       mm_metrics_count (MM_CT_HOLDS_FAILED);
@@ -105,14 +108,17 @@
   mm_exec_call_close (c, res->call.open);
 }
 
-/* Ends up to the first one that is held.  */
+/* Returns the highest sequence number that can be acknowledged: that before
+   the first unacknowledged end, as an acknowledgement covers all ends up to
+   its number.  */
 static uint64_t
-ack_upto (const mm_exec *x)
+ackable_seq (const mm_exec *x)
 {
-  uint64_t upto = x->seen_seq;
-  for (guint i = 0; i < x->held->len; i++)
-    upto = MIN (upto, g_array_index (x->held, mm_held_end, i).seq - 1);
-  return upto;
+  uint64_t up_to_seq = x->seen_seq;
+  for (guint i = 0; i < x->unacked->len; i++)
+    up_to_seq
+        = MIN (up_to_seq, g_array_index (x->unacked, mm_held_end, i).seq - 1);
+  return up_to_seq;
 }
 
 void
@@ -121,7 +127,7 @@
   if (x->fenced || x->gone)
     return;
   mm_hold h = { .fence = x->fence,
-                .acked_seq = ack_upto (x),
+                .acked_seq = ackable_seq (x),
                 .wait_ms = wait_ms,
                 .fresh = x->suspect,
                 .timeout_ms = wait_ms + mm_exec_timeout_ms (x) };
@@ -136,33 +142,34 @@
   x->port.hold (x->port.ctx, x->info, &h, on_hold_answer, c);
 }
 
-/* Out of contact for longer than any lease: runs have ended with theirs,
-   and orders are void.  */
+/* After a time out of contact that is longer than any lease, all runs have
+   ended with their leases, and all orders are void.  */
 static void
 expire_runs (mm_exec *x, mm_time_ms now)
 {
-  if (!x->hold_failed_ms || now <= x->lease_until_ms + MM_LEASE_SLACK_MS)
+  if (!x->hold_failed_ms || now <= x->leases_expire_ms + MM_LEASE_SLACK_MS)
     return;
-  if (x->seen)
+  if (x->runs_known)
     x->ev.lost (x->ev.ctx, x, false);
   GList *runs = g_hash_table_get_values (x->runs);
   for (GList *l = runs; l && !x->closed; l = l->next)
     {
       mm_exec_run *r = l->data;
-      /* Also one whose start was never answered: it may have run.  */
+      /* A run whose start got no answer is included, as it may have run; one
+         whose start is still open is not.  */
       if (r->phase == RUN_ORDERED)
         continue;
-      /* It may have ended well before its lease did, and the upstream lists
-         that still: a kept job's home looks for it before it starts it again.
-       */
-      mm_exec_release (r, r->kept ? MM_END_UNKNOWN : MM_END_LOST,
-                       "lease expired out of contact");
+      /* The run may have ended before its lease expired, and the upstream
+         still lists that end.  The home of a kept job searches for the end
+         before it starts the task again.  */
+      mm_exec_finish_run (r, r->kept ? MM_END_UNKNOWN : MM_END_LOST,
+                          "lease expired out of contact");
     }
   g_list_free (runs);
-  x->seen = false;
+  x->runs_known = false;
 }
 
-/* Only a run that somebody waits for has its lease renewed.  */
+/* Leases are renewed only while the owner still needs one of the runs.  */
 static bool
 has_wanted_run (const mm_exec *x)
 {
@@ -178,18 +185,18 @@
 static mm_time_ms
 hold_wait_ms (const mm_exec *x, mm_time_ms now)
 {
-  bool lossy
-      = MM_WITH_LOSSY_HOLDS && x->lossy_ms && now - x->lossy_ms < MM_LOSSY_MS;
+  bool lossy = MM_WITH_LOSSY_HOLDS && x->last_unanswered_ms
+               && now - x->last_unanswered_ms < MM_LOSSY_MS;
   return lossy ? MM_HOLD_WAIT_LOSSY_MS : MM_HOLD_WAIT_MS;
 }
 
 /**
- * mm_exec_tick() - the session's timers.
+ * mm_exec_tick() - run the session's timers.
  * @x: the session.
  *
- * While anything runs, one hold is always waiting at the upstream.  After
- * a hold without an answer the next one asks only, without a lease: while
- * answers are lost one way, leases must not go on for ever.
+ * While there are runs, one hold is always waiting at the upstream. After a
+ * hold without an answer, the next one does not renew the leases: while only
+ * the answers are lost, leases must not be renewed for ever.
  */
 void
 mm_exec_tick (mm_exec *x)
@@ -200,12 +207,12 @@
   expire_runs (x, now);
   if (!x->closed)
     {
-      send_due_stops (x);
-      stop_unclaimed (x, now);
+      resend_due_stops (x);
+      stop_unadopted (x, now);
     }
   if (x->closed || x->holds_in_flight > 0)
     return;
-  if (x->hold_failed_ms || !x->seen || x->suspect)
+  if (x->hold_failed_ms || !x->runs_known || x->suspect)
     {
       mm_time_ms pause_ms
           = x->holds_failed < MM_HOLD_RETRY_AT_ONCE ? 0 : MM_HOLD_RETRY_MS;
@@ -213,16 +220,17 @@
           || x->hold_sent_ms == 0)
         mm_exec_send_hold (x, 0, false);
     }
-  else if (g_hash_table_size (x->runs) > 0 && ack_upto (x) < x->seen_seq)
+  else if (g_hash_table_size (x->runs) > 0 && ackable_seq (x) < x->seen_seq)
     {
-      /* Ends that are listed already are answered at once, however long the
-         hold would wait: it is asked now and then until they are noted.  */
+      /* While the upstream lists unacknowledged ends, it answers every hold
+         at once, whatever its wait.  Holds are sent every MM_HELD_POLL_MS
+         instead, until the ends are acknowledged.  */
       if (now - x->hold_sent_ms >= MM_HELD_POLL_MS)
         mm_exec_send_hold (x, 0, has_wanted_run (x));
     }
   else if (g_hash_table_size (x->runs) > 0)
     mm_exec_send_hold (x, hold_wait_ms (x, now), has_wanted_run (x));
-  else if (x->unacked_since_ms && ack_upto (x) > x->acked_seq
+  else if (x->unacked_since_ms && ackable_seq (x) > x->acked_seq
            && now - x->unacked_since_ms >= MM_ACK_DELAY_MS)
     mm_exec_send_hold (x, 0, false);
 }
--- a/src/mm_exec_http.h
+++ b/src/mm_exec_http.h
@@ -1,5 +1,5 @@
-/* mm_exec_http: calls to upstreams as HTTP with JSON bodies; the names and
-   forms are an interface's own.  */
+/* mm_exec_http: calls to upstreams as HTTP with JSON bodies.  Paths, field
+   names and encodings are those of an interface.  */
 #ifndef MM_EXEC_HTTP_H
 #define MM_EXEC_HTTP_H
 
@@ -7,28 +7,28 @@
 
 #include <cJSON.h>
 
-/* One interface's names and forms.  */
+/* Paths, field names and encodings of one interface.  */
 typedef struct
 {
   const char *start_path;
   const char *stop_path;
   const char *hold_path;
-  const char *upstream_header; /* names the incarnation that is meant */
-  const char *clock_field;     /* of every answer with a body */
+  const char *upstream_header; /* names the incarnation that is called */
+  const char *clock_field;     /* in every answer with a body */
   cJSON *(*order_body) (const mm_order *o);
   cJSON *(*hold_body) (const mm_hold *h);
-  /* Of an answer whose status is not 200; MM_CALL_NO_ANSWER when it is
-     none of the interface's.  */
+  /* Reads an answer whose status is not 200; returns MM_CALL_NO_ANSWER when
+     the interface does not define that answer.  */
   mm_call_verdict (*verdict) (long status, const cJSON *body);
-  const char *running_field; /* of a hold's answer: lists of rows */
-  const char *ended_field;
-  size_t max_ended; /* rows of ends in one answer, 0: all of them */
+  const char *running_field; /* array of rows in the answer to a hold */
+  const char *ended_field;   /* likewise */
+  size_t max_ended; /* maximum rows of ends in one answer, 0: no limit */
   bool (*read_running) (const cJSON *row, mm_running *out);
   bool (*read_ended) (const cJSON *row, mm_ended *out);
 } mm_exec_wire;
 
-/* A hold's answer.  Allocates both lists of @out, freed with g_free() in
-   any case.  */
+/* Reads the lists in the answer to a hold.  Allocates both lists of @out,
+   which the caller frees with g_free() also after a failure.  */
 bool mm_exec_wire_read_lists (const mm_exec_wire *wire, const cJSON *body,
                               mm_hold_result *out);
 
--- a/src/mm_exec_lists.c
+++ b/src/mm_exec_lists.c
@@ -1,4 +1,5 @@
-/* mm_exec_lists: compare what an upstream lists with what we believe.  */
+/* mm_exec_lists: compares the runs and ends that an upstream lists with the
+   runs of the session.  */
 #include "mm_exec_priv.h"
 
 #include "config.h"
@@ -6,7 +7,7 @@
 #include "mm_metrics.h"
 
 static void
-learn_speed (mm_exec *x, const mm_exec_run *r)
+update_slowness (mm_exec *x, const mm_exec_run *r)
 {
   if (r->estimate_ms <= 0 || r->phase != RUN_RUNNING || r->adopted)
     return;
@@ -15,11 +16,11 @@
   x->slowness += MM_SPEED_GAIN * (ratio - x->slowness);
 }
 
-/* Until its job's home has stored the end, the upstream must go on listing
-   it: should this instance die meanwhile, the next owner finds it there, and
-   the task is not started a second time.  */
+/* Leaves an end unacknowledged until the job's home has stored it.  The
+   upstream goes on listing the end, so if this instance dies meanwhile, the
+   next owner finds it and the task is not started a second time.  */
 static void
-hold_end (mm_exec *x, const mm_ended *e, bool foreign)
+keep_end (mm_exec *x, const mm_ended *e, bool foreign)
 {
   mm_held_end h = { .task = e->task,
                     .run = e->run,
@@ -27,11 +28,11 @@
                     .seq = e->seq,
                     .since_ms = mm_clock_now_ms (),
                     .foreign = foreign };
-  g_array_append_val (x->held, h);
+  g_array_append_val (x->unacked, h);
 }
 
 static void
-take_ends (mm_exec *x, const mm_hold_result *res)
+process_ends (mm_exec *x, const mm_hold_result *res)
 {
   for (size_t i = 0; i < res->n_ended && !x->closed; i++)
     {
@@ -40,26 +41,27 @@
         continue;
       x->seen_seq = e->seq;
       mm_exec_run *r = g_hash_table_lookup (x->runs, &e->task);
-      bool ours = r && r->number == e->run && !r->foreign;
-      if (!ours || r->kept)
-        hold_end (x, e, !ours);
+      bool own_run = r && r->number == e->run && !r->foreign;
+      if (!own_run || r->kept)
+        keep_end (x, e, !own_run);
       if (!r || r->number != e->run)
         continue;
       if (e->how == MM_END_DONE)
-        learn_speed (x, r);
-      /* One that was stopped as its start had no answer is reported as
-         stopped too: it ran for a while, which "not run" would deny.  */
-      mm_exec_release (r, e->how, "listed");
+        update_slowness (x, r);
+      /* A run that was stopped because its start had no answer is reported
+         as stopped and not as "not run", because it did run for a while.  */
+      mm_exec_finish_run (r, e->how, "listed");
     }
   if (x->seen_seq > x->acked_seq && !x->unacked_since_ms)
     x->unacked_since_ms = mm_clock_now_ms ();
 }
 
-/* A run of an earlier owner.  Who handed it in may still wait for it, and asks
-   us to go on with it (mm_exec_adopt); else it is stopped after a moment.  Its
-   size is unknown, so nothing starts here until then.  */
+/* Adds a run that an earlier owner started.  The instance whose job it belongs
+   to may still wait for it and request its adoption (mm_exec_adopt);
+   otherwise the run is stopped after MM_ADOPT_MS.  The resources of the run
+   are unknown, so nothing is started on this upstream until then.  */
 static void
-take_foreign (mm_exec *x, const mm_running *seen)
+add_foreign_run (mm_exec *x, const mm_running *seen)
 {
   mm_exec_run *r = g_new0 (mm_exec_run, 1);
   r->exec = x;
@@ -68,9 +70,9 @@
   r->foreign = true;
   r->ordered_ms = mm_clock_now_ms ();
   mm_exec_set_running (r);
-  /* Its lease is the earlier owner's: without an answer from here on, the run
-     has not ended before that has.  */
-  x->lease_until_ms = MAX (x->lease_until_ms, r->ordered_ms + MM_LEASE_MS);
+  /* The run has a lease from the earlier owner.  If the upstream does not
+     answer from now on, the run may last until that lease expires.  */
+  x->leases_expire_ms = MAX (x->leases_expire_ms, r->ordered_ms + MM_LEASE_MS);
   x->n_foreign++;
   mm_metrics_count (MM_CT_FOREIGN_RUNS);
   mm_log_event (MM_EV_TASK_FOREIGN, MM_TASK (&r->id), MM_TEXT (x->info->name),
@@ -82,10 +84,11 @@
   mm_exec_send_stop (r, false);
 }
 
-/* Some upstreams keep a task for ever and report themselves well: its
-   caller would wait until its time is over.  Stopped, it runs elsewhere.  */
+/* Some upstreams never finish a task while they report themselves healthy, and
+   the caller would wait until its deadline.  Stopping a task that makes no
+   progress lets it run on another upstream.  */
 static void
-watch_progress (mm_exec_run *r, int32_t percent)
+check_progress (mm_exec_run *r, int32_t percent)
 {
   mm_time_ms now = mm_clock_now_ms ();
   mm_time_ms limit_ms
@@ -101,12 +104,12 @@
   mm_exec *x = r->exec;
   r->stop_wanted = true;
   mm_log_event (MM_EV_TASK_STOPPED, MM_TASK (&r->id), MM_TEXT (x->info->name),
-                MM_TEXT ("it stands still"));
+                MM_TEXT ("it is stalled"));
   x->ev.unwell (x->ev.ctx, x);
 }
 
 static void
-take_running (mm_exec *x, const mm_hold_result *res, GHashTable *present)
+process_running (mm_exec *x, const mm_hold_result *res, GHashTable *present)
 {
   for (size_t i = 0; i < res->n_running; i++)
     {
@@ -114,13 +117,13 @@
       mm_exec_run *r = g_hash_table_lookup (x->runs, &seen->task);
       if (!r)
         {
-          take_foreign (x, seen);
+          add_foreign_run (x, seen);
           r = g_hash_table_lookup (x->runs, &seen->task);
         }
       else if (r->number == seen->run)
         {
           mm_exec_set_running (r);
-          watch_progress (r, seen->percent);
+          check_progress (r, seen->percent);
           if (r->stop_wanted)
             mm_exec_send_stop (r, false);
         }
@@ -128,9 +131,9 @@
     }
 }
 
-/* Runs that the upstream should know and does not name.  */
+/* Ends runs that the upstream should list and does not.  */
 static void
-take_absent (mm_exec *x, GHashTable *present, uint64_t sent_event)
+process_absent (mm_exec *x, GHashTable *present, uint64_t sent_event)
 {
   GList *runs = g_hash_table_get_values (x->runs);
   for (GList *l = runs; l && !x->closed; l = l->next)
@@ -141,45 +144,46 @@
       bool stopped
           = r->stop_answered_event && r->stop_answered_event < sent_event;
       bool ran = r->running_event && r->running_event < sent_event;
-      if (r->phase == RUN_UNSURE && stopped)
-        mm_exec_release (r, r->stop_by_owner ? MM_END_STOPPED : MM_END_NOT_RUN,
-                         "start unanswered, stopped ahead of it");
+      if (r->phase == RUN_IN_DOUBT && stopped)
+        mm_exec_finish_run (r,
+                            r->stop_by_owner ? MM_END_STOPPED : MM_END_NOT_RUN,
+                            "start unanswered, stopped ahead of it");
       else if (ran)
-        mm_exec_release (r, MM_END_LOST, "not listed any more");
+        mm_exec_finish_run (r, MM_END_LOST, "not listed any more");
     }
   g_list_free (runs);
 }
 
 void
-mm_exec_take_lists (mm_exec *x, const mm_exec_call *c,
-                    const mm_hold_result *res)
+mm_exec_process_lists (mm_exec *x, const mm_exec_call *c,
+                       const mm_hold_result *res)
 {
-  mm_exec_learn_clock (x, &res->call);
+  mm_exec_update_clock (x, &res->call);
   mm_exec_become_usable (x);
   x->hold_failed_ms = 0;
   x->holds_failed = 0;
   x->acked_seq = MAX (x->acked_seq, c->acked_seq);
   if (x->acked_seq >= x->seen_seq)
     x->unacked_since_ms = 0;
-  /* Answers on two connections may overtake each other: an older picture
-     would show ended runs as running.  */
-  if (c->sent_event < x->hold_taken_event)
+  /* Answers on two connections may arrive out of order: older lists would
+     show ended runs as running.  */
+  if (c->sent_event < x->processed_hold_event)
     return;
-  x->hold_taken_event = c->sent_event;
+  x->processed_hold_event = c->sent_event;
   GHashTable *present = g_hash_table_new (NULL, NULL);
-  bool first = !x->seen;
-  if (first && x->once_seen)
+  bool first = !x->runs_known;
+  if (first && x->fence_known)
     x->ev.back (x->ev.ctx, x);
-  if (!x->once_seen)
+  if (!x->fence_known)
     mm_log_event (MM_EV_UPSTREAM_OWNED, MM_TEXT (x->info->name),
                   MM_INT (x->fence));
-  x->seen = x->once_seen = true;
-  take_ends (x, res);
+  x->runs_known = x->fence_known = true;
+  process_ends (x, res);
   if (!x->closed)
-    take_running (x, res, present);
-  /* What is neither running nor listed may have its end on a later page.  */
+    process_running (x, res, present);
+  /* A run that is in neither list may have its end on a later page.  */
   if (!x->closed && !res->more_ended)
-    take_absent (x, present, c->sent_event);
+    process_absent (x, present, c->sent_event);
   g_hash_table_destroy (present);
   if (first && !x->closed)
     x->ev.room (x->ev.ctx, x);
--- a/src/mm_exec_state.c
+++ b/src/mm_exec_state.c
@@ -1,16 +1,17 @@
-/* mm_exec_state: what a session knows of its upstream, for its owner.  */
+/* mm_exec_state: queries on the state of a session.  */
 #include "config.h"
 #include "mm_exec_priv.h"
 
 #include <string.h>
 
-/* An order without an answer makes an upstream suspect for some 100 ms:
-   its places still count then, or a job would be refused for it.  */
+/* Includes a suspect upstream: an order without an answer makes it suspect for
+   about 100 ms, and jobs would be refused if its capacity did not count for
+   that time.  */
 bool
 mm_exec_in_sight (const mm_exec *x)
 {
-  return x->seen && !x->fenced && !x->gone && !x->closed && !x->info->draining
-         && x->clock_known;
+  return x->runs_known && !x->fenced && !x->gone && !x->closed
+         && !x->info->draining && x->clock_known;
 }
 
 bool
@@ -35,9 +36,9 @@
 mm_need
 mm_exec_room (const mm_exec *x)
 {
-  mm_need room = x->info->capacity;
-  mm_need_sub (&room, &x->used);
-  return room;
+  mm_need free_capacity = x->info->capacity;
+  mm_need_sub (&free_capacity, &x->used);
+  return free_capacity;
 }
 
 size_t
@@ -68,8 +69,9 @@
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
       const mm_exec_run *r = v;
-      mm_time_ms usual_ms = (mm_time_ms)((double)r->estimate_ms * x->slowness);
-      longest_ms = MAX (longest_ms, usual_ms - (now - r->ordered_ms));
+      mm_time_ms expected_ms
+          = (mm_time_ms)((double)r->estimate_ms * x->slowness);
+      longest_ms = MAX (longest_ms, expected_ms - (now - r->ordered_ms));
     }
   return longest_ms;
 }
@@ -82,7 +84,7 @@
   gpointer v;
   g_hash_table_iter_init (&it, x->runs);
   while (g_hash_table_iter_next (&it, NULL, &v))
-    n += ((mm_exec_run *)v)->phase == RUN_UNSURE;
+    n += ((mm_exec_run *)v)->phase == RUN_IN_DOUBT;
   return n;
 }
 
@@ -107,17 +109,17 @@
 const mm_held_end *
 mm_exec_held (const mm_exec *x, size_t *n)
 {
-  *n = x->held->len;
-  return (const mm_held_end *)(void *)x->held->data;
+  *n = x->unacked->len;
+  return (const mm_held_end *)(void *)x->unacked->data;
 }
 
 void
 mm_exec_drop_held (mm_exec *x, size_t i)
 {
-  g_array_remove_index_fast (x->held, (guint)i);
+  g_array_remove_index_fast (x->unacked, (guint)i);
 }
 
-/* Runs that are being stopped end after this.  */
+/* Runs that are being stopped can still end after this call.  */
 void
 mm_exec_forget_job (mm_exec *x, const char *job_id)
 {
@@ -132,21 +134,22 @@
 }
 
 /**
- * mm_exec_sure() - is what runs there known?
+ * mm_exec_sure() - whether the runs on the upstream are known.
  * @x: the session.
  *
- * Certain once a hold has shown what runs, and again when the upstream was
- * out of contact for longer than any lease: with our token known there,
- * nobody else can have prolonged one.
+ * Return: true once a hold has listed the runs, and also when the upstream was
+ * out of contact for longer than any lease: an upstream that knows our fencing
+ * token lets no earlier owner renew a lease.
  */
 bool
 mm_exec_sure (const mm_exec *x)
 {
   if (x->gone)
     return true;
-  bool lapsed = x->once_seen && x->hold_failed_ms
-                && mm_clock_now_ms () > x->lease_until_ms + MM_LEASE_SLACK_MS;
-  return !x->fenced && !x->closed && (x->seen || lapsed);
+  bool leases_expired
+      = x->fence_known && x->hold_failed_ms
+        && mm_clock_now_ms () > x->leases_expire_ms + MM_LEASE_SLACK_MS;
+  return !x->fenced && !x->closed && (x->runs_known || leases_expired);
 }
 
 uint32_t
