--- a/src/mm_place.c
+++ b/src/mm_place.c
@@ -1,17 +1,19 @@
-/* mm_place: away from suspects, then fastest first, then tightest fit.
+/* mm_place: prefers the least contention between suspect and other tasks, then
+   upstreams near the task's data, then the fastest, then the tightest fit.
 
-   A job ends with its last task, so a slow upstream costs a whole job:
-   speed comes before packing.  Speeds within MM_PLACE_SPEED_STEP of each
-   other count as the same, as the observation is that rough; among these
-   the tightest fit keeps wide gaps for wide tasks.  */
+   A job ends with its last task, so one slow upstream delays the whole job:
+   speed takes precedence over packing.  Slowness is only known roughly, so
+   values within a step of MM_PLACE_SPEED_STEP count as equal.  Among these the
+   tightest fit leaves large free capacities for large tasks.  */
 #include "mm_place.h"
 
 #include "config.h"
 
 #include <math.h>
 
+/* Returns whether @a is preferred to @b.  */
 static bool
-better (const mm_place_candidate *a, const mm_place_candidate *b)
+is_better (const mm_place_candidate *a, const mm_place_candidate *b)
 {
   if (a->contention != b->contention)
     return a->contention < b->contention;
@@ -30,7 +32,7 @@
   int best = -1;
   for (size_t i = 0; i < n; i++)
     if (c[i].allowed && mm_need_fits (need, &c[i].room)
-        && (best < 0 || better (&c[i], &c[best])))
+        && (best < 0 || is_better (&c[i], &c[best])))
       best = (int)i;
   return best;
 }
--- a/src/mm_place.h
+++ b/src/mm_place.h
@@ -1,15 +1,16 @@
-/* mm_place: which upstream a task goes to.  */
+/* mm_place: chooses the upstream to which a task is sent.  */
 #ifndef MM_PLACE_H
 #define MM_PLACE_H
 
 #include "mm_task.h"
 
+/* An upstream to which a task may be sent.  */
 typedef struct
 {
-  mm_need room;        /* free now */
-  bool allowed;        /* usable, trusted, right service and label */
-  double slowness;     /* observed run time over the estimate, 1 is average */
-  uint32_t contention; /* weight of what it would run beside: less is better */
+  mm_need room; /* free capacity */
+  bool allowed; /* usable, circuit breaker closed, right service and label */
+  double slowness;     /* observed run time / estimate, 1: as estimated */
+  uint32_t contention; /* weight of the runs beside it: less is better */
   bool near_data;      /* in the rack that holds the task's data */
 } mm_place_candidate;
 
--- a/src/mm_rto.c
+++ b/src/mm_rto.c
@@ -1,28 +1,31 @@
-/* mm_rto: wait for an answer as long as answers usually take.
+/* mm_rto: adaptive timeouts of calls to upstreams.
 
-   Answers the load of orders that get no answer: each such order holds its
-   task up, and its room, for the whole timeout.  A job of eight tasks with
-   80 ms to spare is late if one of them waits for 100 ms; answers take 2 ms.
-   Doubling guards against a timeout under the true time of an answer, which
-   would let no answer through that could correct it.  */
+   An order without an answer delays its task, and occupies capacity, for the
+   whole timeout.  A job of eight tasks with 80 ms to spare is late if one of
+   them waits for 100 ms, while answers take 2 ms.
+
+   The timeout doubles after each call without an answer.  Otherwise a timeout
+   shorter than the true answer time would never be corrected, as no answer
+   would arrive in time.  */
 #include "mm_rto.h"
 
 #include "config.h"
 
 #include <math.h>
 
-/* Weights of one answer, from RFC 6298.  */
+/* Constants of RFC 6298: weights of one answer in the mean and the deviation,
+   and the deviations in a timeout.  */
 #define MEAN_GAIN 0.125
 #define DEVIATION_GAIN 0.25
 #define DEVIATIONS 4.0
-#define LATE_MARGIN 1.25
+#define LATE_MARGIN 1.25 /* timeout after a late answer / its time */
 
 void
 mm_rto_answered (mm_rto *r, mm_time_ms took_ms)
 {
   double took = (double)MAX (took_ms, 1);
   r->doublings = 0;
-  r->most_ms -= DEVIATION_GAIN * MAX (r->most_ms - took, 0);
+  r->max_timeout_ms -= DEVIATION_GAIN * MAX (r->max_timeout_ms - took, 0);
   if (r->mean_ms <= 0)
     {
       r->mean_ms = took;
@@ -44,15 +47,15 @@
 mm_rto_late (mm_rto *r, mm_time_ms took_ms)
 {
   mm_rto_answered (r, took_ms);
-  r->most_ms = MAX (r->most_ms, LATE_MARGIN * (double)took_ms);
+  r->max_timeout_ms = MAX (r->max_timeout_ms, LATE_MARGIN * (double)took_ms);
 }
 
 /**
- * mm_rto_ms() - the timeout of the next call.
- * @r: what was seen.
+ * mm_rto_ms() - compute the timeout of the next call.
+ * @r: the state of the estimate.
  *
- * Return: between MM_RTO_MIN_MS and MM_RTO_MAX_MS, the latter until an
- * answer was seen; up to MM_RTO_LATE_MAX_MS after late answers.
+ * Return: between MM_RTO_MIN_MS and MM_RTO_MAX_MS; MM_RTO_MAX_MS before the
+ * first answer; up to MM_RTO_LATE_MAX_MS after late answers.
  */
 mm_time_ms
 mm_rto_ms (const mm_rto *r)
@@ -61,39 +64,42 @@
     return MM_RTO_MAX_MS;
   double rto_ms = r->mean_ms + DEVIATIONS * r->deviation_ms;
   rto_ms = ldexp (MAX (rto_ms, MM_RTO_MIN_MS), (int)MIN (r->doublings, 8));
-  double most_ms = CLAMP (r->most_ms, MM_RTO_MAX_MS, MM_RTO_LATE_MAX_MS);
-  return (mm_time_ms)MIN (ceil (rto_ms), most_ms);
+  double max_timeout_ms
+      = CLAMP (r->max_timeout_ms, MM_RTO_MAX_MS, MM_RTO_LATE_MAX_MS);
+  return (mm_time_ms)MIN (ceil (rto_ms), max_timeout_ms);
 }
 
 /**
- * mm_rto_floor_late() - an answer came after its timeout.
- * @f: what was seen of all upstreams.
- * @upstream: whose.
- * @took_ms: its time.
- * @now_ms: the clock.
+ * mm_rto_floor_late() - record an answer that came after its timeout.
+ * @f: the lower bound of the timeouts of all upstreams.
+ * @upstream: the upstream that answered.
+ * @took_ms: time between the call and the answer.
+ * @now_ms: the current time.
  *
- * One upstream may be slow.  Two of them at about the same time tell of what
- * they share, our link or our processor: then no timeout is shorter than what
- * answers took, for some seconds.
+ * One late answer may be due to a slow upstream. Late answers of two upstreams
+ * within MM_RTO_SHARED_MS have a cause that both share, such as our link or
+ * our processor. For MM_RTO_FLOOR_MS every timeout is then at least
+ * LATE_MARGIN times @took_ms, capped at MM_RTO_LATE_MAX_MS.
  */
 void
 mm_rto_floor_late (mm_rto_floor *f, const void *upstream, mm_time_ms took_ms,
                    mm_time_ms now_ms)
 {
-  bool shared = f->last && f->last != upstream
-                && now_ms - f->last_ms < MM_RTO_SHARED_MS;
-  f->last = upstream;
-  f->last_ms = now_ms;
-  double least_ms = MIN (LATE_MARGIN * (double)took_ms, MM_RTO_LATE_MAX_MS);
-  if (!shared || least_ms < (double)mm_rto_floor_ms (f, now_ms))
+  bool shared = f->last_upstream && f->last_upstream != upstream
+                && now_ms - f->last_late_ms < MM_RTO_SHARED_MS;
+  f->last_upstream = upstream;
+  f->last_late_ms = now_ms;
+  double min_timeout_ms
+      = MIN (LATE_MARGIN * (double)took_ms, MM_RTO_LATE_MAX_MS);
+  if (!shared || min_timeout_ms < (double)mm_rto_floor_ms (f, now_ms))
     return;
-  f->least_ms = (mm_time_ms)least_ms;
+  f->min_timeout_ms = (mm_time_ms)min_timeout_ms;
   f->raised_ms = now_ms;
 }
 
 mm_time_ms
 mm_rto_floor_ms (const mm_rto_floor *f, mm_time_ms now_ms)
 {
-  bool holds = f->least_ms && now_ms - f->raised_ms < MM_RTO_FLOOR_MS;
-  return holds && MM_WITH_RTO ? f->least_ms : 0;
+  bool in_force = f->min_timeout_ms && now_ms - f->raised_ms < MM_RTO_FLOOR_MS;
+  return in_force && MM_WITH_RTO ? f->min_timeout_ms : 0;
 }
--- a/src/mm_rto.h
+++ b/src/mm_rto.h
@@ -1,34 +1,39 @@
-/* mm_rto: how long to wait for an answer, from the answers seen so far.
+/* mm_rto: timeout of a call, computed from the times of earlier answers.
 
-   The retransmission timeout of TCP (RFC 6298): the smoothed time of an
-   answer and four times its deviation, doubled after each call without one.
-   An answer that comes after its timeout proves that spurious (as in Eifel,
-   RFC 3522): it counts like any other, and the doubling is taken back.  */
+   The retransmission timeout of TCP (RFC 6298): the smoothed answer time plus
+   four times its deviation, doubled after each call without an answer.  An
+   answer that comes after its timeout proves the timeout spurious (as in
+   Eifel, RFC 3522): the answer counts like any other, and the doubling is
+   undone.  */
 #ifndef MM_RTO_H
 #define MM_RTO_H
 
 #include "masticmill.h"
 
+/* Answer times of one upstream.  */
 typedef struct
 {
-  double mean_ms; /* smoothed time of an answer, 0: none was seen */
-  double deviation_ms;
-  double most_ms;     /* the timeout may be, beyond MM_RTO_MAX_MS */
-  uint32_t doublings; /* calls in a row without an answer */
+  double mean_ms;      /* smoothed answer time, 0: no answer yet */
+  double deviation_ms; /* smoothed deviation of the answer time */
+  /* Upper bound of the timeout where above MM_RTO_MAX_MS, after late
+     answers.  */
+  double max_timeout_ms;
+  uint32_t doublings; /* consecutive calls without an answer */
 } mm_rto;
 
 void mm_rto_answered (mm_rto *r, mm_time_ms took_ms);
 void mm_rto_unanswered (mm_rto *r);
-void mm_rto_late (mm_rto *r, mm_time_ms took_ms); /* after its timeout */
-mm_time_ms mm_rto_ms (const mm_rto *r); /* wait so long for the next answer */
+void mm_rto_late (mm_rto *r, mm_time_ms took_ms); /* late answer */
+mm_time_ms mm_rto_ms (const mm_rto *r);           /* of the next call */
 
-/* What holds up the answers of several upstreams lies on our side.  */
+/* Lower bound of the timeouts of all upstreams.  A delay of the answers of
+   several upstreams has its cause on our side.  */
 typedef struct
 {
-  const void *last; /* whose answer was late */
-  mm_time_ms last_ms;
-  mm_time_ms least_ms;  /* timeouts were raised to this ... */
-  mm_time_ms raised_ms; /* at this time */
+  const void *last_upstream; /* the upstream whose answer was late */
+  mm_time_ms last_late_ms;   /* when that answer came */
+  mm_time_ms min_timeout_ms; /* 0: none */
+  mm_time_ms raised_ms;      /* when min_timeout_ms was last set */
 } mm_rto_floor;
 
 void mm_rto_floor_late (mm_rto_floor *f, const void *upstream,
--- a/src/mm_task.c
+++ b/src/mm_task.c
@@ -5,10 +5,10 @@
 #include <xxhash.h>
 
 bool
-mm_need_fits (const mm_need *need, const mm_need *room)
+mm_need_fits (const mm_need *need, const mm_need *capacity)
 {
-  return need->cpu_milli <= room->cpu_milli && need->mem_mb <= room->mem_mb
-         && need->gpus <= room->gpus;
+  return need->cpu_milli <= capacity->cpu_milli
+         && need->mem_mb <= capacity->mem_mb && need->gpus <= capacity->gpus;
 }
 
 void
--- a/src/mm_task.h
+++ b/src/mm_task.h
@@ -1,4 +1,4 @@
-/* mm_task: what a task needs, and how a run of it can end.  */
+/* mm_task: resources of a task, its id, and the outcome of a run.  */
 #ifndef MM_TASK_H
 #define MM_TASK_H
 
@@ -12,18 +12,19 @@
   int64_t gpus;
 } mm_need;
 
-bool mm_need_fits (const mm_need *need, const mm_need *room); /* fits in? */
-void mm_need_add (mm_need *sum, const mm_need *need);         /* sum += need */
-void mm_need_sub (mm_need *sum, const mm_need *need);         /* sum -= need */
+/* Returns whether @need fits into @capacity.  */
+bool mm_need_fits (const mm_need *need, const mm_need *capacity);
+void mm_need_add (mm_need *sum, const mm_need *need); /* sum += need */
+void mm_need_sub (mm_need *sum, const mm_need *need); /* sum -= need */
 
-#define MM_JOB_ID_MAX 40 /* bytes of a job's id */
+#define MM_JOB_ID_MAX 40 /* maximum length of a job id, in bytes */
 
-/* Names one task of one job.  */
+/* Identifies one task of one job.  */
 typedef struct
 {
   char job[MM_JOB_ID_MAX + 1];
-  uint32_t step;
-  uint32_t index;
+  uint32_t step;  /* step of the job */
+  uint32_t index; /* of the task within its step */
 } mm_task_id;
 
 guint mm_task_id_hash (gconstpointer id);
@@ -34,36 +35,36 @@
 {
   MM_END_DONE,    /* ran to its end */
   MM_END_FAILED,  /* ran and failed */
-  MM_END_STOPPED, /* stopped by an order, ours or a careful one */
-  MM_END_LOST,    /* its upstream or its lease is gone; it runs no more */
-  MM_END_NOT_RUN, /* given back, never started */
-  MM_END_UNKNOWN  /* out of sight: may run on for the rest of its lease */
+  MM_END_STOPPED, /* stopped by an order, on request or as a precaution */
+  MM_END_LOST,    /* upstream or lease is gone; certainly not running */
+  MM_END_NOT_RUN, /* returned, never started */
+  MM_END_UNKNOWN  /* in doubt: may run for the rest of its lease */
 } mm_end;
 #define MM_END_COUNT (MM_END_UNKNOWN + 1)
 
-const char *mm_end_name (mm_end end); /* "done", ... */
+const char *mm_end_name (mm_end end); /* such as "done" */
 
-/* A request to run one task once, as an owner of upstreams takes it.  */
+/* A request to an owner of upstreams to run one task once.  */
 typedef struct
 {
   mm_task_id id;
-  const char *service;    /* which upstreams may run it */
+  const char *service;    /* service of the upstreams that may run it */
   const char *payload;    /* opaque to the dispatcher */
-  const char *label;      /* an upstream must carry it, or NULL */
-  const char *data_label; /* those that carry it are near its data, or NULL */
-  const char *avoid;      /* name of an upstream to pass over, or NULL */
+  const char *label;      /* label that an upstream must have, or NULL */
+  const char *data_label; /* label of upstreams near its data, or NULL */
+  const char *avoid;      /* name of an upstream not to use, or NULL */
   mm_need need;
-  bool kept;               /* of a kept job: its end waits for its home */
-  bool apart;              /* may crash its upstream: few others beside it */
-  uint32_t attempt;        /* 0: has not failed yet */
-  uint32_t priority;       /* 0 first */
-  mm_time_ms estimate_ms;  /* declared run time, a hint */
-  mm_time_ms waited_ms;    /* in queues so far */
-  mm_time_ms due_within;   /* ms from now; among equals, sooner goes first */
-  mm_time_ms start_within; /* ms from now; then given back as not run */
-  const char *running_at;  /* runs there already: take it over; or NULL */
-  uint32_t run;            /* with running_at: its number there */
-  mm_time_ms ran_ms;       /* with running_at: so far */
+  bool kept;               /* of a kept job: its home acknowledges its end */
+  bool apart;              /* isolated: may crash its upstream */
+  uint32_t attempt;        /* earlier failed attempts */
+  uint32_t priority;       /* 0 is the highest */
+  mm_time_ms estimate_ms;  /* declared run time, not binding */
+  mm_time_ms waited_ms;    /* time spent in queues so far */
+  mm_time_ms due_within;   /* ms from now; orders tasks of equal priority */
+  mm_time_ms start_within; /* ms from now; after that returned as not run */
+  const char *running_at;  /* upstream where it runs already: adopt; or NULL */
+  uint32_t run;            /* with running_at: its run number there */
+  mm_time_ms ran_ms;       /* with running_at: run time so far */
 } mm_task_request;
 
 #endif /* MM_TASK_H */
--- a/src/mm_trust.c
+++ b/src/mm_trust.c
@@ -1,17 +1,18 @@
-/* mm_trust: failures in a row exclude an upstream for a while, then one
-   task at a time is its trial.
+/* mm_trust: consecutive failures open the circuit breaker of an upstream for
+   a while.  After that it is half-open: one task runs there at a time until
+   one succeeds.
 
-   Answers the load of an upstream that fails all it starts at once while
-   its reports are good: free at all times, it would draw every task.  */
+   Guards against an upstream that reports itself healthy and fails each task
+   at once: as it always has free capacity, it would attract all tasks.  */
 #include "mm_trust.h"
 
 #include "config.h"
 
 /**
- * mm_trust_note() - take note of a run's end.
- * @t: the upstream's trust.
- * @ok: it ran to its end; false when it failed or could not start.
- * @now_ms: the clock.
+ * mm_trust_note() - record the outcome of a run.
+ * @t: the upstream's circuit breaker.
+ * @ok: true when the task succeeded; false when it failed or could not start.
+ * @now_ms: the current time.
  */
 void
 mm_trust_note (mm_trust *t, bool ok, mm_time_ms now_ms)
--- a/src/mm_upstream_info.c
+++ b/src/mm_upstream_info.c
@@ -1,4 +1,4 @@
-/* mm_upstream_info: copies of list entries.  */
+/* mm_upstream_info: copies of entries in the upstream list.  */
 #include "mm_upstream_info.h"
 
 mm_upstream_info *
--- a/src/mm_upstream_info.h
+++ b/src/mm_upstream_info.h
@@ -1,4 +1,4 @@
-/* mm_upstream_info: what the platform's list says of one upstream.  */
+/* mm_upstream_info: one entry in the platform's list of upstreams.  */
 #ifndef MM_UPSTREAM_INFO_H
 #define MM_UPSTREAM_INFO_H
 
@@ -6,13 +6,13 @@
 
 typedef struct
 {
-  char *name;       /* of this incarnation; a restart has a new one */
+  char *name;       /* of this incarnation; changes with a restart */
   char *addr;       /* "ip:port" */
-  char *service;    /* whose tasks it runs */
-  char *datacentre; /* where it stands */
+  char *service;    /* service whose tasks it runs */
+  char *datacentre; /* location of the upstream */
   char **labels;    /* NULL-terminated */
-  mm_need capacity; /* all it has */
-  int64_t slots;    /* tasks at once, 0 for no such limit */
+  mm_need capacity; /* total resources */
+  int64_t slots;    /* maximum tasks at a time, 0: no limit */
   bool draining;    /* takes no new work */
 } mm_upstream_info;
 
