--- a/src/mm_suspects.c
+++ b/src/mm_suspects.c
@@ -1,13 +1,14 @@
-/* mm_suspects: losses of upstreams, and the tasks that ran there.
+/* mm_suspects: lost upstreams and the tasks that ran there.
 
-   The one certain sign of a crash is another incarnation at the address.  An
-   upstream that is cut off does not answer either, and its entry lapses like
-   that of one that crashed, so neither counts; one that was listed as draining
-   has left as planned.
+   Only another incarnation at the address proves a crash.  A disconnected
+   upstream does not answer either, and its list entry expires like that of a
+   crashed one, so neither counts as a crash.  An upstream that was listed as
+   draining has left as planned.
 
-   Several tasks run on an upstream when it crashes, and all but one are
-   innocent.  A task is given up once two upstreams have crashed under it, if
-   it was alone on one of them, or a third one has.  */
+   Several tasks may run on an upstream when it crashes, and usually only one
+   of them is a poison task.  A task counts as one after two crashes of
+   upstreams that ran it if it was the only task on one of them, and after
+   three crashes in any case.  */
 #include "mm_suspects.h"
 
 #include "config.h"
@@ -17,20 +18,21 @@
 #include <string.h>
 #include <xxhash.h>
 
+/* One lost upstream.  */
 typedef struct
 {
-  char *upstream;
+  char *upstream; /* name of the incarnation */
   char *addr;
   mm_loss_verdict verdict;
-  mm_time_ms silent_ms;
-  mm_time_ms noted_ms; /* when the verdict was */
-  GArray *tasks;       /* uint64_t */
+  mm_time_ms silent_ms;  /* when it stopped answering */
+  mm_time_ms verdict_ms; /* when the verdict was set */
+  GArray *tasks;         /* mm_task_mark() of the tasks, uint64_t */
 } loss;
 
 struct mm_suspects
 {
-  GQueue *losses;    /* loss, oldest first */
-  GHashTable *marks; /* set of the tasks in them */
+  GQueue *losses;     /* loss, oldest first */
+  GHashTable *hashes; /* set of the tasks in all losses */
   mm_suspects_changed changed;
   void *ctx;
 };
@@ -46,16 +48,17 @@
 }
 
 /**
- * mm_suspects_create() - nothing is suspected.
+ * mm_suspects_create() - create an empty record of lost upstreams.
  *
- * Return: free with mm_suspects_destroy().
+ * Return: the record; free with mm_suspects_destroy().
  */
 mm_suspects *
 mm_suspects_create (void)
 {
   mm_suspects *s = g_new0 (mm_suspects, 1);
   s->losses = g_queue_new ();
-  s->marks = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
+  s->hashes
+      = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   return s;
 }
 
@@ -65,7 +68,7 @@
   if (!s)
     return;
   g_queue_free_full (s->losses, loss_free);
-  g_hash_table_destroy (s->marks);
+  g_hash_table_destroy (s->hashes);
   g_free (s);
 }
 
@@ -95,7 +98,7 @@
 }
 
 static void
-notify_changed (const mm_suspects *s, const loss *l)
+report_change (const mm_suspects *s, const loss *l)
 {
   mm_loss view = view_of (l);
   if (s->changed)
@@ -103,21 +106,21 @@
 }
 
 static void
-rebuild_marks (mm_suspects *s)
+rebuild_hashes (mm_suspects *s)
 {
-  g_hash_table_remove_all (s->marks);
-  for (GList *at = s->losses->head; at; at = at->next)
+  g_hash_table_remove_all (s->hashes);
+  for (GList *node = s->losses->head; node; node = node->next)
     {
-      const loss *l = at->data;
+      const loss *l = node->data;
       for (guint i = 0; i < l->tasks->len; i++)
-        g_hash_table_add (s->marks,
+        g_hash_table_add (s->hashes,
                           g_memdup2 (&g_array_index (l->tasks, uint64_t, i),
                                      sizeof (uint64_t)));
     }
 }
 
 static loss *
-find (const mm_suspects *s, const char *upstream)
+find_loss (const mm_suspects *s, const char *upstream)
 {
   for (GList *l = s->losses->head; l; l = l->next)
     if (strcmp (((loss *)l->data)->upstream, upstream) == 0)
@@ -126,10 +129,10 @@
 }
 
 static bool
-holds (const loss *l, uint64_t mark)
+has_task (const loss *l, uint64_t hash)
 {
   for (guint i = 0; i < l->tasks->len; i++)
-    if (g_array_index (l->tasks, uint64_t, i) == mark)
+    if (g_array_index (l->tasks, uint64_t, i) == hash)
       return true;
   return false;
 }
@@ -140,7 +143,7 @@
   bool any = false;
   for (size_t i = 0;
        i < from->n_tasks && l->tasks->len < MM_SUSPECTS_TASKS_MAX; i++)
-    if (!holds (l, from->tasks[i]))
+    if (!has_task (l, from->tasks[i]))
       {
         g_array_append_val (l->tasks, from->tasks[i]);
         any = true;
@@ -153,7 +156,7 @@
 {
   static const char *const names[] = { "open", "crashed", "alive" };
   l->verdict = v;
-  l->noted_ms = mm_clock_now_ms ();
+  l->verdict_ms = mm_clock_now_ms ();
   if (v == MM_LOSS_CRASHED)
     mm_metrics_count (MM_CT_UPSTREAM_CRASHES);
   mm_log_event (MM_EV_UPSTREAM_LOST, MM_TEXT (l->upstream), MM_TEXT (names[v]),
@@ -161,7 +164,7 @@
 }
 
 static loss *
-add (mm_suspects *s, const mm_loss *from)
+add_loss (mm_suspects *s, const mm_loss *from)
 {
   if (s->losses->length >= MM_SUSPECTS_MAX)
     loss_free (g_queue_pop_head (s->losses));
@@ -174,30 +177,31 @@
   return l;
 }
 
-/* One that answered again may be lost anew later.  */
+/* Returns whether the verdict of @from replaces that of @l.  An upstream that
+   answered again may be lost a second time.  */
 static bool
 is_newer (const loss *l, const mm_loss *from)
 {
-  return l->verdict != MM_LOSS_ALIVE
-             ? from->verdict > l->verdict
-             : from->verdict != MM_LOSS_ALIVE && from->silent_ms > l->noted_ms;
+  return l->verdict != MM_LOSS_ALIVE ? from->verdict > l->verdict
+                                     : from->verdict != MM_LOSS_ALIVE
+                                           && from->silent_ms > l->verdict_ms;
 }
 
 /**
- * mm_suspects_note() - an upstream was lost with tasks running.
- * @s: the suspects.
- * @from: what is known of it, here or at another instance; passed on if it is
- *        new.
+ * mm_suspects_note() - record an upstream that was lost with tasks running.
+ * @s: the record of lost upstreams.
+ * @from: the loss as seen by this or another instance. The callback set by
+ *        mm_suspects_on_changed() is called if this changes the record.
  */
 void
 mm_suspects_note (mm_suspects *s, const mm_loss *from)
 {
-  loss *l = find (s, from->upstream);
+  loss *l = find_loss (s, from->upstream);
   if (!l && (from->n_tasks == 0 || from->verdict == MM_LOSS_ALIVE))
-    return; /* nothing ran there */
+    return; /* no task is suspect */
   bool fresh = !l;
   if (!l)
-    l = add (s, from);
+    l = add_loss (s, from);
   bool newer = fresh || is_newer (l, from);
   if (newer && l->verdict == MM_LOSS_ALIVE)
     {
@@ -210,64 +214,66 @@
     set_verdict (l, from->verdict, "noted");
   if (!newer && !more)
     return;
-  rebuild_marks (s);
-  notify_changed (s, l);
+  rebuild_hashes (s);
+  report_change (s, l);
 }
 
 static void
-settle (mm_suspects *s, loss *l, mm_loss_verdict v, const char *why)
+change_verdict (mm_suspects *s, loss *l, mm_loss_verdict v, const char *why)
 {
   if (l->verdict == v)
     return;
   set_verdict (l, v, why);
-  notify_changed (s, l);
+  report_change (s, l);
 }
 
 void
 mm_suspects_alive (mm_suspects *s, const char *upstream)
 {
-  loss *l = find (s, upstream);
+  loss *l = find_loss (s, upstream);
   if (l)
-    settle (s, l, MM_LOSS_ALIVE, "it answers again");
+    change_verdict (s, l, MM_LOSS_ALIVE, "it answers again");
 }
 
 void
 mm_suspects_listed (mm_suspects *s, const mm_upstream_info *u)
 {
-  for (GList *at = s->losses->head; at; at = at->next)
+  for (GList *node = s->losses->head; node; node = node->next)
     {
-      loss *l = at->data;
+      loss *l = node->data;
       if (l->verdict != MM_LOSS_OPEN)
         continue;
       bool same = strcmp (l->upstream, u->name) == 0;
       if (same && u->draining)
-        settle (s, l, MM_LOSS_ALIVE, "it left as planned");
+        change_verdict (s, l, MM_LOSS_ALIVE, "it left as planned");
       else if (!same && strcmp (l->addr, u->addr) == 0)
-        settle (s, l, MM_LOSS_CRASHED, "another incarnation at its address");
+        change_verdict (s, l, MM_LOSS_CRASHED,
+                        "another incarnation at its address");
     }
 }
 
 static uint32_t
-count (const mm_suspects *s, uint64_t mark, mm_loss_verdict v)
+count_losses (const mm_suspects *s, uint64_t hash, mm_loss_verdict v)
 {
   uint32_t n = 0;
   for (GList *l = s->losses->head; l; l = l->next)
-    n += ((loss *)l->data)->verdict == v && holds (l->data, mark);
+    n += ((loss *)l->data)->verdict == v && has_task (l->data, hash);
   return n;
 }
 
-/* Beside others it may have been one of them: a further crash decides.  */
+/* After MM_SUSPECTS_CRASHES crashes, a task that always ran beside others may
+   not be the one that caused them: a further crash decides.  */
 static bool
-is_culprit (const mm_suspects *s, uint64_t mark, uint32_t crashes)
+is_poison (const mm_suspects *s, uint64_t hash, uint32_t crashes)
 {
   if (crashes > MM_SUSPECTS_CRASHES)
     return true;
   if (crashes < MM_SUSPECTS_CRASHES)
     return false;
-  for (GList *at = s->losses->head; at; at = at->next)
+  for (GList *node = s->losses->head; node; node = node->next)
     {
-      const loss *l = at->data;
-      bool alone = l->tasks->len == 1 && holds (l, mark);
+      const loss *l = node->data;
+      bool alone = l->tasks->len == 1 && has_task (l, hash);
       if (l->verdict == MM_LOSS_CRASHED && alone)
         return true;
     }
@@ -279,12 +285,12 @@
 {
   if (!s || s->losses->length == 0)
     return MM_SUSPECT_RUN;
-  uint64_t mark = mm_task_mark (task);
-  if (!g_hash_table_contains (s->marks, &mark))
+  uint64_t hash = mm_task_mark (task);
+  if (!g_hash_table_contains (s->hashes, &hash))
     return MM_SUSPECT_RUN;
-  uint32_t crashes = count (s, mark, MM_LOSS_CRASHED);
-  uint32_t open = count (s, mark, MM_LOSS_OPEN);
-  if (is_culprit (s, mark, crashes))
+  uint32_t crashes = count_losses (s, hash, MM_LOSS_CRASHED);
+  uint32_t open = count_losses (s, hash, MM_LOSS_OPEN);
+  if (is_poison (s, hash, crashes))
     return MM_SUSPECT_GIVE_UP;
   if (open && crashes + open >= MM_SUSPECTS_CRASHES)
     return MM_SUSPECT_HOLD;
@@ -300,18 +306,18 @@
 uint32_t
 mm_suspects_crashes (const mm_suspects *s, const mm_task_id *task)
 {
-  return count (s, mm_task_mark (task), MM_LOSS_CRASHED);
+  return count_losses (s, mm_task_mark (task), MM_LOSS_CRASHED);
 }
 
 char *
 mm_suspects_crashed (const mm_suspects *s, const mm_task_id *task)
 {
   GString *names = g_string_new (NULL);
-  uint64_t mark = mm_task_mark (task);
-  for (GList *at = s->losses->head; at; at = at->next)
+  uint64_t hash = mm_task_mark (task);
+  for (GList *node = s->losses->head; node; node = node->next)
     {
-      const loss *l = at->data;
-      if (l->verdict == MM_LOSS_CRASHED && holds (l, mark))
+      const loss *l = node->data;
+      if (l->verdict == MM_LOSS_CRASHED && has_task (l, hash))
         g_string_append_printf (names, "%s%s", names->len ? ", " : "",
                                 l->upstream);
     }
@@ -338,11 +344,11 @@
 }
 
 static bool
-is_old (const loss *l, mm_time_ms now)
+is_expired (const loss *l, mm_time_ms now)
 {
   mm_time_ms keep_ms = l->verdict == MM_LOSS_CRASHED ? MM_SUSPECTS_KEEP_MS
                                                      : MM_SUSPECTS_OPEN_MS;
-  return now - l->noted_ms >= keep_ms;
+  return now - l->verdict_ms >= keep_ms;
 }
 
 void
@@ -351,15 +357,15 @@
   mm_time_ms now = mm_clock_now_ms ();
   bool any = false;
   GList *next;
-  for (GList *at = s->losses->head; at; at = next)
+  for (GList *node = s->losses->head; node; node = next)
     {
-      next = at->next;
-      if (!is_old (at->data, now))
+      next = node->next;
+      if (!is_expired (node->data, now))
         continue;
-      loss_free (at->data);
-      g_queue_delete_link (s->losses, at);
+      loss_free (node->data);
+      g_queue_delete_link (s->losses, node);
       any = true;
     }
   if (any)
-    rebuild_marks (s);
+    rebuild_hashes (s);
 }
--- a/src/mm_suspects.h
+++ b/src/mm_suspects.h
@@ -1,10 +1,10 @@
-/* mm_suspects: which tasks may crash the upstreams that run them.
+/* mm_suspects: detects poison tasks, which crash the upstreams that run them.
 
-   Keeps the upstreams that were lost with tasks running, and what is known of
-   each since: that it had crashed, or was only out of reach.  Decides from
-   that what may be done with a task.  No network; instances pass losses on to
-   each other, so that the count survives the owner and the instance of a
-   caller.  */
+   Records the upstreams that were lost with tasks running, and whether each of
+   them had crashed or was only unreachable.  From these losses it decides how
+   a task may be run.  The module does no network calls itself.  Instances
+   report losses to each other, so that the count of crashes survives the
+   failure of an upstream's owner or of the instance that a caller uses.  */
 #ifndef MM_SUSPECTS_H
 #define MM_SUSPECTS_H
 
@@ -12,57 +12,61 @@
 
 typedef enum
 {
-  MM_LOSS_OPEN,    /* it does not answer: crashed, or cut off from us */
+  MM_LOSS_OPEN,    /* unresponsive: crashed or disconnected */
   MM_LOSS_CRASHED, /* another incarnation is at its address */
   MM_LOSS_ALIVE    /* it answered again, or left as planned */
 } mm_loss_verdict;
 #define MM_LOSS_VERDICT_COUNT (MM_LOSS_ALIVE + 1)
 
-/* An upstream that was lost.  */
+/* A lost upstream.  */
 typedef struct
 {
-  const char *upstream; /* the incarnation */
+  const char *upstream; /* name of the incarnation */
   const char *addr;
   mm_loss_verdict verdict;
-  mm_time_ms silent_ms;  /* since when it does not answer */
-  const uint64_t *tasks; /* mm_task_mark() of what ran there */
+  mm_time_ms silent_ms;  /* when it stopped answering */
+  const uint64_t *tasks; /* mm_task_mark() of the tasks that ran there */
   size_t n_tasks;
 } mm_loss;
 
 typedef enum
 {
-  MM_SUSPECT_RUN,    /* nothing against it */
-  MM_SUSPECT_APART,  /* run it away from other suspects */
-  MM_SUSPECT_HOLD,   /* wait until more is known of the upstreams it was on */
-  MM_SUSPECT_GIVE_UP /* it has crashed enough of them */
+  MM_SUSPECT_RUN,    /* not suspect */
+  MM_SUSPECT_APART,  /* run it isolated from other suspects */
+  MM_SUSPECT_HOLD,   /* do not start it until open losses are decided */
+  MM_SUSPECT_GIVE_UP /* poison task: do not run it again */
 } mm_suspect_action;
 
 typedef struct mm_suspects mm_suspects;
 
-/* A loss is new, or more is known of one.  */
+/* A loss was added or changed.  */
 typedef void (*mm_suspects_changed) (void *ctx, const mm_loss *l);
 
 mm_suspects *mm_suspects_create (void);
 void mm_suspects_destroy (mm_suspects *s);
 void mm_suspects_on_changed (mm_suspects *s, mm_suspects_changed changed,
                              void *ctx);
-uint64_t mm_task_mark (const mm_task_id *id); /* stands for a task */
+/* Hash that identifies a task in messages and records of losses.  */
+uint64_t mm_task_mark (const mm_task_id *id);
 void mm_suspects_note (mm_suspects *s, const mm_loss *l);
-/* This incarnation answers.  */
+/* Records that this incarnation of an upstream answers.  */
 void mm_suspects_alive (mm_suspects *s, const char *upstream);
-/* The list names this upstream: evidence of what was at its address.  */
+/* Updates losses from an entry of the upstream list: another incarnation at
+   the address of a lost upstream proves a crash.  */
 void mm_suspects_listed (mm_suspects *s, const mm_upstream_info *u);
 mm_suspect_action mm_suspects_decide (const mm_suspects *s,
                                       const mm_task_id *task);
-/* One suspect of a job runs at a time: the first that is given up ends the
-   job, and the others crash nothing more.  @apart: how many of them run.  */
+/* Returns whether a task of a job may start while @apart suspect tasks of that
+   job run.  Only one runs at a time: the first poison task that is found ends
+   the job, so that the others crash no more upstreams.  */
 bool mm_suspect_may_run (mm_suspect_action a, uint32_t apart);
+/* Number of upstreams that crashed while they ran the task.  */
 uint32_t mm_suspects_crashes (const mm_suspects *s, const mm_task_id *task);
-/* Names of the upstreams that crashed under it; g_free.  */
+/* Names of the upstreams that crashed while they ran the task; g_free().  */
 char *mm_suspects_crashed (const mm_suspects *s, const mm_task_id *task);
-size_t mm_suspects_count (const mm_suspects *s); /* losses that count */
+size_t mm_suspects_count (const mm_suspects *s); /* without MM_LOSS_ALIVE */
 void mm_suspects_each (const mm_suspects *s, mm_suspects_changed each,
                        void *ctx);
-void mm_suspects_tick (mm_suspects *s); /* forgets what is old */
+void mm_suspects_tick (mm_suspects *s); /* removes old losses */
 
 #endif /* MM_SUSPECTS_H */
