--- a/tests/fake_upstreams.c
+++ b/tests/fake_upstreams.c
@@ -1,4 +1,4 @@
-/* fake_upstreams: see the header.  */
+/* fake_upstreams: simulated upstreams, see fake_upstreams.h.  */
 #include "fake_upstreams.h"
 
 #include "config.h"
@@ -7,7 +7,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define LINK_MS 1 /* one way */
+#define LINK_MS 1 /* delay in each direction */
 #define MAX_LEASE_MS 1000
 
 struct fake
@@ -15,7 +15,7 @@
   fakes *all;
   mm_upstream_info info;
   fake_mode mode;
-  bool gone; /* this incarnation */
+  bool gone; /* replaced by another incarnation */
   mm_run_table *table;
 };
 
@@ -26,7 +26,7 @@
   CALL_HOLD
 } call_kind;
 
-/* A call under way, at the upstream, or its answer.  */
+/* A call from its sending to the delivery of its answer.  */
 typedef struct
 {
   fake *to;
@@ -37,17 +37,17 @@
   uint64_t fence;
   uint64_t acked;
   mm_time_ms deadline_ms;
-  mm_time_ms wait_until_ms; /* hold: answer by then at the latest */
-  mm_time_ms arrives_ms;    /* carried out then, -1: done or never */
-  mm_time_ms answer_ms;     /* answered then, -1: not yet known */
-  mm_time_ms timeout_ms;    /* the caller gives up then */
+  mm_time_ms wait_until_ms; /* latest time for the answer to a hold */
+  mm_time_ms arrives_ms;    /* time of execution, -1: done or never */
+  mm_time_ms answer_ms;     /* time of the answer, -1: not known yet */
+  mm_time_ms timeout_ms;    /* time when the caller stops waiting */
   mm_call_result result;
   mm_call_done done;
   mm_hold_done hold_done;
   void *ctx;
-  bool overdue; /* the caller was told so, and still listens */
+  bool overdue; /* has timed out; a late answer is delivered */
   bool answered;
-  bool lost;
+  bool lost; /* gets no answer */
 } fake_call;
 
 struct fakes
@@ -59,19 +59,19 @@
 };
 
 static mm_time_ms
-now_source (void *ctx)
+read_fake_clock (void *ctx)
 {
   return ((fakes *)ctx)->now_ms;
 }
 
-static void give_timeout (fake_call *c);
+static void deliver_timeout (fake_call *c);
 
 fakes *
 fakes_create (void)
 {
   fakes *f = g_new0 (fakes, 1);
   f->now_ms = 100000;
-  mm_clock_set_source (now_source, f);
+  mm_clock_set_source (read_fake_clock, f);
   return f;
 }
 
@@ -100,7 +100,7 @@
 {
   for (GList *l = f->calls; l; l = l->next)
     if (!((fake_call *)l->data)->answered)
-      give_timeout (l->data); /* lets the sessions go */
+      deliver_timeout (l->data); /* drops the sessions' references */
   g_list_free_full (f->calls, call_free);
   g_list_free_full (f->upstreams, fake_free);
   mm_clock_set_source (NULL, NULL);
@@ -133,7 +133,7 @@
 {
   x->gone = true;
   mm_run_table_clear (x->table);
-  /* Connections that wait for an answer break.  */
+  /* Open connections break.  */
   for (GList *l = x->all->calls; l; l = l->next)
     {
       fake_call *c = l->data;
@@ -224,10 +224,10 @@
   return t;
 }
 
-/* ---- what an upstream does -------------------------------------------- */
+/* ---- execution at the upstream ---------------------------------------- */
 
 static void
-check_double (fake *x, const mm_task_id *task)
+count_double_runs (fake *x, const mm_task_id *task)
 {
   for (GList *l = x->all->upstreams; l; l = l->next)
     if (l->data != x && mm_run_table_runs (((fake *)l->data)->table, task))
@@ -244,13 +244,13 @@
   mm_call_verdict v
       = mm_run_table_start (x->table, o, &need, run_ms, x->all->now_ms);
   if (!ran && v == MM_CALL_OK)
-    check_double (x, o->task);
+    count_double_runs (x, o->task);
   return v;
 }
 
-/* Carry a call out.  */
+/* Executes a call and sets the time of its answer.  */
 static void
-carry_out (fake_call *c)
+execute_call (fake_call *c)
 {
   fake *x = c->to;
   c->arrives_ms = -1;
@@ -294,7 +294,7 @@
 }
 
 static bool
-take_loss (uint32_t *left)
+consume_loss (uint32_t *left)
 {
   if (*left == 0)
     return false;
@@ -314,13 +314,13 @@
   c->timeout_ms = f->now_ms + timeout_ms;
   c->ctx = ctx;
   fake_mode *m = &c->to->mode;
-  if (kind == CALL_START && take_loss (&m->lose_starts))
+  if (kind == CALL_START && consume_loss (&m->lose_starts))
     {
       c->lost = true;
       c->arrives_ms = m->late_ms ? f->now_ms + m->late_ms : -1;
     }
-  if ((kind == CALL_STOP && take_loss (&m->lose_stops))
-      || (kind == CALL_HOLD && take_loss (&m->lose_holds)) || m->silent)
+  if ((kind == CALL_STOP && consume_loss (&m->lose_stops))
+      || (kind == CALL_HOLD && consume_loss (&m->lose_holds)) || m->silent)
     {
       c->lost = true;
       c->arrives_ms = -1;
@@ -397,27 +397,27 @@
 }
 
 static void
-answer_hold (fake_call *c)
+deliver_hold_answer (fake_call *c)
 {
   mm_hold_result r = { .call = c->result };
   mm_run_table_list (c->to->table, &r, c->to->all->now_ms);
-  size_t page = c->to->mode.page;
-  if (page && r.n_ended >= page)
+  size_t max_ends = c->to->mode.page;
+  if (max_ends && r.n_ended >= max_ends)
     {
-      r.n_ended = page;
+      r.n_ended = max_ends;
       r.more_ended = true;
     }
   c->hold_done (&r, c->ctx);
 }
 
 static void
-give_answer (fake_call *c)
+deliver_answer (fake_call *c)
 {
   c->answered = true;
   if (c->kind != CALL_HOLD)
     c->done (&c->result, c->ctx);
   else if (c->result.verdict == MM_CALL_OK)
-    answer_hold (c);
+    deliver_hold_answer (c);
   else
     {
       mm_hold_result r = { .call = c->result };
@@ -426,18 +426,18 @@
 }
 
 static void
-give_timeout (fake_call *c)
+deliver_timeout (fake_call *c)
 {
-  mm_call_result kept = c->result;
+  mm_call_result saved_result = c->result;
   bool first = !c->overdue;
   c->result = (mm_call_result){
     .verdict = MM_CALL_NO_ANSWER, .clock_ms = -1, .open = first, .late = !first
   };
-  give_answer (c);
+  deliver_answer (c);
   if (!first)
     return;
-  /* The caller goes on without it, and listens for a while.  */
-  c->result = kept;
+  /* A late answer is still delivered for MM_CALL_LATE_MS.  */
+  c->result = saved_result;
   c->result.late = true;
   c->overdue = true;
   c->answered = false;
@@ -454,7 +454,7 @@
   mm_run_table_step (x->table, x->all->now_ms);
 }
 
-/* A hold is answered when an end is there, or its wait is over.  */
+/* Answers a hold when an end is listed or the wait has passed.  */
 static void
 step_hold (fake_call *c)
 {
@@ -471,14 +471,14 @@
 {
   mm_time_ms now = c->to->all->now_ms;
   if (c->arrives_ms >= 0 && now >= c->arrives_ms)
-    carry_out (c);
+    execute_call (c);
   step_hold (c);
   if (c->answered)
     return;
   if (!c->lost && c->answer_ms >= 0 && now >= c->answer_ms)
-    give_answer (c);
+    deliver_answer (c);
   else if (now >= c->timeout_ms)
-    give_timeout (c);
+    deliver_timeout (c);
 }
 
 static void
--- a/tests/fake_upstreams.h
+++ b/tests/fake_upstreams.h
@@ -1,9 +1,11 @@
-/* fake_upstreams: upstreams in memory, on a clock that the test moves.
+/* fake_upstreams: simulated upstreams in memory, on a clock that the test
+   advances.
 
-   They do what upstreams of the platform do: start whatever they are
-   told, keep leases, check tokens, list ends until they are acknowledged,
-   and - when a test says so - lose orders, carry them out seconds late,
-   fall silent, fail tasks or restart.  They count what must not happen.  */
+   They behave like upstreams of the platform: they carry out every start
+   order, enforce leases, check fencing tokens and list ends until these are
+   acknowledged.  At a test's request they lose orders, carry them out seconds
+   late, become unresponsive, fail tasks or restart.  They count violations
+   such as a task that runs twice at one time.  */
 #ifndef FAKE_UPSTREAMS_H
 #define FAKE_UPSTREAMS_H
 
@@ -12,54 +14,57 @@
 typedef struct fakes fakes;
 typedef struct fake fake;
 
-/* What a fake does with the next calls of a kind.  */
+/* Faults of a fake upstream.  */
 typedef struct
 {
-  uint32_t lose_starts; /* this many starts get no answer */
-  uint32_t lose_stops;
-  uint32_t lose_holds;
-  mm_time_ms late_ms; /* lost starts are carried out so late; 0: never */
-  mm_time_ms way_ms;  /* calls arrive so much later, as on a full link */
-  mm_time_ms slow_answers_ms; /* starts are answered so much later */
-  bool refuses_connections;   /* its process is dead: no answer, at once */
-  bool silent;                /* nothing arrives and nothing is answered */
-  bool mute;                  /* all arrives, nothing is answered */
+  uint32_t lose_starts; /* number of next starts that get no answer */
+  uint32_t lose_stops;  /* the same for stops */
+  uint32_t lose_holds;  /* the same for holds */
+  mm_time_ms late_ms;   /* lost starts are carried out after this, 0: never */
+  mm_time_ms way_ms;    /* added to the delivery time, as on a full link */
+  mm_time_ms slow_answers_ms; /* added to the time of answers to starts */
+  bool refuses_connections;   /* calls fail at once: its process is dead */
+  bool silent;                /* no call arrives, none is answered */
+  bool mute;                  /* all calls arrive, none is answered */
   bool fails_tasks;           /* each task fails after 5 ms */
   bool unhealthy;             /* refuses starts */
   bool hangs;                 /* tasks never end */
-  size_t page;                /* ends in one answer at most, 0: all */
+  size_t page;                /* maximum ends in one answer, 0: no limit */
 } fake_mode;
 
-fakes *fakes_create (void); /* takes over the clock */
+fakes *fakes_create (void); /* replaces the source of mm_clock_now_ms() */
 void fakes_destroy (fakes *f);
 mm_exec_port fakes_port (fakes *f);
 fake *fakes_add (fakes *f, const char *name, int64_t cpu_milli);
 fake_mode *fake_mode_of (fake *x);
 void fake_restart (fake *x); /* another incarnation at that address */
 const mm_upstream_info *fake_info (const fake *x);
-/* What it lists from now on, and what it counts starts against.  */
+/* Change the entry in the upstream list.  */
 void fake_set_draining (fake *x, bool draining);
 void fake_set_listed_cpu (fake *x, int64_t cpu_milli);
+/* Changes the capacity against which starts are counted.  */
 void fake_set_cpu (fake *x, int64_t cpu_milli);
 size_t fake_running (const fake *x);
 uint32_t fake_starts (const fake *x);
 size_t fake_listed (const fake *x); /* ends that are not acknowledged */
-/* A start by some other owner, before any of ours.  */
+/* Starts a run as another owner; call it before our first hold or order.  */
 void fake_start_foreign (fake *x, const char *job, uint64_t fence,
                          int64_t cpu_milli, mm_time_ms run_ms);
-/* Move the clock and deliver; the owner, if any, is ticked.  */
+/* Advances the clock by @ms and delivers calls and answers; ticks @o unless it
+   is NULL.  */
 void fakes_run (fakes *f, mm_owner *o, mm_time_ms ms);
 mm_time_ms fakes_now (const fakes *f);
 
-/* The payload tells a fake what a task needs and how long it runs.  */
+/* A request whose payload tells a fake the cpu and the run time of the
+   task.  The payload is valid until the next call.  */
 mm_task_request fakes_task (const char *job, uint32_t index, int64_t cpu_milli,
                             mm_time_ms run_ms);
 
 typedef struct
 {
   uint32_t starts;
-  uint32_t over_capacity; /* a start brought an upstream over its room */
-  uint32_t double_runs;   /* a task ran twice at one time */
+  uint32_t over_capacity; /* starts beyond an upstream's capacity */
+  uint32_t double_runs;   /* starts of a task that ran on another upstream */
   uint32_t holds;
   uint32_t calls;
 } fakes_counts;
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -1,4 +1,4 @@
-/* Upstreams whose capacity changes while they run.  */
+/* Tests of upstreams whose capacity changes while tasks run.  */
 #include "harness.h"
 
 #include <signal.h>
@@ -11,7 +11,7 @@
   UPSTREAMS = 4,
   SLOTS = 4,
   SLOT_CPU_MILLI = 1000,
-  BOUND_MS = 2000, /* from a smaller capacity to the last start over it */
+  BOUND_MS = 2000, /* starts may exceed a reduced capacity for this long */
   HEARTBEAT_MS = 200,
   CHANGES = 40
 };
@@ -33,12 +33,12 @@
 }
 
 static pid_t
-submit (const char *name, int no, int tasks, int run_ms)
+submit (const char *name, int number, int tasks, int run_ms)
 {
   char id[32];
-  g_snprintf (id, sizeof id, "%s-%d", name, no);
+  g_snprintf (id, sizeof id, "%s-%d", name, number);
   char *job = h_job_json (id, tasks, run_ms, 4000, true);
-  pid_t p = h_submit (no % 2, job);
+  pid_t p = h_submit (number % 2, job);
   g_free (job);
   return p;
 }
@@ -52,17 +52,17 @@
   return over;
 }
 
-START_TEST (capacity_that_flaps_is_kept_and_used_again)
+START_TEST (changing_capacity_is_respected_and_used_again)
 {
   h_nodes (UPSTREAMS, SLOTS, 2);
-  GRand *rnd = g_rand_new_with_seed (23);
+  GRand *rng = g_rand_new_with_seed (23);
   pid_t p[CHANGES];
   for (int i = 0; i < CHANGES; i++)
     {
-      set_slots (g_rand_int_range (rnd, 0, UPSTREAMS),
-                 g_rand_int_range (rnd, 0, SLOTS + 1));
+      set_slots (g_rand_int_range (rng, 0, UPSTREAMS),
+                 g_rand_int_range (rng, 0, SLOTS + 1));
       p[i] = submit ("load", i, 6, 300);
-      sleep_ms (g_rand_int_range (rnd, 50, 400));
+      sleep_ms (g_rand_int_range (rng, 50, 400));
     }
   for (int i = 0; i < CHANGES; i++)
     h_answered (p[i]);
@@ -74,12 +74,12 @@
   mm_time_ms from_ms = mm_clock_now_ms ();
   ck_assert (h_answered (all));
   ck_assert_int_lt (mm_clock_now_ms () - from_ms, 2 * 700);
-  g_rand_free (rnd);
+  g_rand_free (rng);
   h_cluster_stop ();
 }
 END_TEST
 
-START_TEST (smaller_capacity_stops_nothing_that_runs)
+START_TEST (reduced_capacity_stops_no_running_task)
 {
   h_nodes (UPSTREAMS, SLOTS, 2);
   pid_t p = submit ("long", 0, UPSTREAMS * SLOTS, 2500);
@@ -92,15 +92,15 @@
     ck_assert (g_array_index (runs, h_run, i).done);
   ck_assert_uint_eq (runs->len, UPSTREAMS * SLOTS);
   g_array_free (runs, TRUE);
-  int told = 0;
+  int logged = 0;
   for (int i = 0; i < 2; i++)
-    told += h_log_lines (h_entries[i], "\"event\":\"upstream_capacity\"");
-  ck_assert_int_ge (told, UPSTREAMS);
+    logged += h_log_lines (h_entries[i], "\"event\":\"upstream_capacity\"");
+  ck_assert_int_ge (logged, UPSTREAMS);
   h_cluster_stop ();
 }
 END_TEST
 
-START_TEST (capacity_without_bounds_and_none_at_all_get_an_answer)
+START_TEST (huge_and_zero_capacity_get_an_answer)
 {
   h_nodes (UPSTREAMS, SLOTS, 1);
   set_slots (0, 1000000);
@@ -122,9 +122,9 @@
   Suite *s = suite_create ("capacity");
   TCase *tc = tcase_create ("capacity");
   tcase_set_timeout (tc, 60);
-  tcase_add_test (tc, capacity_that_flaps_is_kept_and_used_again);
-  tcase_add_test (tc, smaller_capacity_stops_nothing_that_runs);
-  tcase_add_test (tc, capacity_without_bounds_and_none_at_all_get_an_answer);
+  tcase_add_test (tc, changing_capacity_is_respected_and_used_again);
+  tcase_add_test (tc, reduced_capacity_stops_no_running_task);
+  tcase_add_test (tc, huge_and_zero_capacity_get_an_answer);
   suite_add_tcase (s, tc);
   return h_run_suite (s);
 }
