--- a/src/mm_place.c
+++ b/src/mm_place.c
@@ -1,5 +1,6 @@
-/* mm_place: prefers the least contention between suspect and other tasks, then
-   upstreams near the task's data, then the fastest, then the tightest fit.
+/* mm_placement: prefers the least contention between suspect and other tasks,
+   then upstreams near the task's data, then the fastest, then the tightest
+   fit.
 
    A job ends with its last task, so one slow upstream delays the whole job:
    speed takes precedence over packing.  Slowness is only known roughly, so
--- a/src/mm_place.h
+++ b/src/mm_place.h
@@ -1,4 +1,4 @@
-/* mm_place: chooses the upstream to which a task is sent.  */
+/* mm_placement: chooses the upstream to which a task is sent.  */
 #ifndef MM_PLACE_H
 #define MM_PLACE_H
 
