--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -28,6 +28,7 @@
 
 const char *mm_call_verdict_name (mm_call_verdict v); /* such as "ok" */
 
+/* Result of a call to an upstream.  */
 typedef struct
 {
   mm_call_verdict verdict;
@@ -53,6 +54,7 @@
   mm_end how;
 } mm_ended;
 
+/* Result of a hold.  */
 typedef struct
 {
   mm_call_result call;
--- a/src/mm_task.h
+++ b/src/mm_task.h
@@ -44,7 +44,9 @@
 
 const char *mm_end_name (mm_end end); /* such as "done" */
 
-/* A request to an owner of upstreams to run one task once.  */
+/* A request to an owner of upstreams to run one task once.  A kept job is a
+   durable job: it is stored before its caller is told that it is accepted, and
+   run to its end whatever instance dies.  */
 typedef struct
 {
   mm_task_id id;
--- a/tests/fake_upstreams.h
+++ b/tests/fake_upstreams.h
@@ -18,8 +18,8 @@
 typedef struct
 {
   uint32_t lose_starts; /* number of next starts that get no answer */
-  uint32_t lose_stops;  /* the same for stops */
-  uint32_t lose_holds;  /* the same for holds */
+  uint32_t lose_stops;  /* number of next stops that are lost */
+  uint32_t lose_holds;  /* number of next holds that are lost */
   mm_time_ms late_ms;   /* lost starts are carried out after this, 0: never */
   mm_time_ms way_ms;    /* added to the delivery time, as on a full link */
   mm_time_ms slow_answers_ms; /* added to the time of answers to starts */
