--- a/src/config.h
+++ b/src/config.h
@@ -99,13 +99,13 @@
 /* An end is not seen while the answer of a hold is waited for that was lost:
    with orders unanswered lately, for 100 ms more at most.  */
 #define MM_HOLD_WAIT_LOSSY_MS 60
-#define MM_LOSSY_MS 1000 /* after an order without an answer */
+#define MM_LOSSY_PERIOD_MS 1000 /* after an order without an answer */
 /* Between holds while ends are listed that are not noted yet: an end is
    seen up to this late then.  */
-#define MM_HELD_POLL_MS 40
-#define MM_HOLD_RETRY_MS 200     /* between holds that get no answer ... */
-#define MM_HOLD_RETRY_AT_ONCE 3u /* but for the first ones in a row */
-#define MM_ACK_DELAY_MS 300      /* ends of an idle upstream, taken note of */
+#define MM_UNACKED_POLL_MS 40
+#define MM_HOLD_RETRY_MS 200         /* between holds that get no answer ... */
+#define MM_HOLD_IMMEDIATE_RETRIES 3u /* but for the first ones in a row */
+#define MM_ACK_DELAY_MS 300 /* ends of an idle upstream, taken note of */
 /* An answer takes about 2 ms; an order that is slower is stopped and its task
    placed elsewhere, while that still helps its caller.  The least leaves room
    for what holds this process up, some 20 ms.  */
@@ -125,18 +125,18 @@
 /* A task's percent moves a hundred times while it runs.  Unchanged for
    this long, and for so many steps of its declared time, it stands still:
    an upstream 6 times slow still moves every 0.25 s on a task of 4 s.  */
-#define MM_STUCK_MS 500
-#define MM_STUCK_STEPS 20
+#define MM_NO_PROGRESS_MS 500
+#define MM_NO_PROGRESS_STEPS 20
 
-/* Which upstreams get work (mm_trust, mm_place).  */
+/* Which upstreams get work (mm_breaker, mm_place).  */
 /* One task in 500 fails by its own fault: three in a row on one upstream
    by chance is one in 125 million, five would cost two more tasks.  */
-#define MM_TRUST_FAILURES 3u
-#define MM_TRUST_EXCLUDE_MS 1000 /* the first exclusion's length */
-#define MM_TRUST_MAX_DOUBLINGS 3u
+#define MM_BREAKER_FAILURES 3u
+#define MM_BREAKER_OPEN_MS 1000 /* the first exclusion's length */
+#define MM_BREAKER_MAX_DOUBLINGS 3u
 #define MM_SPEED_GAIN 0.2    /* weight of one run in an upstream's slowness */
 #define MM_AVERAGE_GAIN 0.05 /* weight of one task in the usual size */
-#define MM_PLACE_SPEED_STEP 0.25 /* estimates are off by up to 40 % */
+#define MM_PLACEMENT_SPEED_STEP 0.25 /* estimates are off by up to 40 % */
 
 /* Tasks that crash their upstreams (mm_suspects).  */
 #define MM_SUSPECTS_CRASHES 2u     /* then a task is given up */
@@ -255,7 +255,7 @@
 /* The next owner of an upstream asks the others whose runs it found there, and
    stops those that nobody has asked for by then: an answer takes 2 ms, two
    ticks pass at most.  */
-#define MM_ADOPT_MS 60
+#define MM_ADOPT_TIMEOUT_MS 60
 /* Who lost an upstream waits so long to be asked: the next owner learns of it
    with its next call to the store at the latest.  */
 #define MM_ORPHAN_MS 400
--- /dev/null
+++ b/src/mm_breaker.h
@@ -0,0 +1,21 @@
+/* mm_breaker: circuit breaker of an upstream.  */
+#ifndef MM_BREAKER_H
+#define MM_BREAKER_H
+
+#include "masticmill.h"
+
+/* Closed while excluded_until_ms is 0, open until that time, half-open after.
+ */
+typedef struct
+{
+  uint32_t failures_in_row;     /* consecutive failures */
+  uint32_t doublings;           /* of the time for which it opens next */
+  mm_time_ms excluded_until_ms; /* open until this time, 0: closed */
+  bool on_trial;                /* half-open: one task at a time */
+} mm_breaker;
+
+void mm_breaker_record (mm_breaker *t, bool ok, mm_time_ms now_ms);
+/* Returns whether another task may start while @running tasks run there.  */
+bool mm_breaker_allows (mm_breaker *t, size_t running, mm_time_ms now_ms);
+
+#endif /* MM_BREAKER_H */
--- a/src/mm_exec.c
+++ b/src/mm_exec.c
@@ -71,7 +71,7 @@
   if (r->gone)
     return;
   r->gone = true;
-  mm_need_sub (&x->used, &r->need);
+  mm_resources_sub (&x->used, &r->need);
   if (r->foreign)
     x->n_foreign--;
   g_hash_table_steal (x->runs, &r->id);
@@ -248,8 +248,9 @@
 static bool
 may_send_again (const mm_exec *x)
 {
-  mm_need free_capacity = mm_exec_room (x);
-  return !x->info->draining && mm_need_fits (&(mm_need){ 0 }, &free_capacity);
+  mm_resources free_capacity = mm_exec_free_capacity (x);
+  return !x->info->draining
+         && mm_resources_fit (&(mm_resources){ 0 }, &free_capacity);
 }
 
 static void
@@ -300,7 +301,7 @@
       mm_exec_finish_run (r, MM_END_FAILED, "start not understood");
       break;
     case MM_CALL_REFUSED:
-      x->ev.unwell (x->ev.ctx, x);
+      x->ev.unhealthy (x->ev.ctx, x);
       mm_exec_become_suspect (x, "start", v);
       mm_exec_finish_run (r, MM_END_NOT_RUN, mm_call_verdict_name (v));
       break;
@@ -388,7 +389,8 @@
 
 /**
  * mm_exec_start() - order the upstream to start a task.
- * @x: the session; mm_exec_usable(), and the task fits mm_exec_room().
+ * @x: the session; mm_exec_usable(), and the task fits
+ * mm_exec_free_capacity().
  * @t: the task.
  * @work: the owner's handle, passed back when the run ends.
  */
@@ -405,7 +407,7 @@
   r->payload = g_strdup (t->payload);
   r->estimate_ms = t->estimate_ms;
   r->ordered_ms = r->progress_ms = mm_clock_now_ms ();
-  mm_need_add (&x->used, &r->need);
+  mm_resources_add (&x->used, &r->need);
   g_hash_table_insert (x->runs, &r->id, r);
   mm_time_ms view_ms = view_age_ms (x);
   if (view_ms >= 0)
@@ -446,7 +448,7 @@
 }
 
 uint32_t
-mm_exec_give_up (mm_exec *x, void *work, mm_time_ms *ran_ms)
+mm_exec_detach (mm_exec *x, void *work, mm_time_ms *ran_ms)
 {
   mm_exec_run *r = run_of_work (x, work);
   *ran_ms = 0;
@@ -470,7 +472,7 @@
   r->need = t->need;
   r->estimate_ms = t->estimate_ms;
   r->ordered_ms = mm_clock_now_ms () - t->ran_ms;
-  mm_need_add (&x->used, &r->need);
+  mm_resources_add (&x->used, &r->need);
   mm_log_event (MM_EV_TASK_ADOPTED, MM_TASK (&r->id), MM_TEXT (x->info->name),
                 MM_INT (r->number), MM_INT (t->ran_ms));
   if (x->n_foreign == 0)
@@ -505,7 +507,7 @@
   x->common = common;
   x->ev = *events;
   x->slowness = 1.0;
-  x->unacked = g_array_new (FALSE, FALSE, sizeof (mm_held_end));
+  x->unacked = g_array_new (FALSE, FALSE, sizeof (mm_unacked_end));
   x->runs = g_hash_table_new_full (mm_task_id_hash, mm_task_id_equal, NULL,
                                    run_free);
   mm_exec_send_hold (x, 0, false);
@@ -543,8 +545,8 @@
 }
 
 static void
-record_capacity_change (const mm_exec *x, const mm_need *before,
-                        const mm_need *now)
+record_capacity_change (const mm_exec *x, const mm_resources *before,
+                        const mm_resources *now)
 {
   if (memcmp (before, now, sizeof *now) == 0)
     return;
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -43,7 +43,7 @@
   mm_task_id task;
   uint32_t run;
   int32_t percent; /* of the task done so far, negative: not reported */
-} mm_running;
+} mm_listed_run;
 
 /* The end of a run in the answer to a hold.  */
 typedef struct
@@ -52,15 +52,15 @@
   mm_task_id task;
   uint32_t run;
   mm_end how;
-} mm_ended;
+} mm_listed_end;
 
 /* Result of a hold.  */
 typedef struct
 {
   mm_call_result call;
-  const mm_running *running;
+  const mm_listed_run *running;
   size_t n_running;
-  const mm_ended *ended;
+  const mm_listed_end *ended;
   size_t n_ended;
   bool more_ended; /* not all ends fitted into the answer */
 } mm_hold_result;
@@ -97,7 +97,7 @@
   uint64_t seq;
   mm_time_ms since_ms; /* when this instance first saw it */
   bool foreign;        /* the run was started by an earlier owner */
-} mm_held_end;
+} mm_unacked_end;
 
 typedef void (*mm_call_done) (const mm_call_result *res, void *ctx);
 typedef void (*mm_hold_done) (const mm_hold_result *res, void *ctx);
@@ -126,7 +126,7 @@
   /* Capacity became free, or the session became usable.  */
   void (*room) (void *ctx, mm_exec *x);
   /* The upstream refused a start, or a task there is stalled.  */
-  void (*unwell) (void *ctx, mm_exec *x);
+  void (*unhealthy) (void *ctx, mm_exec *x);
   /* A run that an earlier owner started was found.  Return: true when an
      instance was asked to adopt the run (mm_exec_adopt); false stops the run
      at once.  */
@@ -168,18 +168,19 @@
 void mm_exec_tick (mm_exec *x);         /* call each MM_EXEC_TICK_MS */
 bool mm_exec_usable (const mm_exec *x); /* may be sent a start */
 /* Usable, or only suspect for a moment: its capacity still counts.  */
-bool mm_exec_in_sight (const mm_exec *x);
-bool mm_exec_fenced (const mm_exec *x);  /* another instance owns it */
-bool mm_exec_quiet (const mm_exec *x);   /* has no runs */
-mm_need mm_exec_room (const mm_exec *x); /* free capacity */
-size_t mm_exec_runs (const mm_exec *x);  /* runs that use its capacity */
+bool mm_exec_in_service (const mm_exec *x);
+bool mm_exec_fenced (const mm_exec *x); /* another instance owns it */
+bool mm_exec_idle (const mm_exec *x);   /* has no runs */
+mm_resources mm_exec_free_capacity (const mm_exec *x); /* free capacity */
+size_t mm_exec_count_runs (const mm_exec *x); /* runs that use its capacity */
 GList *mm_exec_tasks (const mm_exec *x); /* of mm_task_id; g_list_free() */
 /* When a hold last failed, 0: the last one was answered.  */
-mm_time_ms mm_exec_silent_ms (const mm_exec *x);
+mm_time_ms mm_exec_unresponsive_since_ms (const mm_exec *x);
 /* Time until the last run ends, estimated from declared run times and the
    slowness of the upstream.  */
-mm_time_ms mm_exec_longest_left_ms (const mm_exec *x, mm_time_ms now);
-size_t mm_exec_unsure (const mm_exec *x); /* runs whose start had no answer */
+mm_time_ms mm_exec_longest_remaining_ms (const mm_exec *x, mm_time_ms now);
+size_t
+mm_exec_count_in_doubt (const mm_exec *x); /* runs whose start had no answer */
 const mm_upstream_info *mm_exec_info (const mm_exec *x);
 uint64_t mm_exec_fence (const mm_exec *x);
 void mm_exec_start (mm_exec *x, const mm_task_request *t,
@@ -191,15 +192,15 @@
 /* Detaches @work from its run, which is not stopped.  Return: the run's number
    and, in @ran_ms, for how long it ran; 0, with nothing done, while the start
    has no answer yet.  */
-uint32_t mm_exec_give_up (mm_exec *x, void *work, mm_time_ms *ran_ms);
+uint32_t mm_exec_detach (mm_exec *x, void *work, mm_time_ms *ran_ms);
 double mm_exec_slowness (const mm_exec *x); /* run time / estimate */
 /* Ends that are not acknowledged yet.  */
-const mm_held_end *mm_exec_held (const mm_exec *x, size_t *n);
-void mm_exec_drop_held (mm_exec *x, size_t i); /* acknowledges it */
+const mm_unacked_end *mm_exec_unacked_ends (const mm_exec *x, size_t *n);
+void mm_exec_ack_end (mm_exec *x, size_t i); /* acknowledges it */
 /* Ends of this job's runs no longer wait for its home's acknowledgement.  */
 void mm_exec_forget_job (mm_exec *x, const char *job_id);
-bool mm_exec_sure (const mm_exec *x); /* the runs there are known */
+bool mm_exec_runs_confirmed (const mm_exec *x); /* the runs there are known */
 /* Number of runs of @tasks, a set of mm_task_id.  */
-uint32_t mm_exec_count_of (const mm_exec *x, GHashTable *tasks);
+uint32_t mm_exec_count_runs_of (const mm_exec *x, GHashTable *tasks);
 
 #endif /* MM_EXEC_H */
--- a/src/mm_exec_hold.c
+++ b/src/mm_exec_hold.c
@@ -5,8 +5,8 @@
 #include "mm_exec_priv.h"
 #include "mm_metrics.h"
 
-/* Stops foreign runs that no instance has adopted within MM_ADOPT_MS, so that
-   their capacity can be used.  */
+/* Stops foreign runs that no instance has adopted within MM_ADOPT_TIMEOUT_MS,
+   so that their capacity can be used.  */
 static void
 stop_unadopted (mm_exec *x, mm_time_ms now)
 {
@@ -18,7 +18,8 @@
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
       mm_exec_run *r = v;
-      if (!r->foreign || r->stop_wanted || now - r->ordered_ms < MM_ADOPT_MS)
+      if (!r->foreign || r->stop_wanted
+          || now - r->ordered_ms < MM_ADOPT_TIMEOUT_MS)
         continue;
       r->stop_wanted = r->stop_by_owner = true;
       mm_exec_send_stop (r, false);
@@ -116,8 +117,8 @@
 {
   uint64_t up_to_seq = x->seen_seq;
   for (guint i = 0; i < x->unacked->len; i++)
-    up_to_seq
-        = MIN (up_to_seq, g_array_index (x->unacked, mm_held_end, i).seq - 1);
+    up_to_seq = MIN (up_to_seq,
+                     g_array_index (x->unacked, mm_unacked_end, i).seq - 1);
   return up_to_seq;
 }
 
@@ -186,7 +187,7 @@
 hold_wait_ms (const mm_exec *x, mm_time_ms now)
 {
   bool lossy = MM_WITH_LOSSY_HOLDS && x->last_unanswered_ms
-               && now - x->last_unanswered_ms < MM_LOSSY_MS;
+               && now - x->last_unanswered_ms < MM_LOSSY_PERIOD_MS;
   return lossy ? MM_HOLD_WAIT_LOSSY_MS : MM_HOLD_WAIT_MS;
 }
 
@@ -215,7 +216,7 @@
   if (x->hold_failed_ms || !x->runs_known || x->suspect)
     {
       mm_time_ms pause_ms
-          = x->holds_failed < MM_HOLD_RETRY_AT_ONCE ? 0 : MM_HOLD_RETRY_MS;
+          = x->holds_failed < MM_HOLD_IMMEDIATE_RETRIES ? 0 : MM_HOLD_RETRY_MS;
       if (now - MAX (x->hold_failed_ms, x->hold_sent_ms) >= pause_ms
           || x->hold_sent_ms == 0)
         mm_exec_send_hold (x, 0, false);
@@ -223,9 +224,9 @@
   else if (g_hash_table_size (x->runs) > 0 && ackable_seq (x) < x->seen_seq)
     {
       /* While the upstream lists unacknowledged ends, it answers every hold
-         at once, whatever its wait.  Holds are sent every MM_HELD_POLL_MS
+         at once, whatever its wait.  Holds are sent every MM_UNACKED_POLL_MS
          instead, until the ends are acknowledged.  */
-      if (now - x->hold_sent_ms >= MM_HELD_POLL_MS)
+      if (now - x->hold_sent_ms >= MM_UNACKED_POLL_MS)
         mm_exec_send_hold (x, 0, has_wanted_run (x));
     }
   else if (g_hash_table_size (x->runs) > 0)
--- a/src/mm_exec_http.c
+++ b/src/mm_exec_http.c
@@ -59,9 +59,10 @@
   if ((running && !cJSON_IsArray (running))
       || (ended && !cJSON_IsArray (ended)))
     return false;
-  mm_running *running_rows
-      = g_new0 (mm_running, cJSON_GetArraySize (running) + 1);
-  mm_ended *ended_rows = g_new0 (mm_ended, cJSON_GetArraySize (ended) + 1);
+  mm_listed_run *running_rows
+      = g_new0 (mm_listed_run, cJSON_GetArraySize (running) + 1);
+  mm_listed_end *ended_rows
+      = g_new0 (mm_listed_end, cJSON_GetArraySize (ended) + 1);
   out->running = running_rows;
   out->ended = ended_rows;
   const cJSON *row;
--- a/src/mm_exec_http.h
+++ b/src/mm_exec_http.h
@@ -23,8 +23,8 @@
   const char *running_field; /* array of rows in the answer to a hold */
   const char *ended_field;   /* likewise */
   size_t max_ended; /* maximum rows of ends in one answer, 0: no limit */
-  bool (*read_running) (const cJSON *row, mm_running *out);
-  bool (*read_ended) (const cJSON *row, mm_ended *out);
+  bool (*read_running) (const cJSON *row, mm_listed_run *out);
+  bool (*read_ended) (const cJSON *row, mm_listed_end *out);
 } mm_exec_wire;
 
 /* Reads the lists in the answer to a hold.  Allocates both lists of @out,
--- a/src/mm_exec_lists.c
+++ b/src/mm_exec_lists.c
@@ -20,14 +20,14 @@
    upstream goes on listing the end, so if this instance dies meanwhile, the
    next owner finds it and the task is not started a second time.  */
 static void
-keep_end (mm_exec *x, const mm_ended *e, bool foreign)
+keep_end (mm_exec *x, const mm_listed_end *e, bool foreign)
 {
-  mm_held_end h = { .task = e->task,
-                    .run = e->run,
-                    .how = e->how,
-                    .seq = e->seq,
-                    .since_ms = mm_clock_now_ms (),
-                    .foreign = foreign };
+  mm_unacked_end h = { .task = e->task,
+                       .run = e->run,
+                       .how = e->how,
+                       .seq = e->seq,
+                       .since_ms = mm_clock_now_ms (),
+                       .foreign = foreign };
   g_array_append_val (x->unacked, h);
 }
 
@@ -36,7 +36,7 @@
 {
   for (size_t i = 0; i < res->n_ended && !x->closed; i++)
     {
-      const mm_ended *e = &res->ended[i];
+      const mm_listed_end *e = &res->ended[i];
       if (e->seq <= x->seen_seq)
         continue;
       x->seen_seq = e->seq;
@@ -58,10 +58,10 @@
 
 /* Adds a run that an earlier owner started.  The instance whose job it belongs
    to may still wait for it and request its adoption (mm_exec_adopt);
-   otherwise the run is stopped after MM_ADOPT_MS.  The resources of the run
-   are unknown, so nothing is started on this upstream until then.  */
+   otherwise the run is stopped after MM_ADOPT_TIMEOUT_MS.  The resources of
+   the run are unknown, so nothing is started on this upstream until then.  */
 static void
-add_foreign_run (mm_exec *x, const mm_running *seen)
+add_foreign_run (mm_exec *x, const mm_listed_run *seen)
 {
   mm_exec_run *r = g_new0 (mm_exec_run, 1);
   r->exec = x;
@@ -92,7 +92,7 @@
 {
   mm_time_ms now = mm_clock_now_ms ();
   mm_time_ms limit_ms
-      = MAX (MM_STUCK_MS, r->estimate_ms * MM_STUCK_STEPS / 100);
+      = MAX (MM_NO_PROGRESS_MS, r->estimate_ms * MM_NO_PROGRESS_STEPS / 100);
   if (percent < 0 || percent != r->percent)
     {
       r->percent = percent;
@@ -105,7 +105,7 @@
   r->stop_wanted = true;
   mm_log_event (MM_EV_TASK_STOPPED, MM_TASK (&r->id), MM_TEXT (x->info->name),
                 MM_TEXT ("it is stalled"));
-  x->ev.unwell (x->ev.ctx, x);
+  x->ev.unhealthy (x->ev.ctx, x);
 }
 
 static void
@@ -113,7 +113,7 @@
 {
   for (size_t i = 0; i < res->n_running; i++)
     {
-      const mm_running *seen = &res->running[i];
+      const mm_listed_run *seen = &res->running[i];
       mm_exec_run *r = g_hash_table_lookup (x->runs, &seen->task);
       if (!r)
         {
--- a/src/mm_exec_priv.h
+++ b/src/mm_exec_priv.h
@@ -18,7 +18,7 @@
   mm_exec *exec;
   mm_task_id id;
   uint32_t number; /* distinguishes the runs of one task */
-  mm_need need;
+  mm_resources need;
   void *work; /* the owner's handle, NULL once reported or detached */
   mm_exec_phase phase;
   bool foreign;       /* started by an earlier owner, not adopted */
@@ -48,7 +48,7 @@
   mm_exec_port port;
   mm_exec_events ev;
   GHashTable *runs; /* mm_task_id -> run */
-  mm_need used;
+  mm_resources used;
   uint32_t n_foreign;
   bool runs_known;  /* a hold has listed the runs; false again after a loss */
   bool fence_known; /* the upstream knows our fencing token */
@@ -66,7 +66,7 @@
   mm_time_ms unacked_since_ms;   /* first unacknowledged end, 0: none */
   uint64_t seen_seq;             /* newest end that was seen */
   uint64_t acked_seq;    /* newest end whose acknowledgement was answered */
-  GArray *unacked;       /* mm_held_end */
+  GArray *unacked;       /* mm_unacked_end */
   uint32_t holds_failed; /* consecutively */
   mm_rto rto;
   mm_exec_common *common;
--- a/src/mm_exec_state.c
+++ b/src/mm_exec_state.c
@@ -8,7 +8,7 @@
    about 100 ms, and jobs would be refused if its capacity did not count for
    that time.  */
 bool
-mm_exec_in_sight (const mm_exec *x)
+mm_exec_in_service (const mm_exec *x)
 {
   return x->runs_known && !x->fenced && !x->gone && !x->closed
          && !x->info->draining && x->clock_known;
@@ -17,7 +17,7 @@
 bool
 mm_exec_usable (const mm_exec *x)
 {
-  return mm_exec_in_sight (x) && !x->suspect && !x->hold_failed_ms
+  return mm_exec_in_service (x) && !x->suspect && !x->hold_failed_ms
          && x->n_foreign == 0;
 }
 
@@ -28,21 +28,21 @@
 }
 
 bool
-mm_exec_quiet (const mm_exec *x)
+mm_exec_idle (const mm_exec *x)
 {
   return g_hash_table_size (x->runs) == 0;
 }
 
-mm_need
-mm_exec_room (const mm_exec *x)
+mm_resources
+mm_exec_free_capacity (const mm_exec *x)
 {
-  mm_need free_capacity = x->info->capacity;
-  mm_need_sub (&free_capacity, &x->used);
+  mm_resources free_capacity = x->info->capacity;
+  mm_resources_sub (&free_capacity, &x->used);
   return free_capacity;
 }
 
 size_t
-mm_exec_runs (const mm_exec *x)
+mm_exec_count_runs (const mm_exec *x)
 {
   return g_hash_table_size (x->runs);
 }
@@ -54,13 +54,13 @@
 }
 
 mm_time_ms
-mm_exec_silent_ms (const mm_exec *x)
+mm_exec_unresponsive_since_ms (const mm_exec *x)
 {
   return x->hold_failed_ms;
 }
 
 mm_time_ms
-mm_exec_longest_left_ms (const mm_exec *x, mm_time_ms now)
+mm_exec_longest_remaining_ms (const mm_exec *x, mm_time_ms now)
 {
   mm_time_ms longest_ms = 0;
   GHashTableIter it;
@@ -77,7 +77,7 @@
 }
 
 size_t
-mm_exec_unsure (const mm_exec *x)
+mm_exec_count_in_doubt (const mm_exec *x)
 {
   size_t n = 0;
   GHashTableIter it;
@@ -106,15 +106,15 @@
   return x->slowness;
 }
 
-const mm_held_end *
-mm_exec_held (const mm_exec *x, size_t *n)
+const mm_unacked_end *
+mm_exec_unacked_ends (const mm_exec *x, size_t *n)
 {
   *n = x->unacked->len;
-  return (const mm_held_end *)(void *)x->unacked->data;
+  return (const mm_unacked_end *)(void *)x->unacked->data;
 }
 
 void
-mm_exec_drop_held (mm_exec *x, size_t i)
+mm_exec_ack_end (mm_exec *x, size_t i)
 {
   g_array_remove_index_fast (x->unacked, (guint)i);
 }
@@ -134,7 +134,7 @@
 }
 
 /**
- * mm_exec_sure() - whether the runs on the upstream are known.
+ * mm_exec_runs_confirmed() - whether the runs on the upstream are known.
  * @x: the session.
  *
  * Return: true once a hold has listed the runs, and also when the upstream was
@@ -142,7 +142,7 @@
  * token lets no earlier owner renew a lease.
  */
 bool
-mm_exec_sure (const mm_exec *x)
+mm_exec_runs_confirmed (const mm_exec *x)
 {
   if (x->gone)
     return true;
@@ -153,7 +153,7 @@
 }
 
 uint32_t
-mm_exec_count_of (const mm_exec *x, GHashTable *tasks)
+mm_exec_count_runs_of (const mm_exec *x, GHashTable *tasks)
 {
   uint32_t n = 0;
   GHashTableIter it;
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -63,10 +63,10 @@
 void
 mm_fleet_note_given_up (const mm_fleet *f, const mm_task_id *task)
 {
-  char *upstreams = mm_suspects_crashed (f->suspects, task);
+  char *upstreams = mm_suspects_crashed_names (f->suspects, task);
   mm_metrics_count (MM_CT_TASKS_GIVEN_UP);
   mm_log_event (MM_EV_TASK_GIVEN_UP, MM_TASK (task),
-                MM_INT (mm_suspects_crashes (f->suspects, task)),
+                MM_INT (mm_suspects_count_crashes (f->suspects, task)),
                 MM_TEXT (upstreams));
   g_free (upstreams);
 }
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -199,15 +199,15 @@
           .data_label = step->data_label,
           .avoid = t->avoid,
           .need = step->need,
-          .apart = action == MM_SUSPECT_APART,
+          .apart = action == MM_SUSPECT_ISOLATE,
           .attempt = t->failures,
           .priority = b->priority,
           .estimate_ms = step->estimate_ms,
           .waited_ms = now - b->submitted_ms,
-          .due_within = MAX (b->due_ms - now, 0) };
+          .due_within_ms = MAX (b->due_ms - now, 0) };
   /* A short wait, then it is spread anew: room may have come free at
      another owner meanwhile.  */
-  r.start_within
+  r.start_within_ms
       = CLAMP (b->start_by_ms - now, 1,
                MM_WITH_SPREAD_ANEW ? MM_SPREAD_WAIT_MS : MM_MAX_PATIENCE_MS);
   t->handed_ms = now;
@@ -282,7 +282,7 @@
     return t->failures + 1 < b->attempts ? "another attempt"
                                          : "job fails: no attempt left";
   if (how == MM_END_LOST
-      && mm_fleet_decide (b->jobs->fleet, &t->id) == MM_SUSPECT_HOLD)
+      && mm_fleet_decide (b->jobs->fleet, &t->id) == MM_SUSPECT_WAIT)
     return "waits: upstreams were lost under it";
   return now < give_up_time (b, how) ? "handed out again"
                                      : "job is given up: too late";
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_run.c
@@ -283,12 +283,12 @@
           .avoid = t->avoid_upstream,
           .need = step->need,
           .kept = true,
-          .apart = action == MM_SUSPECT_APART,
+          .apart = action == MM_SUSPECT_ISOLATE,
           .attempt = r->rec->progress[t - r->tasks].n_failures,
           .priority = r->rec->priority,
           .estimate_ms = step->estimate_ms,
-          .due_within = MAX (r->latest_start_ms - now, 0),
-          .start_within = MM_KEPT_START_WITHIN_MS };
+          .due_within_ms = MAX (r->latest_start_ms - now, 0),
+          .start_within_ms = MM_KEPT_START_WITHIN_MS };
   t->dispatched_ms = now;
   t->ticket
       = mm_fleet_submit (r->fleet, &req, t->returned_by, on_work_ended, t);
--- a/src/mm_mesh_loss.c
+++ b/src/mm_mesh_loss.c
@@ -32,7 +32,7 @@
 mm_mesh_take_loss (mm_mesh *m, const mm_mesh_msg *msg)
 {
   if (m->suspects)
-    mm_suspects_note (m->suspects, &msg->loss);
+    mm_suspects_record (m->suspects, &msg->loss);
 }
 
 static void
@@ -49,5 +49,5 @@
 mm_mesh_send_losses (mm_mesh *m, mm_link *link)
 {
   if (m->suspects)
-    mm_suspects_each (m->suspects, send_loss, link);
+    mm_suspects_foreach (m->suspects, send_loss, link);
 }
--- a/src/mm_mesh_msg.c
+++ b/src/mm_mesh_msg.c
@@ -46,8 +46,8 @@
   msgpack_pack_int64 (&pk, t->need.gpus);
   msgpack_pack_uint32 (&pk, t->priority);
   msgpack_pack_int64 (&pk, t->estimate_ms);
-  msgpack_pack_int64 (&pk, t->due_within);
-  msgpack_pack_int64 (&pk, t->start_within);
+  msgpack_pack_int64 (&pk, t->due_within_ms);
+  msgpack_pack_int64 (&pk, t->start_within_ms);
   mm_mp_pack_bool (&pk, t->kept);
   mm_mp_pack_text (&pk, t->running_at);
   msgpack_pack_uint32 (&pk, t->run);
@@ -173,7 +173,7 @@
   mm_mp_pack_text (&pk, l->upstream);
   mm_mp_pack_text (&pk, l->addr);
   msgpack_pack_int (&pk, l->verdict);
-  msgpack_pack_int64 (&pk, mm_clock_now_ms () - l->silent_ms);
+  msgpack_pack_int64 (&pk, mm_clock_now_ms () - l->unresponsive_since_ms);
   msgpack_pack_array (&pk, l->n_tasks);
   for (size_t i = 0; i < l->n_tasks; i++)
     msgpack_pack_uint64 (&pk, l->tasks[i]);
@@ -194,8 +194,8 @@
          && mm_mp_read_i64 (&f[12], &t->need.gpus)
          && mm_mp_read_u32 (&f[13], &t->priority)
          && mm_mp_read_i64 (&f[14], &t->estimate_ms)
-         && mm_mp_read_i64 (&f[15], &t->due_within)
-         && mm_mp_read_i64 (&f[16], &t->start_within)
+         && mm_mp_read_i64 (&f[15], &t->due_within_ms)
+         && mm_mp_read_i64 (&f[16], &t->start_within_ms)
          && mm_mp_read_bool (&f[17], &t->kept)
          && mm_mp_read_text (&f[18], true, (char **)&t->running_at)
          && mm_mp_read_u32 (&f[19], &t->run)
@@ -256,7 +256,7 @@
       || !mm_mp_read_i64 (&f[4], &silent_for_ms) || !read_marks (&f[5], l))
     return false;
   l->verdict = (mm_loss_verdict)verdict;
-  l->silent_ms = mm_clock_now_ms () - silent_for_ms;
+  l->unresponsive_since_ms = mm_clock_now_ms () - silent_for_ms;
   return true;
 }
 
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -2,14 +2,14 @@
 
    Each upstream has one owner, so capacity that this instance sees as free
    is free.  The queue is kept short: a task states how long it may wait
-   (start_within) and is returned as not run after that, so that its caller
+   (start_within_ms) and is returned as not run after that, so that its caller
    is answered soon.  */
 #include "mm_owner_priv.h"
 
 #include "config.h"
 #include "mm_event.h"
 #include "mm_metrics.h"
-#include "mm_place.h"
+#include "mm_placement.h"
 
 #include <string.h>
 
@@ -78,16 +78,16 @@
                 mm_time_ms now)
 {
   bool was_on_trial = owned->trust.on_trial;
-  mm_time_ms excluded_until = owned->trust.excluded_until;
-  mm_trust_note (&owned->trust, ok, now);
+  mm_time_ms excluded_until_ms = owned->trust.excluded_until_ms;
+  mm_breaker_record (&owned->trust, ok, now);
   if (was_on_trial && !owned->trust.on_trial)
     mm_log_event (MM_EV_UPSTREAM_TRUSTED, MM_TEXT (name));
-  if (owned->trust.excluded_until == excluded_until || ok)
+  if (owned->trust.excluded_until_ms == excluded_until_ms || ok)
     return;
   mm_metrics_count (MM_CT_EXCLUSIONS);
   mm_log_event (MM_EV_UPSTREAM_EXCLUDED, MM_TEXT (name),
                 MM_INT (owned->trust.failures_in_row),
-                MM_INT (owned->trust.excluded_until - now));
+                MM_INT (owned->trust.excluded_until_ms - now));
 }
 
 static void
@@ -266,7 +266,7 @@
   owned->owner = o;
   mm_exec_events ev = { .ended = on_ended,
                         .room = on_capacity_freed,
-                        .unwell = on_unhealthy,
+                        .unhealthy = on_unhealthy,
                         .found = on_found,
                         .fenced = on_fenced,
                         .lost = mm_owner_on_upstream_lost,
@@ -312,7 +312,7 @@
   if (!owned || owned->frozen)
     return;
   mm_time_ms now = mm_clock_now_ms ();
-  mm_time_ms left_ms = mm_exec_longest_left_ms (owned->exec, now);
+  mm_time_ms left_ms = mm_exec_longest_remaining_ms (owned->exec, now);
   owned->frozen = true;
   o->handover_end_ms
       = MAX (o->handover_end_ms,
@@ -350,7 +350,7 @@
 {
   mm_owned_upstream *owned
       = g_hash_table_lookup (o->owned_upstreams, upstream);
-  return !owned || (owned->frozen && mm_exec_quiet (owned->exec));
+  return !owned || (owned->frozen && mm_exec_idle (owned->exec));
 }
 
 static bool
@@ -361,13 +361,13 @@
              && g_strv_contains ((const char *const *)u->labels, label));
 }
 
-static mm_place_candidate
+static mm_placement_candidate
 candidate (mm_owned_upstream *owned, const mm_work *w, mm_time_ms now)
 {
   const mm_upstream_info *u = mm_exec_info (owned->exec);
-  mm_place_candidate c = { .room = mm_exec_room (owned->exec),
-                           .slowness = mm_exec_slowness (owned->exec) };
-  size_t runs = mm_exec_runs (owned->exec);
+  mm_placement_candidate c = { .room = mm_exec_free_capacity (owned->exec),
+                               .slowness = mm_exec_slowness (owned->exec) };
+  size_t runs = mm_exec_count_runs (owned->exec);
   c.contention = mm_owner_contention (owned, w);
   c.near_data = w->request.data_label && has_label (u, w->request.data_label);
   c.allowed
@@ -378,7 +378,7 @@
         && has_label (u, w->request.label)
         && (!w->request.avoid || strcmp (u->name, w->request.avoid) != 0)
         && (u->slots == 0 || runs < (size_t)u->slots)
-        && mm_trust_allows (&owned->trust, runs, now);
+        && mm_breaker_allows (&owned->trust, runs, now);
   return c;
 }
 
@@ -390,7 +390,7 @@
   guint n = g_hash_table_size (o->owned_upstreams);
   if (n == 0 || g_hash_table_contains (o->active, &w->request.id))
     return false; /* an earlier run of the task has not ended */
-  mm_place_candidate *c = g_new (mm_place_candidate, n);
+  mm_placement_candidate *c = g_new (mm_placement_candidate, n);
   mm_owned_upstream **candidates = g_new (mm_owned_upstream *, n);
   GHashTableIter it;
   gpointer v;
@@ -401,7 +401,7 @@
       candidates[i] = v;
       c[i++] = candidate (v, w, now);
     }
-  int best = mm_place_choose (c, n, &w->request.need);
+  int best = mm_placement_choose (c, n, &w->request.need);
   if (best >= 0)
     {
       w->running_on = candidates[best];
@@ -508,8 +508,8 @@
   w->request.avoid = g_strdup (t->avoid);
   w->request.running_at = g_strdup (t->running_at);
   w->accepted_ms = mm_clock_now_ms ();
-  w->start_by_ms = w->accepted_ms + t->start_within;
-  w->due_ms = w->accepted_ms + t->due_within;
+  w->start_by_ms = w->accepted_ms + t->start_within_ms;
+  w->due_ms = w->accepted_ms + t->due_within_ms;
   w->arrival = ++o->last_arrival;
   w->done = done;
   w->ctx = ctx;
@@ -559,10 +559,10 @@
 drop_expired_ends (mm_exec *x, mm_time_ms now)
 {
   size_t n;
-  const mm_held_end *h = mm_exec_held (x, &n);
+  const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
   for (size_t i = n; i-- > 0;)
     if (now - h[i].since_ms >= MM_KEPT_END_MS)
-      mm_exec_drop_held (x, i);
+      mm_exec_ack_end (x, i);
 }
 
 void
--- a/src/mm_owner_adopt.c
+++ b/src/mm_owner_adopt.c
@@ -27,7 +27,7 @@
 {
   mm_owned_upstream *owned = w->running_on;
   const char *upstream = mm_exec_info (owned->exec)->name;
-  w->run = mm_exec_give_up (owned->exec, w, &w->ran_ms);
+  w->run = mm_exec_detach (owned->exec, w, &w->ran_ms);
   if (!w->run && !owned->gone)
     return; /* the answer to its order will show whether it runs */
   mm_owner_count_suspect (owned, w, -1);
--- a/src/mm_owner_kept.c
+++ b/src/mm_owner_kept.c
@@ -14,11 +14,11 @@
     {
       mm_exec *x = ((mm_owned_upstream *)v)->exec;
       size_t n;
-      const mm_held_end *h = mm_exec_held (x, &n);
+      const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
       for (size_t i = n; i-- > 0;)
         if (mm_task_id_equal (&h[i].task, task)
             && mm_run_hash (mm_exec_info (x)->name, h[i].run) == hash)
-          mm_exec_drop_held (x, i);
+          mm_exec_ack_end (x, i);
     }
 }
 
@@ -36,7 +36,7 @@
 add_held (const mm_exec *x, GHashTable *tasks, GArray *ends)
 {
   size_t n;
-  const mm_held_end *h = mm_exec_held (x, &n);
+  const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
   for (size_t i = 0; i < n; i++)
     {
       mm_found_end e
@@ -66,11 +66,11 @@
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
       const mm_exec *x = ((mm_owned_upstream *)v)->exec;
-      out->present += mm_exec_count_of (x, tasks);
+      out->present += mm_exec_count_runs_of (x, tasks);
       /* An upstream counts as free of the tasks only if this instance is
          confirmed as its owner and the session has listed its runs: another
          owner with a higher fencing token may have started one there.  */
-      if (!o->confirmed || !mm_exec_sure (x))
+      if (!o->confirmed || !mm_exec_runs_confirmed (x))
         continue;
       uint64_t hash = mm_upstream_hash (mm_exec_info (x)->name);
       g_array_append_val (out->clear, hash);
@@ -87,7 +87,8 @@
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
       size_t n;
-      const mm_held_end *h = mm_exec_held (((mm_owned_upstream *)v)->exec, &n);
+      const mm_unacked_end *h
+          = mm_exec_unacked_ends (((mm_owned_upstream *)v)->exec, &n);
       for (size_t i = 0; i < n; i++)
         if (h[i].foreign && !g_hash_table_contains (ids, h[i].task.job))
           g_hash_table_add (ids, g_strdup (h[i].task.job));
@@ -104,10 +105,10 @@
     {
       mm_exec *x = ((mm_owned_upstream *)v)->exec;
       size_t n;
-      const mm_held_end *h = mm_exec_held (x, &n);
+      const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
       for (size_t i = n; i-- > 0;)
         if (strcmp (h[i].task.job, job_id) == 0)
-          mm_exec_drop_held (x, i);
+          mm_exec_ack_end (x, i);
       mm_exec_forget_job (x, job_id);
     }
 }
--- a/src/mm_owner_priv.h
+++ b/src/mm_owner_priv.h
@@ -3,14 +3,14 @@
 #define MM_OWNER_PRIV_H
 
 #include "mm_owner.h"
-#include "mm_trust.h"
+#include "mm_breaker.h"
 
 /* An upstream that this instance owns.  */
 typedef struct
 {
   mm_owner *owner;
   mm_exec *exec;
-  mm_trust trust;
+  mm_breaker trust;
   bool frozen;         /* a handover to another owner is under way */
   bool gone;           /* no longer owned, and its session is closed */
   uint32_t n_suspects; /* suspected poison tasks that run there */
--- a/src/mm_owner_report.c
+++ b/src/mm_owner_report.c
@@ -41,12 +41,12 @@
       const mm_upstream_info *u = mm_exec_info (owned->exec);
       if (strcmp (u->service, service) != 0
           || !mm_owner_ends_before_handover (owned, o->average_run_ms, now)
-          || !mm_exec_in_sight (owned->exec)
-          || !mm_trust_allows (&owned->trust, 0, now))
+          || !mm_exec_in_service (owned->exec)
+          || !mm_breaker_allows (&owned->trust, 0, now))
         continue;
       int64_t cpu = average_cpu_milli (o, u);
       r.places += (uint32_t)(u->capacity.cpu_milli / cpu);
-      int64_t free_milli = mm_exec_room (owned->exec).cpu_milli;
+      int64_t free_milli = mm_exec_free_capacity (owned->exec).cpu_milli;
       if (free_milli > 0 && mm_exec_usable (owned->exec))
         r.free += (uint32_t)(free_milli / cpu);
     }
@@ -82,8 +82,9 @@
   g_hash_table_iter_init (&it, o->owned_upstreams);
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
-      g.runs += (uint32_t)mm_exec_runs (((mm_owned_upstream *)v)->exec);
-      g.unsure += (uint32_t)mm_exec_unsure (((mm_owned_upstream *)v)->exec);
+      g.runs += (uint32_t)mm_exec_count_runs (((mm_owned_upstream *)v)->exec);
+      g.unsure
+          += (uint32_t)mm_exec_count_in_doubt (((mm_owned_upstream *)v)->exec);
     }
   GList *services = mm_owner_services (o);
   for (GList *l = services; l; l = l->next)
@@ -136,9 +137,11 @@
       cJSON_AddNumberToObject (u, "fence",
                                (double)mm_exec_fence (owned->exec));
       cJSON_AddBoolToObject (u, "usable", mm_exec_usable (owned->exec));
-      cJSON_AddNumberToObject (u, "runs", (double)mm_exec_runs (owned->exec));
-      cJSON_AddNumberToObject (u, "free_cpu_milli",
-                               (double)mm_exec_room (owned->exec).cpu_milli);
+      cJSON_AddNumberToObject (u, "runs",
+                               (double)mm_exec_count_runs (owned->exec));
+      cJSON_AddNumberToObject (
+          u, "free_cpu_milli",
+          (double)mm_exec_free_capacity (owned->exec).cpu_milli);
       cJSON_AddNumberToObject (u, "slowness", mm_exec_slowness (owned->exec));
       cJSON_AddItemToArray (a, u);
     }
--- a/src/mm_owner_suspects.c
+++ b/src/mm_owner_suspects.c
@@ -34,7 +34,7 @@
 mm_owner_contention (const mm_owned_upstream *owned, const mm_work *w)
 {
   uint32_t others
-      = w->request.apart ? (uint32_t)mm_exec_runs (owned->exec) : 0;
+      = w->request.apart ? (uint32_t)mm_exec_count_runs (owned->exec) : 0;
   return owned->n_suspects * G_MAXUINT16 + MIN (others, G_MAXUINT16 - 1);
 }
 
@@ -52,22 +52,23 @@
   GList *tasks = mm_exec_tasks (x);
   for (GList *l = tasks; l; l = l->next)
     {
-      uint64_t hash = mm_task_mark (l->data);
+      uint64_t hash = mm_task_hash (l->data);
       g_array_append_val (hashes, hash);
       mm_metrics_count (MM_CT_TASKS_SUSPECT);
       mm_log_event (MM_EV_TASK_SUSPECT, MM_TASK ((const mm_task_id *)l->data),
                     MM_TEXT (u->name));
     }
   g_list_free (tasks);
-  mm_time_ms unresponsive_since_ms = mm_exec_silent_ms (x);
-  mm_loss loss = { .upstream = u->name,
-                   .addr = u->addr,
-                   .verdict = crashed ? MM_LOSS_CRASHED : MM_LOSS_OPEN,
-                   .silent_ms = unresponsive_since_ms ? unresponsive_since_ms
-                                                      : mm_clock_now_ms (),
-                   .tasks = (const uint64_t *)(const void *)hashes->data,
-                   .n_tasks = hashes->len };
-  mm_suspects_note (suspects, &loss);
+  mm_time_ms unresponsive_since_ms = mm_exec_unresponsive_since_ms (x);
+  mm_loss loss
+      = { .upstream = u->name,
+          .addr = u->addr,
+          .verdict = crashed ? MM_LOSS_CRASHED : MM_LOSS_OPEN,
+          .unresponsive_since_ms
+          = unresponsive_since_ms ? unresponsive_since_ms : mm_clock_now_ms (),
+          .tasks = (const uint64_t *)(const void *)hashes->data,
+          .n_tasks = hashes->len };
+  mm_suspects_record (suspects, &loss);
   g_array_free (hashes, TRUE);
 }
 
--- a/src/mm_place.c
+++ b/src/mm_placement.c
@@ -4,9 +4,9 @@
 
    A job ends with its last task, so one slow upstream delays the whole job:
    speed takes precedence over packing.  Slowness is only known roughly, so
-   values within a step of MM_PLACE_SPEED_STEP count as equal.  Among these the
-   tightest fit leaves large free capacities for large tasks.  */
-#include "mm_place.h"
+   values within a step of MM_PLACEMENT_SPEED_STEP count as equal.  Among these
+   the tightest fit leaves large free capacities for large tasks.  */
+#include "mm_placement.h"
 
 #include "config.h"
 
@@ -14,25 +14,26 @@
 
 /* Returns whether @a is preferred to @b.  */
 static bool
-is_better (const mm_place_candidate *a, const mm_place_candidate *b)
+is_better (const mm_placement_candidate *a, const mm_placement_candidate *b)
 {
   if (a->contention != b->contention)
     return a->contention < b->contention;
   if (MM_WITH_NEAR_DATA && a->near_data != b->near_data)
     return a->near_data;
-  double step_a = floor (a->slowness / MM_PLACE_SPEED_STEP);
-  double step_b = floor (b->slowness / MM_PLACE_SPEED_STEP);
+  double step_a = floor (a->slowness / MM_PLACEMENT_SPEED_STEP);
+  double step_b = floor (b->slowness / MM_PLACEMENT_SPEED_STEP);
   if (MM_WITH_SPEED && step_a != step_b)
     return step_a < step_b;
   return MM_WITH_TIGHT_FIT && a->room.cpu_milli < b->room.cpu_milli;
 }
 
 int
-mm_place_choose (const mm_place_candidate *c, size_t n, const mm_need *need)
+mm_placement_choose (const mm_placement_candidate *c, size_t n,
+                     const mm_resources *need)
 {
   int best = -1;
   for (size_t i = 0; i < n; i++)
-    if (c[i].allowed && mm_need_fits (need, &c[i].room)
+    if (c[i].allowed && mm_resources_fit (need, &c[i].room)
         && (best < 0 || is_better (&c[i], &c[best])))
       best = (int)i;
   return best;
--- a/src/mm_place.h
+++ b/src/mm_placement.h
@@ -1,21 +1,21 @@
 /* mm_placement: chooses the upstream to which a task is sent.  */
-#ifndef MM_PLACE_H
-#define MM_PLACE_H
+#ifndef MM_PLACEMENT_H
+#define MM_PLACEMENT_H
 
 #include "mm_task.h"
 
 /* An upstream to which a task may be sent.  */
 typedef struct
 {
-  mm_need room; /* free capacity */
+  mm_resources room; /* free capacity */
   bool allowed; /* usable, circuit breaker closed, right service and label */
   double slowness;     /* observed run time / estimate, 1: as estimated */
   uint32_t contention; /* weight of the runs beside it: less is better */
   bool near_data;      /* in the rack that holds the task's data */
-} mm_place_candidate;
+} mm_placement_candidate;
 
 /* Index of the best candidate, -1 when none fits.  */
-int mm_place_choose (const mm_place_candidate *c, size_t n,
-                     const mm_need *need);
+int mm_placement_choose (const mm_placement_candidate *c, size_t n,
+                         const mm_resources *need);
 
-#endif /* MM_PLACE_H */
+#endif /* MM_PLACEMENT_H */
--- a/src/mm_run_json.c
+++ b/src/mm_run_json.c
@@ -134,7 +134,7 @@
 }
 
 bool
-mm_run_json_read_running (const cJSON *row, mm_running *out)
+mm_run_json_read_running (const cJSON *row, mm_listed_run *out)
 {
   int64_t percent;
   if (!read_task (row, &out->task, &out->run)
@@ -145,7 +145,7 @@
 }
 
 bool
-mm_run_json_read_ended (const cJSON *row, mm_ended *out)
+mm_run_json_read_ended (const cJSON *row, mm_listed_end *out)
 {
   int64_t seq, how;
   if (!read_task (row, &out->task, &out->run) || !read_i64 (row, "seq", &seq)
--- a/src/mm_run_json.h
+++ b/src/mm_run_json.h
@@ -11,7 +11,7 @@
    a payload; the dispatcher only passes payloads on.  */
 typedef struct
 {
-  mm_need need;
+  mm_resources need;
   mm_time_ms run_ms;
 } mm_run_work;
 
@@ -25,7 +25,7 @@
 #define MM_RUN_JSON_RUNNING "running"
 #define MM_RUN_JSON_ENDED "ended"
 cJSON *mm_run_json_lists (const mm_hold_result *r);
-bool mm_run_json_read_running (const cJSON *row, mm_running *out);
-bool mm_run_json_read_ended (const cJSON *row, mm_ended *out);
+bool mm_run_json_read_running (const cJSON *row, mm_listed_run *out);
+bool mm_run_json_read_ended (const cJSON *row, mm_listed_end *out);
 
 #endif /* MM_RUN_JSON_H */
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -48,7 +48,7 @@
 /* A capacity that dispatchers may still believe in.  */
 typedef struct
 {
-  mm_need capacity;
+  mm_resources capacity;
   mm_time_ms until_ms;
 } past_capacity;
 
@@ -57,7 +57,7 @@
   struct ev_loop *loop;
   ev_timer tick;
   char *name;
-  mm_need capacity;
+  mm_resources capacity;
   mm_run_table *table;
   int log_fd;    /* -1 for none */
   size_t logged; /* runs that are over and written */
@@ -82,7 +82,7 @@
  */
 mm_run_server *
 mm_run_server_create (struct ev_loop *loop, const char *name,
-                      const mm_need *capacity, const char *log_file)
+                      const mm_resources *capacity, const char *log_file)
 {
   mm_run_server *s = g_new0 (mm_run_server, 1);
   s->loop = loop;
@@ -348,7 +348,7 @@
 static void
 count_against_capacity (mm_run_server *s, mm_time_ms now)
 {
-  mm_need most = s->capacity;
+  mm_resources most = s->capacity;
   for (guint i = s->past->len; i-- > 0;)
     {
       const past_capacity *p = &g_array_index (s->past, past_capacity, i);
@@ -509,7 +509,7 @@
   return s->name;
 }
 
-mm_need
+mm_resources
 mm_run_server_capacity (const mm_run_server *s)
 {
   return s->capacity;
--- a/src/mm_run_server.h
+++ b/src/mm_run_server.h
@@ -26,7 +26,7 @@
 } mm_run_server_poison;
 
 mm_run_server *mm_run_server_create (struct ev_loop *loop, const char *name,
-                                     const mm_need *capacity,
+                                     const mm_resources *capacity,
                                      const char *log_file /* or "" */);
 void mm_run_server_destroy (mm_run_server *s);
 void mm_run_server_set_poison (mm_run_server *s,
@@ -35,7 +35,7 @@
 bool mm_run_server_handle (mm_run_server *s, mm_http_request *req);
 size_t mm_run_server_running (const mm_run_server *s);
 const char *mm_run_server_name (const mm_run_server *s); /* incarnation */
-mm_need mm_run_server_capacity (const mm_run_server *s);
+mm_resources mm_run_server_capacity (const mm_run_server *s);
 void mm_run_server_dump (const mm_run_server *s, cJSON *out);
 
 #endif /* MM_RUN_SERVER_H */
--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -7,7 +7,7 @@
 {
   mm_task_id task;
   uint32_t number;
-  mm_need need;
+  mm_resources need;
   mm_time_ms started_ms;
   mm_time_ms ends_ms;
   mm_end how;
@@ -15,15 +15,15 @@
 
 struct mm_run_table
 {
-  mm_need capacity;
+  mm_resources capacity;
   bool guards;
   mm_time_ms max_lease_ms;
   mm_run_mode mode;
   uint64_t fence;
   mm_time_ms lease_until_ms;
   GArray *runs;       /* table_run */
-  GArray *ended;      /* mm_ended, not acknowledged */
-  GArray *running;    /* mm_running, made by _list */
+  GArray *ended;      /* mm_listed_end, not acknowledged */
+  GArray *running;    /* mm_listed_run, made by _list */
   GArray *past;       /* mm_run_past */
   mm_time_ms step_ms; /* the time last told */
   uint64_t last_seq;
@@ -32,7 +32,7 @@
 };
 
 mm_run_table *
-mm_run_table_create (const mm_need *capacity, bool guards,
+mm_run_table_create (const mm_resources *capacity, bool guards,
                      mm_time_ms max_lease_ms)
 {
   mm_run_table *t = g_new0 (mm_run_table, 1);
@@ -40,9 +40,9 @@
   t->guards = guards;
   t->max_lease_ms = max_lease_ms;
   t->runs = g_array_new (FALSE, TRUE, sizeof (table_run));
-  t->ended = g_array_new (FALSE, TRUE, sizeof (mm_ended));
+  t->ended = g_array_new (FALSE, TRUE, sizeof (mm_listed_end));
   t->past = g_array_new (FALSE, TRUE, sizeof (mm_run_past));
-  t->running = g_array_new (FALSE, TRUE, sizeof (mm_running));
+  t->running = g_array_new (FALSE, TRUE, sizeof (mm_listed_run));
   t->highest = g_hash_table_new_full (mm_task_id_hash, mm_task_id_equal,
                                       g_free, NULL);
   return t;
@@ -68,7 +68,7 @@
 }
 
 void
-mm_run_table_set_capacity (mm_run_table *t, const mm_need *capacity)
+mm_run_table_set_capacity (mm_run_table *t, const mm_resources *capacity)
 {
   t->capacity = *capacity;
 }
@@ -115,7 +115,7 @@
 end (mm_run_table *t, guint i, mm_end how)
 {
   const table_run *r = run_at (t, i);
-  mm_ended e = {
+  mm_listed_end e = {
     .seq = ++t->last_seq, .task = r->task, .run = r->number, .how = how
   };
   g_array_append_val (t->ended, e);
@@ -136,17 +136,17 @@
   t->lease_until_ms = MAX (t->lease_until_ms, until);
 }
 
-static mm_need
+static mm_resources
 room (const mm_run_table *t)
 {
-  mm_need free = t->capacity;
+  mm_resources free = t->capacity;
   for (guint i = 0; i < t->runs->len; i++)
-    mm_need_sub (&free, &run_at (t, i)->need);
+    mm_resources_sub (&free, &run_at (t, i)->need);
   return free;
 }
 
 static void
-add_run (mm_run_table *t, const mm_order *o, const mm_need *need,
+add_run (mm_run_table *t, const mm_order *o, const mm_resources *need,
          mm_time_ms run_ms, mm_time_ms now_ms)
 {
   int64_t percent = t->mode.slow_percent ? t->mode.slow_percent : 100;
@@ -163,9 +163,9 @@
     }
   if (t->mode.hangs)
     r.ends_ms = G_MAXINT64;
-  mm_need free = room (t);
+  mm_resources free = room (t);
   t->counts.starts++;
-  t->counts.over_capacity += !mm_need_fits (need, &free);
+  t->counts.over_capacity += !mm_resources_fit (need, &free);
   g_array_append_val (t->runs, r);
 }
 
@@ -187,8 +187,9 @@
  * @now_ms: the upstream's clock.
  */
 mm_call_verdict
-mm_run_table_start (mm_run_table *t, const mm_order *o, const mm_need *need,
-                    mm_time_ms run_ms, mm_time_ms now_ms)
+mm_run_table_start (mm_run_table *t, const mm_order *o,
+                    const mm_resources *need, mm_time_ms run_ms,
+                    mm_time_ms now_ms)
 {
   mm_run_table_step (t, now_ms);
   if (!pass_fence (t, o->fence))
@@ -202,8 +203,8 @@
     return MM_CALL_OLD_RUN;
   if (t->mode.refuses)
     return MM_CALL_REFUSED;
-  mm_need free = room (t);
-  if (t->guards && !mm_need_fits (need, &free))
+  mm_resources free = room (t);
+  if (t->guards && !mm_resources_fit (need, &free))
     return MM_CALL_NO_ROOM;
   extend_lease (t, o->deadline_ms, now_ms);
   add_run (t, o, need, run_ms, now_ms);
@@ -233,7 +234,7 @@
   if (!pass_fence (t, h->fence))
     return MM_CALL_FENCED;
   while (t->ended->len
-         && g_array_index (t->ended, mm_ended, 0).seq <= h->acked_seq)
+         && g_array_index (t->ended, mm_listed_end, 0).seq <= h->acked_seq)
     g_array_remove_index (t->ended, 0);
   if (h->deadline_ms)
     extend_lease (t, h->deadline_ms, now_ms);
@@ -290,14 +291,14 @@
   for (guint i = 0; i < t->runs->len; i++)
     {
       const table_run *r = run_at (t, i);
-      mm_running row = { .task = r->task,
-                         .run = r->number,
-                         .percent = percent_done (r, now_ms) };
+      mm_listed_run row = { .task = r->task,
+                            .run = r->number,
+                            .percent = percent_done (r, now_ms) };
       g_array_append_val (t->running, row);
     }
-  out->running = (mm_running *)(void *)t->running->data;
+  out->running = (mm_listed_run *)(void *)t->running->data;
   out->n_running = t->running->len;
-  out->ended = (mm_ended *)(void *)t->ended->data;
+  out->ended = (mm_listed_end *)(void *)t->ended->data;
   out->n_ended = t->ended->len;
 }
 
--- a/src/mm_run_table.h
+++ b/src/mm_run_table.h
@@ -36,15 +36,15 @@
   uint32_t over_capacity; /* a start brought it over its room */
 } mm_run_counts;
 
-mm_run_table *mm_run_table_create (const mm_need *capacity, bool guards,
+mm_run_table *mm_run_table_create (const mm_resources *capacity, bool guards,
                                    mm_time_ms max_lease_ms);
 void mm_run_table_destroy (mm_run_table *t);
 void mm_run_table_set_mode (mm_run_table *t, mm_run_mode mode);
 /* What runs goes on, also beyond a smaller capacity.  */
-void mm_run_table_set_capacity (mm_run_table *t, const mm_need *capacity);
+void mm_run_table_set_capacity (mm_run_table *t, const mm_resources *capacity);
 mm_call_verdict mm_run_table_start (mm_run_table *t, const mm_order *o,
-                                    const mm_need *need, mm_time_ms run_ms,
-                                    mm_time_ms now_ms);
+                                    const mm_resources *need,
+                                    mm_time_ms run_ms, mm_time_ms now_ms);
 mm_call_verdict mm_run_table_stop (mm_run_table *t, const mm_order *o,
                                    mm_time_ms now_ms);
 mm_call_verdict mm_run_table_hold (mm_run_table *t, const mm_hold *h,
--- a/src/mm_submission.h
+++ b/src/mm_submission.h
@@ -6,8 +6,8 @@
 
 typedef struct
 {
-  uint32_t count; /* tasks */
-  mm_need need;   /* of each */
+  uint32_t count;    /* tasks */
+  mm_resources need; /* of each */
   mm_time_ms estimate_ms;
   uint32_t *after; /* earlier steps that must be done first */
   uint32_t n_after;
--- a/src/mm_suspects.c
+++ b/src/mm_suspects.c
@@ -24,9 +24,9 @@
   char *upstream; /* name of the incarnation */
   char *addr;
   mm_loss_verdict verdict;
-  mm_time_ms silent_ms;  /* when it stopped answering */
-  mm_time_ms verdict_ms; /* when the verdict was set */
-  GArray *tasks;         /* mm_task_mark() of the tasks, uint64_t */
+  mm_time_ms unresponsive_since_ms; /* when it stopped answering */
+  mm_time_ms verdict_ms;            /* when the verdict was set */
+  GArray *tasks;                    /* mm_task_hash() of the tasks, uint64_t */
 } loss;
 
 struct mm_suspects
@@ -80,7 +80,7 @@
 }
 
 uint64_t
-mm_task_mark (const mm_task_id *id)
+mm_task_hash (const mm_task_id *id)
 {
   uint64_t task = (uint64_t)id->step << 32 | id->index;
   return XXH3_64bits_withSeed (id->job, strlen (id->job), task);
@@ -92,7 +92,7 @@
   return (mm_loss){ .upstream = l->upstream,
                     .addr = l->addr,
                     .verdict = l->verdict,
-                    .silent_ms = l->silent_ms,
+                    .unresponsive_since_ms = l->unresponsive_since_ms,
                     .tasks = (const uint64_t *)(const void *)l->tasks->data,
                     .n_tasks = l->tasks->len };
 }
@@ -171,7 +171,7 @@
   loss *l = g_new0 (loss, 1);
   l->upstream = g_strdup (from->upstream);
   l->addr = g_strdup (from->addr);
-  l->silent_ms = from->silent_ms;
+  l->unresponsive_since_ms = from->unresponsive_since_ms;
   l->tasks = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   g_queue_push_tail (s->losses, l);
   return l;
@@ -182,19 +182,20 @@
 static bool
 is_newer (const loss *l, const mm_loss *from)
 {
-  return l->verdict != MM_LOSS_ALIVE ? from->verdict > l->verdict
-                                     : from->verdict != MM_LOSS_ALIVE
-                                           && from->silent_ms > l->verdict_ms;
+  return l->verdict != MM_LOSS_ALIVE
+             ? from->verdict > l->verdict
+             : from->verdict != MM_LOSS_ALIVE
+                   && from->unresponsive_since_ms > l->verdict_ms;
 }
 
 /**
- * mm_suspects_note() - record an upstream that was lost with tasks running.
+ * mm_suspects_record() - record an upstream that was lost with tasks running.
  * @s: the record of lost upstreams.
  * @from: the loss as seen by this or another instance. The callback set by
  *        mm_suspects_on_changed() is called if this changes the record.
  */
 void
-mm_suspects_note (mm_suspects *s, const mm_loss *from)
+mm_suspects_record (mm_suspects *s, const mm_loss *from)
 {
   loss *l = find_loss (s, from->upstream);
   if (!l && (from->n_tasks == 0 || from->verdict == MM_LOSS_ALIVE))
@@ -206,7 +207,7 @@
   if (newer && l->verdict == MM_LOSS_ALIVE)
     {
       g_array_set_size (l->tasks, 0);
-      l->silent_ms = from->silent_ms;
+      l->unresponsive_since_ms = from->unresponsive_since_ms;
     }
   bool more
       = l->verdict == MM_LOSS_ALIVE && !newer ? false : add_tasks (l, from);
@@ -285,7 +286,7 @@
 {
   if (!s || s->losses->length == 0)
     return MM_SUSPECT_RUN;
-  uint64_t hash = mm_task_mark (task);
+  uint64_t hash = mm_task_hash (task);
   if (!g_hash_table_contains (s->hashes, &hash))
     return MM_SUSPECT_RUN;
   uint32_t crashes = count_losses (s, hash, MM_LOSS_CRASHED);
@@ -293,27 +294,27 @@
   if (is_poison (s, hash, crashes))
     return MM_SUSPECT_GIVE_UP;
   if (open && crashes + open >= MM_SUSPECTS_CRASHES)
-    return MM_SUSPECT_HOLD;
-  return crashes + open ? MM_SUSPECT_APART : MM_SUSPECT_RUN;
+    return MM_SUSPECT_WAIT;
+  return crashes + open ? MM_SUSPECT_ISOLATE : MM_SUSPECT_RUN;
 }
 
 bool
 mm_suspect_may_run (mm_suspect_action a, uint32_t apart)
 {
-  return a == MM_SUSPECT_RUN || (a == MM_SUSPECT_APART && apart == 0);
+  return a == MM_SUSPECT_RUN || (a == MM_SUSPECT_ISOLATE && apart == 0);
 }
 
 uint32_t
-mm_suspects_crashes (const mm_suspects *s, const mm_task_id *task)
+mm_suspects_count_crashes (const mm_suspects *s, const mm_task_id *task)
 {
-  return count_losses (s, mm_task_mark (task), MM_LOSS_CRASHED);
+  return count_losses (s, mm_task_hash (task), MM_LOSS_CRASHED);
 }
 
 char *
-mm_suspects_crashed (const mm_suspects *s, const mm_task_id *task)
+mm_suspects_crashed_names (const mm_suspects *s, const mm_task_id *task)
 {
   GString *names = g_string_new (NULL);
-  uint64_t hash = mm_task_mark (task);
+  uint64_t hash = mm_task_hash (task);
   for (GList *node = s->losses->head; node; node = node->next)
     {
       const loss *l = node->data;
@@ -334,7 +335,7 @@
 }
 
 void
-mm_suspects_each (const mm_suspects *s, mm_suspects_changed each, void *ctx)
+mm_suspects_foreach (const mm_suspects *s, mm_suspects_changed each, void *ctx)
 {
   for (GList *l = s->losses->head; l; l = l->next)
     {
--- a/src/mm_suspects.h
+++ b/src/mm_suspects.h
@@ -24,17 +24,17 @@
   const char *upstream; /* name of the incarnation */
   const char *addr;
   mm_loss_verdict verdict;
-  mm_time_ms silent_ms;  /* when it stopped answering */
-  const uint64_t *tasks; /* mm_task_mark() of the tasks that ran there */
+  mm_time_ms unresponsive_since_ms; /* when it stopped answering */
+  const uint64_t *tasks; /* mm_task_hash() of the tasks that ran there */
   size_t n_tasks;
 } mm_loss;
 
 typedef enum
 {
-  MM_SUSPECT_RUN,    /* not suspect */
-  MM_SUSPECT_APART,  /* run it isolated from other suspects */
-  MM_SUSPECT_HOLD,   /* do not start it until open losses are decided */
-  MM_SUSPECT_GIVE_UP /* poison task: do not run it again */
+  MM_SUSPECT_RUN,     /* not suspect */
+  MM_SUSPECT_ISOLATE, /* run it isolated from other suspects */
+  MM_SUSPECT_WAIT,    /* do not start it until open losses are decided */
+  MM_SUSPECT_GIVE_UP  /* poison task: do not run it again */
 } mm_suspect_action;
 
 typedef struct mm_suspects mm_suspects;
@@ -47,8 +47,8 @@
 void mm_suspects_on_changed (mm_suspects *s, mm_suspects_changed changed,
                              void *ctx);
 /* Hash that identifies a task in messages and records of losses.  */
-uint64_t mm_task_mark (const mm_task_id *id);
-void mm_suspects_note (mm_suspects *s, const mm_loss *l);
+uint64_t mm_task_hash (const mm_task_id *id);
+void mm_suspects_record (mm_suspects *s, const mm_loss *l);
 /* Records that this incarnation of an upstream answers.  */
 void mm_suspects_alive (mm_suspects *s, const char *upstream);
 /* Updates losses from an entry of the upstream list: another incarnation at
@@ -61,12 +61,13 @@
    the job, so that the others crash no more upstreams.  */
 bool mm_suspect_may_run (mm_suspect_action a, uint32_t apart);
 /* Number of upstreams that crashed while they ran the task.  */
-uint32_t mm_suspects_crashes (const mm_suspects *s, const mm_task_id *task);
+uint32_t mm_suspects_count_crashes (const mm_suspects *s,
+                                    const mm_task_id *task);
 /* Names of the upstreams that crashed while they ran the task; g_free().  */
-char *mm_suspects_crashed (const mm_suspects *s, const mm_task_id *task);
+char *mm_suspects_crashed_names (const mm_suspects *s, const mm_task_id *task);
 size_t mm_suspects_count (const mm_suspects *s); /* without MM_LOSS_ALIVE */
-void mm_suspects_each (const mm_suspects *s, mm_suspects_changed each,
-                       void *ctx);
+void mm_suspects_foreach (const mm_suspects *s, mm_suspects_changed each,
+                          void *ctx);
 void mm_suspects_tick (mm_suspects *s); /* removes old losses */
 
 #endif /* MM_SUSPECTS_H */
--- a/src/mm_task.c
+++ b/src/mm_task.c
@@ -5,14 +5,14 @@
 #include <xxhash.h>
 
 bool
-mm_need_fits (const mm_need *need, const mm_need *capacity)
+mm_resources_fit (const mm_resources *need, const mm_resources *capacity)
 {
   return need->cpu_milli <= capacity->cpu_milli
          && need->mem_mb <= capacity->mem_mb && need->gpus <= capacity->gpus;
 }
 
 void
-mm_need_add (mm_need *sum, const mm_need *need)
+mm_resources_add (mm_resources *sum, const mm_resources *need)
 {
   sum->cpu_milli += need->cpu_milli;
   sum->mem_mb += need->mem_mb;
@@ -20,7 +20,7 @@
 }
 
 void
-mm_need_sub (mm_need *sum, const mm_need *need)
+mm_resources_sub (mm_resources *sum, const mm_resources *need)
 {
   sum->cpu_milli -= need->cpu_milli;
   sum->mem_mb -= need->mem_mb;
--- a/src/mm_task.h
+++ b/src/mm_task.h
@@ -10,12 +10,14 @@
   int64_t cpu_milli; /* thousandths of a core */
   int64_t mem_mb;
   int64_t gpus;
-} mm_need;
+} mm_resources;
 
 /* Returns whether @need fits into @capacity.  */
-bool mm_need_fits (const mm_need *need, const mm_need *capacity);
-void mm_need_add (mm_need *sum, const mm_need *need); /* sum += need */
-void mm_need_sub (mm_need *sum, const mm_need *need); /* sum -= need */
+bool mm_resources_fit (const mm_resources *need, const mm_resources *capacity);
+void mm_resources_add (mm_resources *sum,
+                       const mm_resources *need); /* sum += need */
+void mm_resources_sub (mm_resources *sum,
+                       const mm_resources *need); /* sum -= need */
 
 #define MM_JOB_ID_MAX 40 /* maximum length of a job id, in bytes */
 
@@ -55,18 +57,18 @@
   const char *label;      /* label that an upstream must have, or NULL */
   const char *data_label; /* label of upstreams near its data, or NULL */
   const char *avoid;      /* name of an upstream not to use, or NULL */
-  mm_need need;
-  bool kept;               /* of a kept job: its home acknowledges its end */
-  bool apart;              /* isolated: may crash its upstream */
-  uint32_t attempt;        /* earlier failed attempts */
-  uint32_t priority;       /* 0 is the highest */
-  mm_time_ms estimate_ms;  /* declared run time, not binding */
-  mm_time_ms waited_ms;    /* time spent in queues so far */
-  mm_time_ms due_within;   /* ms from now; orders tasks of equal priority */
-  mm_time_ms start_within; /* ms from now; after that returned as not run */
-  const char *running_at;  /* upstream where it runs already: adopt; or NULL */
-  uint32_t run;            /* with running_at: its run number there */
-  mm_time_ms ran_ms;       /* with running_at: run time so far */
+  mm_resources need;
+  bool kept;                /* of a kept job: its home acknowledges its end */
+  bool apart;               /* isolated: may crash its upstream */
+  uint32_t attempt;         /* earlier failed attempts */
+  uint32_t priority;        /* 0 is the highest */
+  mm_time_ms estimate_ms;   /* declared run time, not binding */
+  mm_time_ms waited_ms;     /* time spent in queues so far */
+  mm_time_ms due_within_ms; /* ms from now; orders tasks of equal priority */
+  mm_time_ms start_within_ms; /* ms from now; after that returned as not run */
+  const char *running_at; /* upstream where it runs already: adopt; or NULL */
+  uint32_t run;           /* with running_at: its run number there */
+  mm_time_ms ran_ms;      /* with running_at: run time so far */
 } mm_task_request;
 
 #endif /* MM_TASK_H */
--- a/src/mm_upstream.c
+++ b/src/mm_upstream.c
@@ -420,7 +420,7 @@
 static void
 report_to_stream (mm_upstream *u)
 {
-  mm_need c = mm_run_server_capacity (u->runs);
+  mm_resources c = mm_run_server_capacity (u->runs);
   char *own = g_strdup_printf ("%s:%u", u->settings.listen_host,
                                mm_http_server_port (u->http));
   char *url = g_strdup_printf ("%s/v1/streams/upstreams/%s",
@@ -494,8 +494,8 @@
                                    free_job_record);
   u->boot_ms = mm_clock_wall_ms ();
   g_queue_init (&u->frozen);
-  mm_need capacity = { .cpu_milli = s->slots * MM_SLOT_CPU_MILLI,
-                       .mem_mb = MM_STANDIN_MEM_MB };
+  mm_resources capacity = { .cpu_milli = s->slots * MM_SLOT_CPU_MILLI,
+                            .mem_mb = MM_STANDIN_MEM_MB };
   u->runs = mm_run_server_create (loop, s->name, &capacity, s->run_log);
   u->http = mm_http_server_create (loop, s->listen_host, (uint16_t)s->port,
                                    1 << 20, handle, u, error);
--- a/src/mm_upstream_info.h
+++ b/src/mm_upstream_info.h
@@ -6,14 +6,14 @@
 
 typedef struct
 {
-  char *name;       /* of this incarnation; changes with a restart */
-  char *addr;       /* "ip:port" */
-  char *service;    /* service whose tasks it runs */
-  char *datacentre; /* location of the upstream */
-  char **labels;    /* NULL-terminated */
-  mm_need capacity; /* total resources */
-  int64_t slots;    /* maximum tasks at a time, 0: no limit */
-  bool draining;    /* takes no new work */
+  char *name;            /* of this incarnation; changes with a restart */
+  char *addr;            /* "ip:port" */
+  char *service;         /* service whose tasks it runs */
+  char *datacentre;      /* location of the upstream */
+  char **labels;         /* NULL-terminated */
+  mm_resources capacity; /* total resources */
+  int64_t slots;         /* maximum tasks at a time, 0: no limit */
+  bool draining;         /* takes no new work */
 } mm_upstream_info;
 
 mm_upstream_info *mm_upstream_info_copy (const mm_upstream_info *u);
--- a/tests/fake_upstreams.c
+++ b/tests/fake_upstreams.c
@@ -116,7 +116,8 @@
   x->info.addr = g_strdup ("127.0.0.1:1");
   x->info.service = g_strdup ("svc");
   x->info.datacentre = g_strdup ("dc1");
-  x->info.capacity = (mm_need){ .cpu_milli = cpu_milli, .mem_mb = 100000 };
+  x->info.capacity
+      = (mm_resources){ .cpu_milli = cpu_milli, .mem_mb = 100000 };
   x->table = mm_run_table_create (&x->info.capacity, false, MAX_LEASE_MS);
   f->upstreams = g_list_append (f->upstreams, x);
   return x;
@@ -151,7 +152,7 @@
 }
 
 size_t
-fake_listed (const fake *x)
+fake_unacked_ends (const fake *x)
 {
   return mm_run_table_ended (x->table);
 }
@@ -171,7 +172,7 @@
 void
 fake_set_cpu (fake *x, int64_t cpu_milli)
 {
-  mm_need capacity = x->info.capacity;
+  mm_resources capacity = x->info.capacity;
   capacity.cpu_milli = cpu_milli;
   mm_run_table_set_capacity (x->table, &capacity);
 }
@@ -218,7 +219,7 @@
                         .payload = payload,
                         .need = { .cpu_milli = cpu_milli, .mem_mb = 1 },
                         .estimate_ms = run_ms,
-                        .start_within = 5000 };
+                        .start_within_ms = 5000 };
   g_strlcpy (t.id.job, job, sizeof t.id.job);
   t.id.index = index;
   return t;
@@ -239,7 +240,7 @@
 {
   long long cpu = 0, run_ms = 0;
   sscanf (o->payload, "%lld %lld", &cpu, &run_ms);
-  mm_need need = { .cpu_milli = cpu };
+  mm_resources need = { .cpu_milli = cpu };
   bool ran = mm_run_table_runs (x->table, o->task);
   mm_call_verdict v
       = mm_run_table_start (x->table, o, &need, run_ms, x->all->now_ms);
@@ -278,8 +279,9 @@
                 : mm_run_table_stop (x->table, &o, x->all->now_ms);
     }
   if (c->kind != CALL_HOLD || c->result.verdict != MM_CALL_OK)
-    c->answer_ms = x->all->now_ms + LINK_MS
-                   + (c->kind == CALL_START ? x->mode.slow_answers_ms : 0);
+    c->answer_ms
+        = x->all->now_ms + LINK_MS
+          + (c->kind == CALL_START ? x->mode.start_answer_delay_ms : 0);
 }
 
 /* ---- calls ------------------------------------------------------------ */
@@ -309,7 +311,7 @@
   fake_call *c = g_new0 (fake_call, 1);
   c->to = find_fake (f, u);
   c->kind = kind;
-  c->arrives_ms = f->now_ms + LINK_MS + c->to->mode.way_ms;
+  c->arrives_ms = f->now_ms + LINK_MS + c->to->mode.delivery_delay_ms;
   c->answer_ms = -1;
   c->timeout_ms = f->now_ms + timeout_ms;
   c->ctx = ctx;
--- a/tests/fake_upstreams.h
+++ b/tests/fake_upstreams.h
@@ -21,15 +21,17 @@
   uint32_t lose_stops;  /* number of next stops that are lost */
   uint32_t lose_holds;  /* number of next holds that are lost */
   mm_time_ms late_ms;   /* lost starts are carried out after this, 0: never */
-  mm_time_ms way_ms;    /* added to the delivery time, as on a full link */
-  mm_time_ms slow_answers_ms; /* added to the time of answers to starts */
-  bool refuses_connections;   /* calls fail at once: its process is dead */
-  bool silent;                /* no call arrives, none is answered */
-  bool mute;                  /* all calls arrive, none is answered */
-  bool fails_tasks;           /* each task fails after 5 ms */
-  bool unhealthy;             /* refuses starts */
-  bool hangs;                 /* tasks never end */
-  size_t page;                /* maximum ends in one answer, 0: no limit */
+  mm_time_ms
+      delivery_delay_ms; /* added to the delivery time, as on a full link */
+  mm_time_ms
+      start_answer_delay_ms; /* added to the time of answers to starts */
+  bool refuses_connections;  /* calls fail at once: its process is dead */
+  bool silent;               /* no call arrives, none is answered */
+  bool mute;                 /* all calls arrive, none is answered */
+  bool fails_tasks;          /* each task fails after 5 ms */
+  bool unhealthy;            /* refuses starts */
+  bool hangs;                /* tasks never end */
+  size_t page;               /* maximum ends in one answer, 0: no limit */
 } fake_mode;
 
 fakes *fakes_create (void); /* replaces the source of mm_clock_now_ms() */
@@ -46,7 +48,7 @@
 void fake_set_cpu (fake *x, int64_t cpu_milli);
 size_t fake_running (const fake *x);
 uint32_t fake_starts (const fake *x);
-size_t fake_listed (const fake *x); /* ends that are not acknowledged */
+size_t fake_unacked_ends (const fake *x); /* ends that are not acknowledged */
 /* Starts a run as another owner; call it before our first hold or order.  */
 void fake_start_foreign (fake *x, const char *job, uint64_t fence,
                          int64_t cpu_milli, mm_time_ms run_ms);
--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -361,7 +361,7 @@
   char name[16];
   g_snprintf (name, sizeof name, "job-%u", t->index);
   mm_task_request r = fakes_task (name, 0, CPU_MILLI, t->run_ms);
-  r.start_within = START_WITHIN_MS;
+  r.start_within_ms = START_WITHIN_MS;
   t->submitted_to = random_below (fx, OWNERS);
   t->work = mm_owner_submit (fx->instances[t->submitted_to].owner, &r,
                              on_task_done, t);
@@ -438,7 +438,8 @@
     break_link (fx->instances[random_below (fx, OWNERS)].to_peer);
   fake_mode *m = fake_mode_of (fx->upstreams[random_below (fx, UPSTREAMS)]);
   if (random_below (fx, 400) == 0)
-    m->slow_answers_ms = random_below (fx, 2) ? random_below (fx, 40) : 0;
+    m->start_answer_delay_ms
+        = random_below (fx, 2) ? random_below (fx, 40) : 0;
   if (random_below (fx, 600) == 0)
     {
       m->lose_starts = 1;
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -3,12 +3,12 @@
 #include "config.h"
 #include "mm_admission.h"
 #include "mm_caller_wait.h"
-#include "mm_place.h"
+#include "mm_placement.h"
 #include "mm_routes.h"
 #include "mm_dispatch.h"
 #include "mm_submission.h"
 #include "mm_transit.h"
-#include "mm_trust.h"
+#include "mm_breaker.h"
 #include "harness.h"
 
 #include <check.h>
@@ -244,39 +244,39 @@
 }
 END_TEST
 
-static mm_place_candidate
+static mm_placement_candidate
 upstream (int64_t free_milli, double slowness)
 {
-  return (mm_place_candidate){ .room = { .cpu_milli = free_milli },
-                               .allowed = true,
-                               .slowness = slowness };
+  return (mm_placement_candidate){ .room = { .cpu_milli = free_milli },
+                                   .allowed = true,
+                                   .slowness = slowness };
 }
 
 START_TEST (task_is_placed_on_a_fast_upstream_and_fits_tightly)
 {
-  mm_need need = { .cpu_milli = 14000 };
-  mm_place_candidate c[] = { upstream (32000, 1.1), upstream (15000, 1.05),
-                             upstream (14000, 1.6), upstream (9000, 0.5) };
-  ck_assert_int_eq (mm_place_choose (c, 4, &need), 1);
+  mm_resources need = { .cpu_milli = 14000 };
+  mm_placement_candidate c[] = { upstream (32000, 1.1), upstream (15000, 1.05),
+                                 upstream (14000, 1.6), upstream (9000, 0.5) };
+  ck_assert_int_eq (mm_placement_choose (c, 4, &need), 1);
   c[1].allowed = false;
-  ck_assert_int_eq (mm_place_choose (c, 4, &need), 0);
+  ck_assert_int_eq (mm_placement_choose (c, 4, &need), 0);
   c[0].allowed = false;
-  ck_assert_int_eq (mm_place_choose (c, 4, &need), 2);
+  ck_assert_int_eq (mm_placement_choose (c, 4, &need), 2);
   c[2].allowed = false;
-  ck_assert_int_eq (mm_place_choose (c, 4, &need), -1);
+  ck_assert_int_eq (mm_placement_choose (c, 4, &need), -1);
 }
 END_TEST
 
 START_TEST (memory_and_gpus_limit_placement_too)
 {
-  mm_need need = { .cpu_milli = 1, .mem_mb = 100, .gpus = 1 };
-  mm_place_candidate c = upstream (32000, 1);
+  mm_resources need = { .cpu_milli = 1, .mem_mb = 100, .gpus = 1 };
+  mm_placement_candidate c = upstream (32000, 1);
   c.room.mem_mb = 100;
-  ck_assert_int_eq (mm_place_choose (&c, 1, &need), -1);
+  ck_assert_int_eq (mm_placement_choose (&c, 1, &need), -1);
   c.room.gpus = 1;
-  ck_assert_int_eq (mm_place_choose (&c, 1, &need), 0);
+  ck_assert_int_eq (mm_placement_choose (&c, 1, &need), 0);
   c.room.mem_mb = 99;
-  ck_assert_int_eq (mm_place_choose (&c, 1, &need), -1);
+  ck_assert_int_eq (mm_placement_choose (&c, 1, &need), -1);
 }
 END_TEST
 
@@ -286,21 +286,21 @@
    fault does not exclude it.  */
 START_TEST (failures_in_a_row_exclude_an_upstream_until_a_trial_succeeds)
 {
-  mm_trust t = { 0 };
-  mm_trust_note (&t, false, 0);
-  mm_trust_note (&t, true, 0);
-  mm_trust_note (&t, false, 0);
-  mm_trust_note (&t, false, 0);
-  ck_assert (mm_trust_allows (&t, 5, 0));
-  mm_trust_note (&t, false, 0);
-  ck_assert (!mm_trust_allows (&t, 0, MM_TRUST_EXCLUDE_MS - 1));
-  ck_assert (mm_trust_allows (&t, 0, MM_TRUST_EXCLUDE_MS));
-  ck_assert (!mm_trust_allows (&t, 1, MM_TRUST_EXCLUDE_MS));
-  mm_trust_note (&t, false, MM_TRUST_EXCLUDE_MS);
-  ck_assert (!mm_trust_allows (&t, 0, 3 * MM_TRUST_EXCLUDE_MS - 1));
-  ck_assert (mm_trust_allows (&t, 0, 3 * MM_TRUST_EXCLUDE_MS));
-  mm_trust_note (&t, true, 3 * MM_TRUST_EXCLUDE_MS);
-  ck_assert (mm_trust_allows (&t, 5, 3 * MM_TRUST_EXCLUDE_MS));
+  mm_breaker t = { 0 };
+  mm_breaker_record (&t, false, 0);
+  mm_breaker_record (&t, true, 0);
+  mm_breaker_record (&t, false, 0);
+  mm_breaker_record (&t, false, 0);
+  ck_assert (mm_breaker_allows (&t, 5, 0));
+  mm_breaker_record (&t, false, 0);
+  ck_assert (!mm_breaker_allows (&t, 0, MM_BREAKER_OPEN_MS - 1));
+  ck_assert (mm_breaker_allows (&t, 0, MM_BREAKER_OPEN_MS));
+  ck_assert (!mm_breaker_allows (&t, 1, MM_BREAKER_OPEN_MS));
+  mm_breaker_record (&t, false, MM_BREAKER_OPEN_MS);
+  ck_assert (!mm_breaker_allows (&t, 0, 3 * MM_BREAKER_OPEN_MS - 1));
+  ck_assert (mm_breaker_allows (&t, 0, 3 * MM_BREAKER_OPEN_MS));
+  mm_breaker_record (&t, true, 3 * MM_BREAKER_OPEN_MS);
+  ck_assert (mm_breaker_allows (&t, 5, 3 * MM_BREAKER_OPEN_MS));
 }
 END_TEST
 
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -115,8 +115,8 @@
   c->ctx = ctx;
   w->reads++;
   w->reader = caller;
-  mm_time_ms way_ms = caller == w->lost ? timeout_ms : CALL_MS;
-  ev_timer_init (&c->timer, answer_cb, (double)way_ms / 1000., 0.);
+  mm_time_ms delivery_delay_ms = caller == w->lost ? timeout_ms : CALL_MS;
+  ev_timer_init (&c->timer, answer_cb, (double)delivery_delay_ms / 1000., 0.);
   ev_timer_start (w->loop, &c->timer);
 }
 
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -297,7 +297,7 @@
   mm_loss loss = { .upstream = "up",
                    .addr = "127.0.0.1:1",
                    .verdict = MM_LOSS_CRASHED,
-                   .silent_ms = mm_clock_now_ms () - 500,
+                   .unresponsive_since_ms = mm_clock_now_ms () - 500,
                    .tasks = &mark,
                    .n_tasks = 1 };
   mm_mesh_pack_loss (&b, &loss);
@@ -324,7 +324,8 @@
                    && strcmp (m.loss.addr, "127.0.0.1:1") == 0
                    && m.loss.verdict == MM_LOSS_CRASHED && m.loss.n_tasks == 1
                    && m.loss.tasks[0] == mark
-                   && m.loss.silent_ms >= loss.silent_ms);
+                   && m.loss.unresponsive_since_ms
+                          >= loss.unresponsive_since_ms);
       if (kind == MM_MESH_REPORT)
         ck_assert (m.leaving
                    && mm_capacity_waiting_ahead (&m.rooms[0].room, 1) == 1
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -532,7 +532,7 @@
   submit (&fx, &r[1], "full", 1, 2000);
   memset (&r[2], 0, sizeof r[2]);
   mm_task_request t = fakes_task ("full", 2, TASK_CPU_MILLI, 100);
-  t.start_within = 80;
+  t.start_within_ms = 80;
   mm_time_ms from_ms = fakes_now (fx.upstreams);
   mm_owner_submit (fx.owner, &t, on_done, &r[2]);
   fixture_run (&fx, 300);
@@ -693,15 +693,15 @@
   submit (&fx, &other, "other", 0, 100);
   fixture_run (&fx, 1500);
   ck_assert_int_eq (r.how, MM_END_DONE);
-  ck_assert_uint_ge (fake_listed (a), 1);
+  ck_assert_uint_ge (fake_unacked_ends (a), 1);
   mm_task_id id = { .job = "kept" };
   mm_owner_acknowledge_end (fx.owner, &id, mm_run_hash ("a", 1));
   fixture_run (&fx, 1000);
-  ck_assert_uint_eq (fake_listed (a), 0);
+  ck_assert_uint_eq (fake_unacked_ends (a), 0);
   /* An end that is never acknowledged is dropped after MM_KEPT_END_MS.  */
   submit_kept (&fx, &r, "kept", 1, 100);
   fixture_run (&fx, MM_KEPT_END_MS + 2000);
-  ck_assert_uint_eq (fake_listed (a), 0);
+  ck_assert_uint_eq (fake_unacked_ends (a), 0);
   fixture_destroy (&fx);
 }
 END_TEST
@@ -720,14 +720,14 @@
   fixture_run (&fx, 100);
   mm_owner_cancel (fx.owner, r[0].work);
   fixture_run (&fx, 3000);
-  ck_assert_uint_eq (fake_listed (a), 1);
+  ck_assert_uint_eq (fake_unacked_ends (a), 1);
   submit_kept (&fx, &r[1], "over", 1, 1000);
   fixture_run (&fx, 100);
   mm_owner_cancel (fx.owner, r[1].work);
   mm_owner_forget_job (fx.owner, "over");
   fixture_run (&fx, 1500);
   ck_assert_uint_eq (fake_running (a), 0);
-  ck_assert_uint_eq (fake_listed (a), 0);
+  ck_assert_uint_eq (fake_unacked_ends (a), 0);
   fixture_destroy (&fx);
 }
 END_TEST
@@ -860,7 +860,7 @@
       fake *a = fakes_add (fx.upstreams, "a", UPSTREAM_CPU_MILLI);
       fake_start_foreign (a, "orphan", 4, TASK_CPU_MILLI, 100);
       fakes_run (fx.upstreams, NULL, 300);
-      ck_assert_uint_eq (fake_listed (a), 1);
+      ck_assert_uint_eq (fake_unacked_ends (a), 1);
       mm_owner_add_upstream (fx.owner, fake_info (a), 5);
       fixture_run (&fx, 500);
       GHashTable *ids
@@ -872,9 +872,9 @@
       if (answered)
         mm_owner_forget_job (fx.owner, "orphan");
       fixture_run (&fx, MM_KEPT_END_MS - 2000);
-      ck_assert_uint_eq (fake_listed (a), answered ? 0 : 1);
+      ck_assert_uint_eq (fake_unacked_ends (a), answered ? 0 : 1);
       fixture_run (&fx, 4000);
-      ck_assert_uint_eq (fake_listed (a), 0);
+      ck_assert_uint_eq (fake_unacked_ends (a), 0);
       fixture_destroy (&fx);
     }
 }
@@ -945,7 +945,7 @@
   for (int j = 0; j < JOBS; j++)
     {
       for (int i = 0; i < N_UPSTREAMS; i++)
-        fake_mode_of (x[i])->way_ms = j % 2 ? delay_ms : 0;
+        fake_mode_of (x[i])->delivery_delay_ms = j % 2 ? delay_ms : 0;
       outcome r[N_UPSTREAMS];
       char job[16];
       snprintf (job, sizeof job, "job%d", j);
@@ -1008,7 +1008,7 @@
     }
   uint64_t before = mm_metrics_counter (MM_CT_ORDERS_UNANSWERED);
   mm_owner_record_sent (fx.owner, 50 * 2000 / 8);
-  fake_mode_of (x)->way_ms = 50;
+  fake_mode_of (x)->delivery_delay_ms = 50;
   outcome r;
   submit (&fx, &r, "behind", 0, 60);
   fixture_run (&fx, 300);
--- a/tests/test_ownership_changes.c
+++ b/tests/test_ownership_changes.c
@@ -147,7 +147,7 @@
 submit (world *w, mm_time_ms run_ms, mm_time_ms within_ms)
 {
   mm_task_request t = fakes_task ("job", w->n_tasks++, USUAL, run_ms);
-  t.start_within = within_ms;
+  t.start_within_ms = within_ms;
   mm_owner_submit (w->owner, &t, ignore_end, NULL);
 }
 
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -155,7 +155,7 @@
   outcome r[3];
   submit (&s.fx, &r[2], "before", 0, 900); /* a hold waits for its end */
   succession_run (&s, 50);
-  fake_mode_of (a)->slow_answers_ms = 20;
+  fake_mode_of (a)->start_answer_delay_ms = 20;
   submit (&s.fx, &r[0], "claimed", 0, 600);
   succession_run (&s, 5);
   mm_owner_add_upstream (s.next, fake_info (a), 6);
@@ -254,7 +254,7 @@
   submit (&s.fx, &r, "lost", 0, 3000);
   succession_run (&s, 100);
   mm_owner_add_upstream (s.next, fake_info (a), 6);
-  succession_run (&s, MM_ADOPT_MS + 100);
+  succession_run (&s, MM_ADOPT_TIMEOUT_MS + 100);
   ck_assert_uint_eq (fake_running (a), 0);
   succession_run (&s, MM_HOLD_WAIT_MS + MM_ORPHAN_MS + 50);
   ck_assert_uint_eq (r.answers, 1);
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -50,14 +50,14 @@
   g_snprintf (addr, sizeof addr, "127.0.0.1:%d", 1000 + number);
   uint64_t hashes[MM_SUSPECTS_TASKS_MAX];
   for (size_t i = 0; i < n; i++)
-    hashes[i] = mm_task_mark (&ids[i]);
+    hashes[i] = mm_task_hash (&ids[i]);
   mm_loss l = { .upstream = name,
                 .addr = addr,
                 .verdict = v,
-                .silent_ms = now_ms - 1000,
+                .unresponsive_since_ms = now_ms - 1000,
                 .tasks = hashes,
                 .n_tasks = n };
-  mm_suspects_note (s, &l);
+  mm_suspects_record (s, &l);
 }
 
 /* Records a list entry at the address of upstream @number; @name
@@ -80,14 +80,14 @@
   mm_task_id id = task ("poison", 0);
   ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_RUN);
   record_loss (s, 0, MM_LOSS_OPEN, &id, 1);
-  ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_APART);
+  ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_ISOLATE);
   record_loss (s, 1, MM_LOSS_OPEN, &id, 1);
-  ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_HOLD);
+  ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_WAIT);
   record_listing (s, 0, "up0-again", false);
-  ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_HOLD);
+  ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_WAIT);
   record_listing (s, 1, "up1-again", false);
   ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_GIVE_UP);
-  char *names = mm_suspects_crashed (s, &id);
+  char *names = mm_suspects_crashed_names (s, &id);
   ck_assert_str_eq (names, "up0, up1");
   g_free (names);
   suspects_teardown (s);
@@ -111,7 +111,7 @@
       record_listing (s, number + 1, NULL, true); /* it was draining */
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_RUN);
       record_loss (s, number + 2, MM_LOSS_OPEN, &id, 1); /* never answers */
-      ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_APART);
+      ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_ISOLATE);
       now_ms += MM_SUSPECTS_OPEN_MS;
       mm_suspects_tick (s);
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_RUN);
@@ -130,11 +130,11 @@
     ids[i] = task ("mixed", i);
   record_loss (s, 0, MM_LOSS_CRASHED, ids, 5);
   for (int i = 0; i < 5; i++)
-    ck_assert_int_eq (mm_suspects_decide (s, &ids[i]), MM_SUSPECT_APART);
+    ck_assert_int_eq (mm_suspects_decide (s, &ids[i]), MM_SUSPECT_ISOLATE);
   record_loss (s, 1, MM_LOSS_CRASHED, &ids[3], 1);
   for (int i = 0; i < 5; i++)
     ck_assert_int_eq (mm_suspects_decide (s, &ids[i]),
-                      i == 3 ? MM_SUSPECT_GIVE_UP : MM_SUSPECT_APART);
+                      i == 3 ? MM_SUSPECT_GIVE_UP : MM_SUSPECT_ISOLATE);
   suspects_teardown (s);
 }
 END_TEST
@@ -149,9 +149,9 @@
   mm_task_id beside = task ("beside", 0);
   record_loss (s, 0, MM_LOSS_CRASHED, (mm_task_id[]){ ids[0], beside }, 2);
   record_loss (s, 1, MM_LOSS_CRASHED, ids, 2);
-  ck_assert_int_eq (mm_suspects_decide (s, &ids[0]), MM_SUSPECT_APART);
+  ck_assert_int_eq (mm_suspects_decide (s, &ids[0]), MM_SUSPECT_ISOLATE);
   record_loss (s, 2, MM_LOSS_CRASHED, &ids[1], 1);
-  ck_assert_int_eq (mm_suspects_decide (s, &ids[0]), MM_SUSPECT_APART);
+  ck_assert_int_eq (mm_suspects_decide (s, &ids[0]), MM_SUSPECT_ISOLATE);
   ck_assert_int_eq (mm_suspects_decide (s, &ids[1]), MM_SUSPECT_GIVE_UP);
   suspects_teardown (s);
 }
@@ -165,11 +165,11 @@
   mm_task_id ids[2] = { task ("a", 0), task ("b", 0) };
   record_loss (s, 0, MM_LOSS_CRASHED, ids, 2);
   record_loss (s, 1, MM_LOSS_CRASHED, ids, 2);
-  ck_assert_int_eq (mm_suspects_decide (s, &ids[0]), MM_SUSPECT_APART);
-  ck_assert_int_eq (mm_suspects_decide (s, &ids[1]), MM_SUSPECT_APART);
+  ck_assert_int_eq (mm_suspects_decide (s, &ids[0]), MM_SUSPECT_ISOLATE);
+  ck_assert_int_eq (mm_suspects_decide (s, &ids[1]), MM_SUSPECT_ISOLATE);
   record_loss (s, 2, MM_LOSS_CRASHED, &ids[0], 1);
   ck_assert_int_eq (mm_suspects_decide (s, &ids[0]), MM_SUSPECT_GIVE_UP);
-  ck_assert_int_eq (mm_suspects_decide (s, &ids[1]), MM_SUSPECT_APART);
+  ck_assert_int_eq (mm_suspects_decide (s, &ids[1]), MM_SUSPECT_ISOLATE);
   suspects_teardown (s);
 }
 END_TEST
@@ -186,7 +186,7 @@
   ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_RUN);
   now_ms += 5000;
   record_loss (s, 0, MM_LOSS_OPEN, &id, 1);
-  ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_APART);
+  ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_ISOLATE);
   suspects_teardown (s);
 }
 END_TEST
@@ -301,7 +301,7 @@
       fake_mode_of (x)->silent = true;
       fakes_run (fx.f, fx.o, 1800);
       ck_assert_int_eq (how, MM_END_LOST);
-      ck_assert_int_eq (mm_suspects_decide (fx.s, &id), MM_SUSPECT_APART);
+      ck_assert_int_eq (mm_suspects_decide (fx.s, &id), MM_SUSPECT_ISOLATE);
       fake_mode_of (x)->silent = false;
       fakes_run (fx.f, fx.o, 1000);
       ck_assert_int_eq (mm_suspects_decide (fx.s, &id), MM_SUSPECT_RUN);
@@ -326,7 +326,7 @@
   fake_restart (a);
   fakes_run (fx.f, fx.o, 500);
   ck_assert_int_eq (how, MM_END_LOST);
-  ck_assert_uint_eq (mm_suspects_crashes (fx.s, &id), 1);
+  ck_assert_uint_eq (mm_suspects_count_crashes (fx.s, &id), 1);
   mm_owner_add_upstream (fx.o, fake_info (b), 5);
   fakes_run (fx.f, fx.o, 10);
   start_task (&fx, "crash", true, &how);
@@ -336,7 +336,7 @@
   fake_restart (b);
   fakes_run (fx.f, fx.o, 500);
   ck_assert_int_eq (how, MM_END_LOST);
-  ck_assert_uint_eq (mm_suspects_crashes (fx.s, &id), 1);
+  ck_assert_uint_eq (mm_suspects_count_crashes (fx.s, &id), 1);
   fixture_destroy (&fx);
 }
 END_TEST
