--- a/src/mm_front.c
+++ b/src/mm_front.c
@@ -1,5 +1,5 @@
-/* mm_front: a server for callers, and one that tells the balancer whether
-   new callers are welcome.  */
+/* mm_front: an HTTP server for callers, and one that answers the load
+   balancer's readiness checks.  */
 #include "mm_front.h"
 
 #include "config.h"
@@ -7,12 +7,12 @@
 struct mm_front
 {
   mm_node *node;
-  mm_http_server *callers;
-  mm_http_server *balancer;
+  mm_http_server *caller_server;
+  mm_http_server *balancer_server;
 };
 
 static void
-on_ready (mm_http_request *req, void *ctx)
+on_ready_request (mm_http_request *req, void *ctx)
 {
   bool ready = mm_node_ready (((mm_front *)ctx)->node);
   mm_http_reply (req, ready ? 200 : 503,
@@ -20,14 +20,15 @@
 }
 
 /**
- * mm_front_create() - serve callers and the balancer.
- * @loop: the loop.
- * @s: addresses to listen on.
- * @node: takes the jobs; must outlive the front.
- * @handler: called once a request of a caller, with the front.
- * @error: MM_ERROR_IO.
+ * mm_front_create() - start the servers for callers and the load balancer.
+ * @loop: event loop that runs both servers.
+ * @s: settings with the addresses to listen on.
+ * @node: instance that receives the jobs; must outlive the mm_front.
+ * @handler: called once for each request of a caller, with the mm_front as
+ *           its context.
+ * @error: set to MM_ERROR_IO when an address cannot be listened on.
  *
- * Return: the front, or NULL; free with mm_front_destroy().
+ * Return: the mm_front, or NULL on error; free with mm_front_destroy().
  */
 mm_front *
 mm_front_create (struct ev_loop *loop, const mm_node_settings *s,
@@ -35,12 +36,12 @@
 {
   mm_front *f = g_new0 (mm_front, 1);
   f->node = node;
-  f->callers = mm_http_server_listen (
+  f->caller_server = mm_http_server_listen (
       loop, s->front, MM_DEFAULT_MAX_BODY_BYTES, handler, f, error);
-  if (f->callers)
-    f->balancer = mm_http_server_listen (
-        loop, s->ready, MM_STATE_MAX_BODY_BYTES, on_ready, f, error);
-  if (f->balancer)
+  if (f->caller_server)
+    f->balancer_server = mm_http_server_listen (
+        loop, s->ready, MM_STATE_MAX_BODY_BYTES, on_ready_request, f, error);
+  if (f->balancer_server)
     return f;
   mm_front_destroy (f);
   return NULL;
@@ -51,8 +52,8 @@
 {
   if (!f)
     return;
-  mm_http_server_destroy (f->callers);
-  mm_http_server_destroy (f->balancer);
+  mm_http_server_destroy (f->caller_server);
+  mm_http_server_destroy (f->balancer_server);
   g_free (f);
 }
 
@@ -65,13 +66,13 @@
 void
 mm_front_set_leaving (mm_front *f)
 {
-  mm_http_server_set_leaving (f->callers);
+  mm_http_server_set_leaving (f->caller_server);
 }
 
 uint32_t
 mm_front_connections (const mm_front *f)
 {
-  return mm_http_server_connections (f->callers);
+  return mm_http_server_connections (f->caller_server);
 }
 
 void
--- a/src/mm_front.h
+++ b/src/mm_front.h
@@ -1,5 +1,5 @@
-/* mm_front: the sockets that callers and the balancer use, whatever the
-   interface that is spoken on them.  */
+/* mm_front: the HTTP servers for callers and for the load balancer.  The
+   protocol spoken with callers is that of the handler passed in.  */
 #ifndef MM_FRONT_H
 #define MM_FRONT_H
 
@@ -7,16 +7,18 @@
 
 typedef struct mm_front mm_front;
 
-/* @handler gets the front as its context.  */
+/* @handler receives the mm_front as its context.  */
 mm_front *mm_front_create (struct ev_loop *loop, const mm_node_settings *s,
                            mm_node *node, mm_http_handler handler,
                            GError **error);
 void mm_front_destroy (mm_front *f);
 mm_node *mm_front_node (const mm_front *f);
-void mm_front_set_leaving (mm_front *f); /* close with each answer */
+/* From now on closes each caller's connection after its next answer.  */
+void mm_front_set_leaving (mm_front *f);
+/* Number of open connections of callers.  */
 uint32_t mm_front_connections (const mm_front *f);
+/* Answers @req with a JSON error body; @retry_after_s in seconds.  */
 void mm_front_error (mm_http_request *req, unsigned status, mm_error_code code,
-                     const char *why,
-                     uint32_t retry_after_s); /* a JSON error answer */
+                     const char *why, uint32_t retry_after_s);
 
 #endif /* MM_FRONT_H */
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -1,8 +1,9 @@
-/* mm_jobs: each job owns its tasks; each task is at most at one owner.
+/* mm_jobs: runs the tasks of jobs whose callers wait.  Each task is dispatched
+   to at most one owner at a time.
 
-   Nothing of a job is kept: its caller's open request is all that asks
-   for it.  When the caller leaves, its tasks are stopped, so that the
-   same job sent again elsewhere finds none of them running.  */
+   These jobs are not stored: a job lives as long as the open request of a
+   caller.  When the last caller leaves, the job's tasks are stopped, so that
+   none of them still runs when the same job is sent to another instance.  */
 #include "mm_jobs.h"
 
 #include "config.h"
@@ -19,53 +20,53 @@
 {
   job *job;
   mm_task_id id;
-  mm_ticket *ticket; /* at an owner, or NULL */
+  mm_ticket *ticket; /* dispatched to an owner; or NULL */
   uint32_t failures;
-  mm_time_ms handed_ms;
-  char *avoid;         /* upstream of the last failure */
-  char *gave_back;     /* owner that did not start it, "": this instance */
-  bool stranded;       /* no owner was in reach */
-  bool held;           /* it may crash upstreams: not handed out for now */
-  bool apart;          /* handed out as one that may */
-  mm_time_ms again_ms; /* out of sight: handed out again then, 0: it is not */
+  mm_time_ms dispatched_ms; /* when last dispatched */
+  char *avoid_upstream;     /* where the last unsuccessful run was; or NULL */
+  char *returned_by; /* owner that returned it unstarted, "": this instance */
+  bool undispatched; /* no owner could be reached at the last dispatch */
+  bool deferred;     /* may crash upstreams: not dispatched for now */
+  bool isolated;     /* dispatched as a task that may crash upstreams */
+  mm_time_ms redispatch_ms; /* of a task in doubt; 0: not in doubt */
   bool done;
 } task;
 
 struct job
 {
   mm_jobs *jobs;
-  mm_submission *s;
+  mm_submission *submission;
   char *service;
   char *queue;
   uint32_t priority;
   uint32_t attempts;
   mm_time_ms submitted_ms;
-  mm_time_ms deadline_ms; /* the caller leaves */
-  mm_time_ms due_ms;      /* a task begun by then is in time */
-  mm_time_ms start_by_ms; /* one not begun by then comes too late */
+  mm_time_ms deadline_ms;      /* when the caller stops waiting */
+  mm_time_ms on_time_start_ms; /* tasks started by then meet the objective */
+  mm_time_ms latest_start_ms;  /* tasks not started by then come too late */
   task *tasks;
   uint32_t n_tasks;
   mm_steps *steps;
-  bool handed_out; /* a task may have started */
-  uint32_t n_stranded;
-  uint32_t n_lost; /* tasks out of sight */
-  uint32_t n_held;
-  uint32_t n_apart;
+  bool dispatched; /* a task was dispatched and may have started */
+  uint32_t n_undispatched;
+  uint32_t n_in_doubt;
+  uint32_t n_deferred;
+  uint32_t n_isolated;
   GList *callers;
 };
 
 struct mm_caller
 {
   job *job;
-  mm_answer_cb on_answer;
+  mm_job_answered answered;
   void *ctx;
 };
 
 struct mm_jobs
 {
   mm_fleet *fleet;
-  GHashTable *by_id;    /* job id -> job */
-  GHashTable *patience; /* queue -> mm_patience */
+  GHashTable *by_id;       /* job id -> job */
+  GHashTable *caller_wait; /* queue -> mm_patience */
 };
 
 mm_jobs *
@@ -74,7 +75,7 @@
   mm_jobs *j = g_new0 (mm_jobs, 1);
   j->fleet = fleet;
   j->by_id = g_hash_table_new (g_str_hash, g_str_equal);
-  j->patience
+  j->caller_wait
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return j;
 }
@@ -91,22 +92,22 @@
 job_free (job *b)
 {
   stop_tasks (b);
-  g_hash_table_remove (b->jobs->by_id, b->s->id);
+  g_hash_table_remove (b->jobs->by_id, b->submission->id);
   for (uint32_t i = 0; i < b->n_tasks; i++)
     {
-      g_free (b->tasks[i].avoid);
-      g_free (b->tasks[i].gave_back);
+      g_free (b->tasks[i].avoid_upstream);
+      g_free (b->tasks[i].returned_by);
     }
   g_free (b->tasks);
   mm_steps_destroy (b->steps);
   g_free (b->service);
   g_free (b->queue);
-  mm_submission_free (b->s);
+  mm_submission_free (b->submission);
   g_list_free_full (b->callers, g_free);
   g_free (b);
 }
 
-/* Every caller gets the same whole answer; the job is over.  */
+/* Sends the same answer to every caller of the job, then frees the job.  */
 static void
 answer (job *b, mm_answer_kind kind, const char *why, uint32_t retry_after_s)
 {
@@ -132,14 +133,15 @@
   mm_metrics_count (kinds[kind].counter);
   if (kind == MM_ANSWER_COMPLETED)
     mm_metrics_time (MM_HG_JOB, took_ms);
-  mm_log_event (MM_EV_JOB_ANSWERED, MM_TEXT (b->s->id), MM_TEXT (b->queue),
-                MM_TEXT (kinds[kind].name), MM_INT (took_ms), MM_TEXT (why));
+  mm_log_event (MM_EV_JOB_ANSWERED, MM_TEXT (b->submission->id),
+                MM_TEXT (b->queue), MM_TEXT (kinds[kind].name),
+                MM_INT (took_ms), MM_TEXT (why));
   stop_tasks (b);
   while (b->callers)
     {
       mm_caller *c = b->callers->data;
       b->callers = g_list_delete_link (b->callers, b->callers);
-      c->on_answer (c->ctx, &a);
+      c->answered (c->ctx, &a);
       g_free (c);
     }
   g_free (done);
@@ -154,76 +156,77 @@
   GList *jobs = g_hash_table_get_values (j->by_id);
   g_list_free_full (jobs, (GDestroyNotify)job_free);
   g_hash_table_destroy (j->by_id);
-  g_hash_table_destroy (j->patience);
+  g_hash_table_destroy (j->caller_wait);
   g_free (j);
 }
 
-/* No room in time: refused if nothing of it can have run.  */
+/* Ends a job that cannot be finished in time.  The answer is "refused" when
+   none of its tasks can have run.  */
 static void
 give_up (job *b, const char *why)
 {
-  if (b->handed_out)
+  if (b->dispatched)
     answer (b, MM_ANSWER_GIVEN_UP, why, MM_RETRY_AFTER_NO_ROOM_S);
   else
     answer (b, MM_ANSWER_REFUSED, why, MM_RETRY_AFTER_NO_ROOM_S);
 }
 
-static void on_task_done (void *ctx, const mm_work_result *r);
+static void on_task_ended (void *ctx, const mm_work_result *r);
 
 static void
-hold (task *t)
+defer (task *t)
 {
-  t->held = true;
-  t->job->n_held++;
+  t->deferred = true;
+  t->job->n_deferred++;
 }
 
-/* Hand a task to an owner; with none in reach it is tried again at each
-   tick, as owners come back within a second or two.  */
+/* Dispatches a task to an owner.  When no owner can be reached, the task is
+   tried again at each tick, since owners are back within a second or two.  */
 static void
-hand_out (task *t)
+dispatch (task *t)
 {
   job *b = t->job;
   mm_suspect_action action = mm_fleet_decide (b->jobs->fleet, &t->id);
-  if (!mm_suspect_may_run (action, b->n_apart))
+  if (!mm_suspect_may_run (action, b->n_isolated))
     {
-      hold (t);
+      defer (t);
       return;
     }
-  const mm_step *step = &b->s->steps[t->id.step];
+  const mm_step *step = &b->submission->steps[t->id.step];
   mm_time_ms now = mm_clock_now_ms ();
   mm_task_request r
       = { .id = t->id,
           .service = b->service,
-          .payload = step->payload ? step->payload : b->s->payload,
+          .payload = step->payload ? step->payload : b->submission->payload,
           .label = step->label,
           .data_label = step->data_label,
-          .avoid = t->avoid,
+          .avoid = t->avoid_upstream,
           .need = step->need,
           .apart = action == MM_SUSPECT_APART,
           .attempt = t->failures,
           .priority = b->priority,
           .estimate_ms = step->estimate_ms,
           .waited_ms = now - b->submitted_ms,
-          .due_within = MAX (b->due_ms - now, 0) };
-  /* A short wait, then it is spread anew: room may have come free at
-     another owner meanwhile.  */
+          .due_within = MAX (b->on_time_start_ms - now, 0) };
+  /* The task waits in one owner's queue for a short time only and is then
+     placed again, since capacity may have become free at another owner.  */
   r.start_within
-      = CLAMP (b->start_by_ms - now, 1,
+      = CLAMP (b->latest_start_ms - now, 1,
                MM_WITH_SPREAD_ANEW ? MM_SPREAD_WAIT_MS : MM_MAX_PATIENCE_MS);
-  t->handed_ms = now;
+  t->dispatched_ms = now;
   t->ticket
-      = mm_fleet_submit (b->jobs->fleet, &r, t->gave_back, on_task_done, t);
-  t->stranded = !t->ticket;
-  b->n_stranded += t->stranded;
-  t->apart = t->ticket && r.apart;
-  b->n_apart += t->apart;
-  b->handed_out = b->handed_out || t->ticket;
+      = mm_fleet_submit (b->jobs->fleet, &r, t->returned_by, on_task_ended, t);
+  t->undispatched = !t->ticket;
+  b->n_undispatched += t->undispatched;
+  t->isolated = t->ticket && r.apart;
+  b->n_isolated += t->isolated;
+  b->dispatched = b->dispatched || t->ticket;
 }
 
 static void
-begin_task (void *ctx, uint32_t number)
+start_task (void *ctx, uint32_t number)
 {
-  hand_out (&((job *)ctx)->tasks[number]);
+  dispatch (&((job *)ctx)->tasks[number]);
 }
 
 static void
@@ -235,57 +238,58 @@
   if (mm_steps_all_done (b->steps))
     answer (b, MM_ANSWER_COMPLETED, "", 0);
   else
-    mm_steps_begin_ready (b->steps, begin_task, b);
+    mm_steps_begin_ready (b->steps, start_task, b);
 }
 
 static bool
 runs_once (const task *t)
 {
-  return t->job->s->steps[t->id.step].once;
+  return t->job->submission->steps[t->id.step].once;
 }
 
 static void
-avoid (task *t, const char *upstream)
+set_avoid_upstream (task *t, const char *upstream)
 {
-  g_free (t->avoid);
-  t->avoid = g_strdup (upstream);
+  g_free (t->avoid_upstream);
+  t->avoid_upstream = g_strdup (upstream);
 }
 
 static void
 on_failed (task *t, const char *upstream)
 {
   job *b = t->job;
-  avoid (t, upstream);
+  set_avoid_upstream (t, upstream);
   t->failures++;
   if (t->failures >= b->attempts || runs_once (t))
     answer (b, MM_ANSWER_FAILED, "a task failed in every attempt", 0);
   else
-    hand_out (t);
+    dispatch (t);
 }
 
-/* Until when a task is handed out again.  */
+/* The time until which a task may be dispatched again after such an end.  */
 static mm_time_ms
-give_up_time (const job *b, mm_end how)
+latest_redispatch_ms (const job *b, mm_end how)
 {
-  return how == MM_END_NOT_RUN ? b->start_by_ms : b->deadline_ms;
+  return how == MM_END_NOT_RUN ? b->latest_start_ms : b->deadline_ms;
 }
 
+/* What happens next with a task after such an end, for the log.  */
 static const char *
-what_next (const task *t, mm_end how, mm_time_ms now)
+next_action (const task *t, mm_end how, mm_time_ms now)
 {
   const job *b = t->job;
   if (runs_once (t) && how != MM_END_NOT_RUN)
     return "job fails: a task runs only once";
   if (how == MM_END_UNKNOWN)
-    return "caller is told to send the job again";
+    return "caller is asked to send the job again";
   if (how == MM_END_FAILED)
     return t->failures + 1 < b->attempts ? "another attempt"
                                          : "job fails: no attempt left";
   if (how == MM_END_LOST
       && mm_fleet_decide (b->jobs->fleet, &t->id) == MM_SUSPECT_HOLD)
-    return "waits: upstreams were lost under it";
-  return now < give_up_time (b, how) ? "handed out again"
-                                     : "job is given up: too late";
+    return "waits: upstreams were lost while running it";
+  return now < latest_redispatch_ms (b, how) ? "dispatched again"
+                                             : "job is given up: too late";
 }
 
 static const mm_counter_id end_counters[MM_END_COUNT] = {
@@ -298,49 +302,52 @@
 };
 
 static void
-log_end (const task *t, const mm_work_result *r, mm_time_ms now)
+log_task_end (const task *t, const mm_work_result *r, mm_time_ms now)
 {
   if (r->how == MM_END_NOT_RUN)
     mm_log_event (MM_EV_TASK_RETURNED, MM_TASK (&t->id),
-                  MM_INT (now - t->handed_ms), MM_TEXT (r->why),
-                  MM_TEXT (what_next (t, r->how, now)));
+                  MM_INT (now - t->dispatched_ms), MM_TEXT (r->why),
+                  MM_TEXT (next_action (t, r->how, now)));
   else if (r->how != MM_END_DONE)
     mm_log_event (MM_EV_TASK_FAILED, MM_TASK (&t->id), MM_TEXT (r->upstream),
-                  MM_TEXT (mm_end_name (r->how)), MM_INT (now - t->handed_ms),
-                  MM_TEXT (r->why), MM_TEXT (what_next (t, r->how, now)));
+                  MM_TEXT (mm_end_name (r->how)),
+                  MM_INT (now - t->dispatched_ms), MM_TEXT (r->why),
+                  MM_TEXT (next_action (t, r->how, now)));
 }
 
-/* Out of sight a task may run on: under its lease, and before that until its
-   owner has noticed that the link to us is gone.  Then it is certain to have
-   ended, and runs again if its caller still waits by then: a whole answer late
-   is worth more to it than none.  Return: false when it would not.  */
+/* Schedules another dispatch of a task in doubt.  Such a task may still run:
+   until its owner notices that the link to this instance is gone, and then for
+   the rest of its lease.  After MM_OUT_OF_SIGHT_MS the earlier run has ended
+   for certain, and the task can run again if its caller still waits, since a
+   late complete answer is worth more to the caller than none.  Returns false,
+   and schedules nothing, when that would be too late for the caller.  */
 static bool
-run_again_later (task *t, mm_time_ms now)
+schedule_redispatch (task *t, mm_time_ms now)
 {
   job *b = t->job;
-  mm_time_ms again_ms = now + MM_OUT_OF_SIGHT_MS;
-  if (!MM_WITH_RUN_AGAIN || again_ms >= b->start_by_ms)
+  mm_time_ms redispatch_ms = now + MM_OUT_OF_SIGHT_MS;
+  if (!MM_WITH_RUN_AGAIN || redispatch_ms >= b->latest_start_ms)
     return false;
-  t->again_ms = again_ms;
-  b->n_lost++;
+  t->redispatch_ms = redispatch_ms;
+  b->n_in_doubt++;
   return true;
 }
 
 static void
-on_task_done (void *ctx, const mm_work_result *r)
+on_task_ended (void *ctx, const mm_work_result *r)
 {
   task *t = ctx;
   job *b = t->job;
   mm_end how = r->how;
   mm_time_ms now = mm_clock_now_ms ();
   t->ticket = NULL;
-  b->n_apart -= t->apart;
-  t->apart = false;
-  g_clear_pointer (&t->gave_back, g_free);
+  b->n_isolated -= t->isolated;
+  t->isolated = false;
+  g_clear_pointer (&t->returned_by, g_free);
   if (how == MM_END_NOT_RUN)
-    t->gave_back = g_strdup (r->owner ? r->owner : "");
+    t->returned_by = g_strdup (r->owner ? r->owner : "");
   mm_metrics_count (end_counters[how]);
-  log_end (t, r, now);
+  log_task_end (t, r, now);
   switch (how)
     {
     case MM_END_DONE:
@@ -351,30 +358,31 @@
       break;
     case MM_END_STOPPED:
     case MM_END_LOST:
-      avoid (t, r->upstream);
+      set_avoid_upstream (t, r->upstream);
       if (runs_once (t))
         answer (b, MM_ANSWER_FAILED, "a task was lost and runs only once", 0);
       else if (now < b->deadline_ms)
-        hand_out (t);
+        dispatch (t);
       else
         give_up (b, "a task was lost too late");
       break;
     case MM_END_NOT_RUN:
-      if (now < b->start_by_ms)
-        hand_out (t);
+      if (now < b->latest_start_ms)
+        dispatch (t);
       else
         give_up (b, "no room in time");
       break;
     case MM_END_UNKNOWN:
       if (runs_once (t))
         answer (b, MM_ANSWER_FAILED, "a task is out of sight", 0);
-      else if (!run_again_later (t, now))
+      else if (!schedule_redispatch (t, now))
         answer (b, MM_ANSWER_UNKNOWN, r->why, MM_RETRY_AFTER_NO_ROOM_S);
       break;
     }
 }
 
-/* A task that has crashed enough upstreams; NULL: none.  */
+/* Returns a poison task of the job, one that has crashed so many upstreams
+   that it is given up, or NULL.  */
 static const task *
 given_up_task (const job *b)
 {
@@ -386,7 +394,8 @@
   return NULL;
 }
 
-/* Return: whether the job has failed for such a task, and is gone.  */
+/* Fails the job when it has a poison task.  Returns whether the job has failed
+   and been freed.  */
 static bool
 fail_if_given_up (job *b)
 {
@@ -400,23 +409,23 @@
 
 static job *
 job_create (mm_jobs *j, mm_submission *s, const mm_route *route,
-            mm_time_ms patience_ms, mm_time_ms slack_ms)
+            mm_time_ms caller_timeout_ms, mm_time_ms slack_ms)
 {
   job *b = g_new0 (job, 1);
   mm_time_ms now = mm_clock_now_ms ();
   b->jobs = j;
-  b->s = s;
+  b->submission = s;
   b->service = g_strdup (route->service);
   b->queue = g_strdup (route->name);
   b->priority = route->priority;
   b->attempts = MAX (route->attempts, 1);
   b->submitted_ms = now;
-  b->deadline_ms = now + patience_ms;
-  b->due_ms = now + slack_ms;
-  b->start_by_ms = now
-                   + mm_admission_limit_ms (route->stretch, route->slo_ms,
-                                            mm_submission_chain_ms (s));
-  b->start_by_ms = MIN (b->start_by_ms, b->deadline_ms);
+  b->deadline_ms = now + caller_timeout_ms;
+  b->on_time_start_ms = now + slack_ms;
+  b->latest_start_ms = now
+                       + mm_admission_limit_ms (route->stretch, route->slo_ms,
+                                                mm_submission_chain_ms (s));
+  b->latest_start_ms = MIN (b->latest_start_ms, b->deadline_ms);
   b->n_tasks = mm_submission_tasks (s);
   b->tasks = g_new0 (task, b->n_tasks);
   b->steps = mm_steps_create (s);
@@ -429,83 +438,91 @@
   return b;
 }
 
-/* Has the caller asked before, too long ago for an answer to be of use?  */
+/* Returns whether the caller has sent this job before, so long ago that an
+   answer is of no use to it any more.  */
 static bool
-comes_too_late (mm_jobs *j, const mm_route *route, mm_time_ms patience_ms,
-                mm_time_ms chain_ms)
+sent_again_too_late (mm_jobs *j, const mm_route *route,
+                     mm_time_ms caller_timeout_ms, mm_time_ms chain_ms)
 {
-  mm_patience *p = g_hash_table_lookup (j->patience, route->name);
+  mm_patience *p = g_hash_table_lookup (j->caller_wait, route->name);
   if (!p)
     {
       p = g_new0 (mm_patience, 1);
-      g_hash_table_insert (j->patience, g_strdup (route->name), p);
+      g_hash_table_insert (j->caller_wait, g_strdup (route->name), p);
     }
   return mm_patience_is_over (
-      p, patience_ms,
+      p, caller_timeout_ms,
       mm_admission_useful_ms (route->stretch, route->slo_ms, chain_ms));
 }
 
 static mm_caller *
-add_caller (job *b, mm_answer_cb on_answer, void *ctx)
+add_caller (job *b, mm_job_answered answered, void *ctx)
 {
   mm_caller *c = g_new0 (mm_caller, 1);
   c->job = b;
-  c->on_answer = on_answer;
+  c->answered = answered;
   c->ctx = ctx;
   b->callers = g_list_append (b->callers, c);
   return c;
 }
 
 /**
- * mm_jobs_submit() - take a job, or refuse it at once.
- * @j: the jobs.
- * @s: the job; taken.
- * @route: its queue.
- * @patience_ms: how long its caller waits.
- * @on_answer: called once, unless the caller leaves before.
- * @ctx: for @on_answer.
+ * mm_jobs_submit() - accept a job, or refuse it at once.
+ * @j: the jobs of this instance.
+ * @s: the job; ownership is taken.
+ * @route: the job's queue.
+ * @caller_timeout_ms: how long its caller waits.
+ * @answered: called once, unless the caller leaves before.
+ * @ctx: for @answered.
  *
- * Return: the caller's handle, NULL when it was refused.
+ * A job whose id runs here already is not run twice: the caller gets the
+ * answer of the running one.
+ *
+ * Return: the caller's handle, or NULL when @answered has been called
+ * already.
  */
 mm_caller *
 mm_jobs_submit (mm_jobs *j, mm_submission *s, const mm_route *route,
-                mm_time_ms patience_ms, mm_answer_cb on_answer, void *ctx)
+                mm_time_ms caller_timeout_ms, mm_job_answered answered,
+                void *ctx)
 {
   mm_metrics_count (MM_CT_JOBS_SUBMITTED);
   job *b = g_hash_table_lookup (j->by_id, s->id);
   if (b)
     {
       mm_submission_free (s);
-      return add_caller (b, on_answer, ctx);
+      return add_caller (b, answered, ctx);
     }
-  mm_answer no = { .kind = MM_ANSWER_REFUSED,
-                   .retry_after_s = MM_RETRY_AFTER_NO_ROOM_S };
-  no.why = route->needs_advice ? "queues with advice are not served"
-                               : mm_submission_unsupported (s);
+  mm_answer refusal = { .kind = MM_ANSWER_REFUSED,
+                        .retry_after_s = MM_RETRY_AFTER_NO_ROOM_S };
+  refusal.why = route->needs_advice ? "queues with advice are not served"
+                                    : mm_submission_unsupported (s);
   mm_load load = mm_fleet_load (j->fleet, route->service, route->priority);
   mm_time_ms chain_ms = mm_submission_chain_ms (s);
   mm_time_ms slack
       = mm_admission_slack_ms (route->stretch, route->slo_ms, chain_ms);
-  /* It gets what room is free, and queues up before nobody.  */
-  if (MM_WITH_PATIENCE && comes_too_late (j, route, patience_ms, chain_ms))
+  /* The job of such a caller may only use free capacity: it must not wait in
+     a queue ahead of jobs whose answers are still of use.  */
+  if (MM_WITH_PATIENCE
+      && sent_again_too_late (j, route, caller_timeout_ms, chain_ms))
     slack = 0;
   uint32_t tasks = mm_submission_first_tasks (s);
-  mm_admission a = mm_admission_decide (&load, tasks, slack);
-  if (!no.why && !a.take)
+  mm_admission admission = mm_admission_decide (&load, tasks, slack);
+  if (!refusal.why && !admission.take)
     {
-      no.why = "would come too late";
-      no.retry_after_s = a.retry_after_s;
+      refusal.why = "would come too late";
+      refusal.retry_after_s = admission.retry_after_s;
     }
-  if (no.why)
+  if (refusal.why)
     {
-      mm_metrics_count (a.take ? MM_CT_JOBS_REFUSED_KIND
-                               : MM_CT_JOBS_REFUSED_LATE);
-      mm_log_event (MM_EV_JOB_REFUSED, MM_TEXT (s->id), MM_TEXT (route->name),
-                    MM_INT (route->config_version), MM_INT (tasks),
-                    MM_INT (load.places), MM_INT (load.free),
-                    MM_INT (load.waiting), MM_INT (load.age_ms),
-                    MM_INT (a.wait_ms), MM_INT (slack), MM_TEXT (no.why));
-      on_answer (ctx, &no);
+      mm_metrics_count (admission.take ? MM_CT_JOBS_REFUSED_KIND
+                                       : MM_CT_JOBS_REFUSED_LATE);
+      mm_log_event (
+          MM_EV_JOB_REFUSED, MM_TEXT (s->id), MM_TEXT (route->name),
+          MM_INT (route->config_version), MM_INT (tasks), MM_INT (load.places),
+          MM_INT (load.free), MM_INT (load.waiting), MM_INT (load.age_ms),
+          MM_INT (admission.wait_ms), MM_INT (slack), MM_TEXT (refusal.why));
+      answered (ctx, &refusal);
       mm_submission_free (s);
       return NULL;
     }
@@ -513,18 +530,19 @@
                 MM_INT (route->config_version), MM_INT (tasks),
                 MM_INT (load.places), MM_INT (load.free),
                 MM_INT (load.waiting), MM_INT (load.age_ms),
-                MM_INT (a.wait_ms), MM_INT (slack));
-  b = job_create (j, s, route, patience_ms, slack);
-  mm_caller *c = add_caller (b, on_answer, ctx);
+                MM_INT (admission.wait_ms), MM_INT (slack));
+  b = job_create (j, s, route, caller_timeout_ms, slack);
+  mm_caller *c = add_caller (b, answered, ctx);
   if (b->n_tasks == 0)
     {
       answer (b, MM_ANSWER_COMPLETED, "", 0);
       return NULL;
     }
-  /* Handed in again, it crashes nothing more.  */
+  /* A job sent again with a known poison task fails before the task can crash
+     more upstreams.  */
   if (fail_if_given_up (b))
     return NULL;
-  mm_steps_begin_ready (b->steps, begin_task, b);
+  mm_steps_begin_ready (b->steps, start_task, b);
   return c;
 }
 
@@ -537,7 +555,8 @@
   if (b->callers)
     return;
   mm_metrics_count (MM_CT_JOBS_LEFT);
-  mm_log_event (MM_EV_JOB_CALLER_LEFT, MM_TEXT (b->s->id), MM_TEXT (b->queue),
+  mm_log_event (MM_EV_JOB_CALLER_LEFT, MM_TEXT (b->submission->id),
+                MM_TEXT (b->queue),
                 MM_INT (mm_clock_now_ms () - b->submitted_ms));
   job_free (b);
 }
@@ -559,24 +578,25 @@
 
 static void
 answer_all (mm_jobs *j, mm_answer_kind kind, const char *why,
-            mm_time_ms due_before_ms)
+            mm_time_ms deadline_before_ms)
 {
   GList *jobs = g_hash_table_get_values (j->by_id);
   for (GList *l = jobs; l; l = l->next)
-    if (((job *)l->data)->deadline_ms < due_before_ms)
+    if (((job *)l->data)->deadline_ms < deadline_before_ms)
       answer (l->data, kind, why, MM_RETRY_AFTER_NO_ROOM_S);
   g_list_free (jobs);
 }
 
 /**
- * mm_jobs_abandon() - give all jobs up at once.
- * @j: the jobs.
- * @why: told to their callers.
+ * mm_jobs_abandon() - end all jobs at once, with their outcome unknown.
+ * @j: the jobs of this instance.
+ * @why: reason given to the callers.
  *
- * For a process that stood still longer than leases last, and one about to
- * exit: callers may have sent, or will send, their jobs to another
- * instance, so nothing of them may start here any more.  Tasks may have
- * run: no caller is told that its job did not.
+ * Called when the process has stalled for longer than leases last, and when
+ * the process is about to exit: callers may have sent their jobs to another
+ * instance, or will do so, and therefore no task of them may start here any
+ * more.  Tasks may have run, so no caller is answered that its job was
+ * refused.
  */
 void
 mm_jobs_abandon (mm_jobs *j, const char *why)
@@ -585,36 +605,37 @@
 }
 
 static void
-retry_stranded (job *b, mm_time_ms now)
+retry_undispatched (job *b, mm_time_ms now)
 {
-  if (now >= b->start_by_ms)
+  if (now >= b->latest_start_ms)
     {
       give_up (b, "no owner in reach");
       return;
     }
-  b->n_stranded = 0;
+  b->n_undispatched = 0;
   for (uint32_t i = 0; i < b->n_tasks; i++)
-    if (b->tasks[i].stranded)
-      hand_out (&b->tasks[i]);
+    if (b->tasks[i].undispatched)
+      dispatch (&b->tasks[i]);
 }
 
 static void
-retry_lost (job *b, mm_time_ms now)
+redispatch_in_doubt (job *b, mm_time_ms now)
 {
   for (uint32_t i = 0; i < b->n_tasks; i++)
     {
       task *t = &b->tasks[i];
-      if (!t->again_ms || now < t->again_ms)
+      if (!t->redispatch_ms || now < t->redispatch_ms)
         continue;
-      t->again_ms = 0;
-      b->n_lost--;
-      hand_out (t);
+      t->redispatch_ms = 0;
+      b->n_in_doubt--;
+      dispatch (t);
     }
 }
 
-/* More may be known now of the upstreams that were lost under its tasks.  */
+/* Checks the job's deferred tasks again: more may be known by now of the
+   upstreams that were lost while running them.  */
 static void
-review_held (job *b, mm_time_ms now)
+retry_deferred (job *b, mm_time_ms now)
 {
   if (fail_if_given_up (b))
     return;
@@ -623,23 +644,23 @@
       give_up (b, "upstreams were lost under a task");
       return;
     }
-  b->n_held = 0;
+  b->n_deferred = 0;
   for (uint32_t i = 0; i < b->n_tasks; i++)
     {
-      bool held = b->tasks[i].held;
-      b->tasks[i].held = false;
-      if (held)
-        hand_out (&b->tasks[i]);
+      bool deferred = b->tasks[i].deferred;
+      b->tasks[i].deferred = false;
+      if (deferred)
+        dispatch (&b->tasks[i]);
     }
 }
 
 static void
-review_all_held (mm_jobs *j, mm_time_ms now)
+retry_all_deferred (mm_jobs *j, mm_time_ms now)
 {
   GList *jobs = g_hash_table_get_values (j->by_id);
   for (GList *l = jobs; l; l = l->next)
-    if (((job *)l->data)->n_held)
-      review_held (l->data, now);
+    if (((job *)l->data)->n_deferred)
+      retry_deferred (l->data, now);
   g_list_free (jobs);
 }
 
@@ -651,13 +672,13 @@
   for (GList *l = jobs; l; l = l->next)
     {
       job *b = l->data;
-      if (b->n_lost)
-        retry_lost (b, now);
-      if (b->n_stranded)
-        retry_stranded (b, now);
+      if (b->n_in_doubt)
+        redispatch_in_doubt (b, now);
+      if (b->n_undispatched)
+        retry_undispatched (b, now);
     }
   g_list_free (jobs);
-  review_all_held (j, now);
+  retry_all_deferred (j, now);
   answer_all (j, MM_ANSWER_GIVEN_UP, "the caller's time is over",
               mm_clock_now_ms ());
 }
--- a/src/mm_own.h
+++ b/src/mm_own.h
@@ -1,24 +1,25 @@
-/* mm_own: our own interface, as ports of the core.
+/* mm_native: the native protocol, as ports of the core.
 
-   What platform/ is for the users' prepared platform, this is for our
-   stand-ins: calls to upstreams and to the store, and callers' jobs at
-   POST /v1/jobs.  */
-#ifndef MM_OWN_H
-#define MM_OWN_H
+   Carries calls to upstreams and to the store, and callers' jobs at
+   POST /v1/jobs.  The stand-ins of this project speak this protocol; platform/
+   implements the same ports for the platform of the users.  */
+#ifndef MM_NATIVE_H
+#define MM_NATIVE_H
 
 #include "mm_exec_http.h"
 #include "mm_front.h"
 #include "mm_store_http.h"
 
-/* ---- mm_own_exec: calls to upstreams ---- */
+/* ---- mm_native_exec: calls to upstreams ---- */
 extern const mm_exec_wire mm_own_exec_wire;
 
-/* ---- mm_own_store: calls to the store ---- */
+/* ---- mm_native_store: calls to the store ---- */
 mm_store_port mm_own_store_port (mm_store_http *s);
 
-/* ---- mm_own_front: callers' jobs ---- */
+/* ---- mm_native_front: callers' jobs ---- */
 void mm_own_front_request (mm_http_request *req, void *ctx /* mm_front */);
 mm_submission *mm_own_submission (const char *body, size_t len,
-                                  mm_time_ms *patience_ms, GError **error);
+                                  mm_time_ms *caller_timeout_ms,
+                                  GError **error);
 
-#endif /* MM_OWN_H */
+#endif /* MM_NATIVE_H */
--- a/src/mm_own_exec.c
+++ b/src/mm_own_exec.c
@@ -1,4 +1,4 @@
-/* mm_own_exec: orders to upstreams in our own interface.  */
+/* mm_native_exec: orders to upstreams in the native protocol.  */
 #include "mm_own.h"
 #include "mm_run_json.h"
 
--- a/src/mm_own_front.c
+++ b/src/mm_own_front.c
@@ -1,9 +1,10 @@
-/* mm_own_front: callers' jobs at POST /v1/jobs.
+/* mm_native_front: callers' jobs at POST /v1/jobs, in the native protocol.
 
-   The job is answered when it has ended, or with "kept": true as soon as it
-   is stored; then GET and DELETE /v1/jobs/ID show and cancel it at any
-   instance, and GET /v1/queues/NAME counts those that have not begun.  Its
-   queue is "queue" in the body or the first one of the configuration.  */
+   A job is answered when it has ended.  A job with "kept": true is answered
+   as soon as it is stored; from then on, GET and DELETE /v1/jobs/ID at any
+   instance show and cancel it, and GET /v1/queues/NAME counts the kept jobs
+   of a queue that have not started.  The queue of a job is "queue" in its
+   body, or else the first queue of the configuration.  */
 #include "mm_own.h"
 
 #include "config.h"
@@ -11,16 +12,17 @@
 #include <cJSON.h>
 #include <string.h>
 
+/* A request that is answered when its job has ended.  */
 typedef struct
 {
   mm_front *front;
   mm_http_request *req;
   mm_caller *caller;
-  mm_job *job; /* as it was sent: names of tasks */
-} waiting;
+  mm_job *job; /* the job as sent; the answer needs the names of its tasks */
+} waiting_request;
 
 static void
-waiting_free (waiting *w)
+waiting_request_free (waiting_request *w)
 {
   mm_job_destroy (w->job);
   g_free (w);
@@ -35,7 +37,7 @@
 }
 
 static unsigned
-status_of (mm_answer_kind kind)
+http_status_of (mm_answer_kind kind)
 {
   switch (kind)
     {
@@ -54,9 +56,9 @@
 }
 
 static void
-on_answer (void *ctx, const mm_answer *a)
+on_job_answered (void *ctx, const mm_answer *a)
 {
-  waiting *w = ctx;
+  waiting_request *w = ctx;
   bool complete = a->kind == MM_ANSWER_COMPLETED;
   cJSON *o = cJSON_CreateObject ();
   cJSON_AddStringToObject (o, "job_id", w->job->id);
@@ -72,24 +74,25 @@
       cJSON_AddItemToArray (tasks, t);
     }
   char *text = cJSON_PrintUnformatted (o);
-  mm_http_reply (w->req, status_of (a->kind), text, a->retry_after_s);
+  mm_http_reply (w->req, http_status_of (a->kind), text, a->retry_after_s);
   free (text);
   cJSON_Delete (o);
-  waiting_free (w);
+  waiting_request_free (w);
 }
 
 static void
-on_left (void *ctx)
+on_caller_left (void *ctx)
 {
-  waiting *w = ctx;
+  waiting_request *w = ctx;
   mm_jobs_caller_left (mm_node_jobs (mm_front_node (w->front)), w->caller);
   mm_front_error (w->req, 502, MM_ERROR_IO, "caller left", 0);
-  waiting_free (w);
+  waiting_request_free (w);
 }
 
-/* What a stand-in upstream reads: a slot each, and the run time.  */
+/* The payload that a stand-in upstream reads: one slot of CPU for each task,
+   and the task's run time.  */
 static char *
-payload_of (const mm_task *t)
+upstream_payload (const mm_task *t)
 {
   cJSON *o = cJSON_CreateObject ();
   cJSON_AddNumberToObject (o, "cpu_milli", MM_SLOT_CPU_MILLI);
@@ -123,37 +126,39 @@
       step->count = 1;
       step->need.cpu_milli = MM_SLOT_CPU_MILLI;
       step->estimate_ms = job->tasks[i].run_ms;
-      step->payload = payload_of (&job->tasks[i]);
+      step->payload = upstream_payload (&job->tasks[i]);
       step->once = !job->tasks[i].idempotent;
     }
   return s;
 }
 
 static mm_time_ms
-patience_of (const mm_job *job)
+caller_timeout_of (const mm_job *job)
 {
-  mm_time_ms first = MM_MAX_PATIENCE_MS;
+  mm_time_ms earliest_ms = MM_MAX_PATIENCE_MS;
   for (uint32_t i = 0; i < job->n_tasks; i++)
-    first = MIN (first, job->tasks[i].deadline_ms);
-  return first;
+    earliest_ms = MIN (earliest_ms, job->tasks[i].deadline_ms);
+  return earliest_ms;
 }
 
 /**
- * mm_own_submission() - a job in our own JSON, as the core takes it.
+ * mm_own_submission() - parse a job in the JSON of the native protocol.
  * @body: JSON text.
- * @len: bytes of it.
- * @patience_ms: set to its first deadline.
- * @error: MM_ERROR_BAD_REQUEST or MM_ERROR_JOB_SIZE.
+ * @len: length of @body in bytes.
+ * @caller_timeout_ms: set to the earliest deadline of the job's tasks.
+ * @error: set to MM_ERROR_BAD_REQUEST or MM_ERROR_JOB_SIZE.
+ *
+ * Return: the job, or NULL on error; free with mm_submission_free().
  */
 mm_submission *
-mm_own_submission (const char *body, size_t len, mm_time_ms *patience_ms,
+mm_own_submission (const char *body, size_t len, mm_time_ms *caller_timeout_ms,
                    GError **error)
 {
   mm_job *job
       = mm_job_parse_json (body, len, MM_DEFAULT_MAX_TASKS_PER_JOB, error);
   mm_submission *s = job ? submission_of (job, error) : NULL;
   if (s)
-    *patience_ms = patience_of (job);
+    *caller_timeout_ms = caller_timeout_of (job);
   mm_job_destroy (job);
   return s;
 }
@@ -163,31 +168,31 @@
 #define JOBS_PATH "/v1/jobs"
 #define QUEUES_PATH "/v1/queues/"
 
-/* A caller that waits for a word of a job's home.  */
+/* A caller's request that waits for the answer of a job's home.  */
 typedef struct
 {
   mm_http_request *req;
-  unsigned status; /* when all is well */
-  char *name;      /* of the job, or the queue */
-  bool counts;     /* asks for a queue's count, not for a job */
-} asking;
+  unsigned ok_status; /* HTTP status of the answer on success */
+  char *name;         /* id of the job, or name of the queue */
+  bool is_count;      /* asks for the number of jobs of a queue */
+} home_request;
 
-static asking *
-asking_new (mm_http_request *req, unsigned status, const char *name)
+static home_request *
+home_request_new (mm_http_request *req, unsigned ok_status, const char *name)
 {
-  asking *a = g_new0 (asking, 1);
-  a->req = req;
-  a->status = status;
-  a->name = g_strdup (name);
-  return a;
+  home_request *r = g_new0 (home_request, 1);
+  r->req = req;
+  r->ok_status = ok_status;
+  r->name = g_strdup (name);
+  return r;
 }
 
 static char *
-told_body (const asking *a, const mm_kept_answer *k)
+home_answer_body (const home_request *r, const mm_kept_answer *k)
 {
   cJSON *o = cJSON_CreateObject ();
-  cJSON_AddStringToObject (o, a->counts ? "queue" : "job_id", a->name);
-  if (a->counts)
+  cJSON_AddStringToObject (o, r->is_count ? "queue" : "job_id", r->name);
+  if (r->is_count)
     cJSON_AddNumberToObject (o, "pending", k->pending);
   else
     cJSON_AddStringToObject (o, "state", mm_job_phase_name (k->phase));
@@ -197,59 +202,62 @@
 }
 
 static void
-on_told (void *ctx, const mm_kept_answer *k)
+on_home_answered (void *ctx, const mm_kept_answer *k)
 {
-  asking *a = ctx;
+  home_request *r = ctx;
   char *text;
   switch (k->status)
     {
     case MM_KEPT_OK:
-      text = told_body (a, k);
-      mm_http_reply (a->req, a->status, text, 0);
+      text = home_answer_body (r, k);
+      mm_http_reply (r->req, r->ok_status, text, 0);
       free (text);
       break;
     case MM_KEPT_NO_JOB:
-      mm_front_error (a->req, 410, MM_ERROR_BAD_REQUEST, "no such job", 0);
+      mm_front_error (r->req, 410, MM_ERROR_BAD_REQUEST, "no such job", 0);
       break;
     case MM_KEPT_MOVING:
     case MM_KEPT_BUSY:
-      mm_front_error (a->req, 503, MM_ERROR_OVERLOADED,
+      mm_front_error (r->req, 503, MM_ERROR_OVERLOADED,
                       "not taken, come back later",
                       MAX (k->retry_after_s, MM_RETRY_AFTER_NO_ROOM_S));
       break;
     case MM_KEPT_UNSURE:
-      mm_front_error (a->req, 502, MM_ERROR_PLATFORM,
+      mm_front_error (r->req, 502, MM_ERROR_PLATFORM,
                       "whether it is stored is not known: send it again",
                       MM_RETRY_AFTER_NO_ROOM_S);
       break;
     }
-  g_free (a->name);
-  g_free (a);
+  g_free (r->name);
+  g_free (r);
 }
 
 static void
-ask_about_job (mm_front *f, mm_http_request *req, const char *id)
+handle_job_request (mm_front *f, mm_http_request *req, const char *id)
 {
   mm_kept *kept = mm_node_kept (mm_front_node (f));
   const char *method = mm_http_request_method (req);
   if (strcmp (method, "GET") == 0)
-    mm_kept_state (kept, id, on_told, asking_new (req, 200, id));
+    mm_kept_state (kept, id, on_home_answered,
+                   home_request_new (req, 200, id));
   else if (strcmp (method, "DELETE") == 0)
-    mm_kept_cancel (kept, id, on_told, asking_new (req, 200, id));
+    mm_kept_cancel (kept, id, on_home_answered,
+                    home_request_new (req, 200, id));
   else
     mm_front_error (req, 405, MM_ERROR_BAD_REQUEST, "GET or DELETE", 0);
 }
 
 static void
-ask_about_queue (mm_front *f, mm_http_request *req, const char *queue)
+handle_queue_request (mm_front *f, mm_http_request *req, const char *queue)
 {
-  asking *a = asking_new (req, 200, queue);
-  a->counts = true;
-  mm_kept_pending (mm_node_kept (mm_front_node (f)), queue, on_told, a);
+  home_request *r = home_request_new (req, 200, queue);
+  r->is_count = true;
+  mm_kept_pending (mm_node_kept (mm_front_node (f)), queue, on_home_answered,
+                   r);
 }
 
 static bool
-wants_keeping (const char *body, size_t len)
+wants_kept_job (const char *body, size_t len)
 {
   cJSON *o = cJSON_ParseWithLength (body, len);
   bool kept = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (o, "kept"));
@@ -260,14 +268,14 @@
 /* ---- jobs whose callers wait ------------------------------------------ */
 
 static const mm_route *
-queue_of (const mm_routes *routes, const char *body, size_t len)
+find_queue (const mm_routes *routes, const char *body, size_t len)
 {
   cJSON *o = cJSON_ParseWithLength (body, len);
-  const char *want
+  const char *queue_name
       = cJSON_GetStringValue (cJSON_GetObjectItemCaseSensitive (o, "queue"));
-  const mm_route *found = !want && routes->n ? &routes->routes[0] : NULL;
-  for (size_t i = 0; want && i < routes->n; i++)
-    if (strcmp (routes->routes[i].name, want) == 0)
+  const mm_route *found = !queue_name && routes->n ? &routes->routes[0] : NULL;
+  for (size_t i = 0; queue_name && i < routes->n; i++)
+    if (strcmp (routes->routes[i].name, queue_name) == 0)
       found = &routes->routes[i];
   cJSON_Delete (o);
   return found;
@@ -279,7 +287,7 @@
   size_t len;
   const char *body = mm_http_request_body (req, &len);
   const mm_routes *routes = mm_node_routes (mm_front_node (f));
-  const mm_route *queue = routes ? queue_of (routes, body, len) : NULL;
+  const mm_route *queue = routes ? find_queue (routes, body, len) : NULL;
   GError *error = NULL;
   mm_job *job
       = mm_job_parse_json (body, len, MM_DEFAULT_MAX_TASKS_PER_JOB, &error);
@@ -292,27 +300,27 @@
                     1);
   else if (!queue)
     mm_front_error (req, 404, MM_ERROR_BAD_REQUEST, "no such queue", 0);
-  else if (wants_keeping (body, len))
+  else if (wants_kept_job (body, len))
     {
-      asking *a = asking_new (req, 202, s->id);
+      home_request *r = home_request_new (req, 202, s->id);
       s->best_effort = false;
       mm_kept_submit (mm_node_kept (mm_front_node (f)), g_steal_pointer (&s),
-                      queue, on_told, a);
+                      queue, on_home_answered, r);
     }
   else
     {
-      waiting *w = g_new0 (waiting, 1);
+      waiting_request *w = g_new0 (waiting_request, 1);
       w->front = f;
       w->req = req;
-      mm_time_ms patience_ms = patience_of (job);
+      mm_time_ms caller_timeout_ms = caller_timeout_of (job);
       w->job = g_steal_pointer (&job);
       mm_caller *c = mm_jobs_submit (mm_node_jobs (mm_front_node (f)),
-                                     g_steal_pointer (&s), queue, patience_ms,
-                                     on_answer, w);
+                                     g_steal_pointer (&s), queue,
+                                     caller_timeout_ms, on_job_answered, w);
       if (c)
         {
           w->caller = c;
-          mm_http_request_on_left (req, on_left, w);
+          mm_http_request_on_left (req, on_caller_left, w);
         }
     }
   mm_job_destroy (job);
@@ -321,9 +329,9 @@
 }
 
 /**
- * mm_own_front_request() - a request of a caller.
+ * mm_own_front_request() - handle a caller's HTTP request.
  * @req: the request.
- * @ctx: the mm_front it came to.
+ * @ctx: the mm_front that received it.
  */
 void
 mm_own_front_request (mm_http_request *req, void *ctx)
@@ -333,9 +341,9 @@
       && strcmp (path, JOBS_PATH) == 0)
     post_job (ctx, req);
   else if (g_str_has_prefix (path, JOBS_PATH "/"))
-    ask_about_job (ctx, req, path + strlen (JOBS_PATH "/"));
+    handle_job_request (ctx, req, path + strlen (JOBS_PATH "/"));
   else if (g_str_has_prefix (path, QUEUES_PATH))
-    ask_about_queue (ctx, req, path + strlen (QUEUES_PATH));
+    handle_queue_request (ctx, req, path + strlen (QUEUES_PATH));
   else
     mm_front_error (req, 404, MM_ERROR_BAD_REQUEST, "no such path", 0);
 }
--- a/src/mm_own_store.c
+++ b/src/mm_own_store.c
@@ -1,4 +1,4 @@
-/* mm_own_store: calls to the store in our own interface.  */
+/* mm_native_store: calls to the store in the native protocol.  */
 #include "mm_own.h"
 
 #include <string.h>
@@ -9,14 +9,14 @@
 /* ---- values ----------------------------------------------------------- */
 
 static char *
-text_of (const cJSON *o, const char *name)
+string_field (const cJSON *o, const char *name)
 {
   return g_strdup (
       cJSON_GetStringValue (cJSON_GetObjectItemCaseSensitive (o, name)));
 }
 
 static double
-number_of (const cJSON *o, const char *name, double def)
+number_field (const cJSON *o, const char *name, double def)
 {
   const cJSON *f = cJSON_GetObjectItemCaseSensitive (o, name);
   return cJSON_IsNumber (f) ? f->valuedouble : def;
@@ -27,17 +27,19 @@
 {
   mm_upstream_info *u = g_new0 (mm_upstream_info, 1);
   u->name = g_strdup (name);
-  u->addr = text_of (o, "address");
-  u->service = text_of (o, "service");
-  u->datacentre = text_of (o, "datacentre");
-  u->capacity.cpu_milli = (int64_t)number_of (o, "cpu_milli", 0);
-  u->capacity.mem_mb = (int64_t)number_of (o, "mem_mb", 0);
-  u->slots = (int64_t)number_of (o, "slots", 0);
+  u->addr = string_field (o, "address");
+  u->service = string_field (o, "service");
+  u->datacentre = string_field (o, "datacentre");
+  u->capacity.cpu_milli = (int64_t)number_field (o, "cpu_milli", 0);
+  u->capacity.mem_mb = (int64_t)number_field (o, "mem_mb", 0);
+  u->slots = (int64_t)number_field (o, "slots", 0);
   u->draining
       = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (o, "draining"));
   if (u->addr && u->service && u->datacentre)
     return u;
-  g_warning ("store: upstream %s passed over: a field is missing", name);
+  g_warning (
+      "store: record of upstream %s ignored: a required field is missing",
+      name);
   mm_upstream_info_free (u);
   return NULL;
 }
@@ -47,25 +49,25 @@
 {
   const cJSON *list = cJSON_GetObjectItemCaseSensitive (o, "queues");
   mm_routes *r = mm_routes_new ();
-  r->version = (uint64_t)number_of (o, "version", 0);
+  r->version = (uint64_t)number_field (o, "version", 0);
   r->routes = g_new0 (mm_route, (size_t)cJSON_GetArraySize (list) + 1);
   const cJSON *q;
   cJSON_ArrayForEach (q, list)
     {
       mm_route *m = &r->routes[r->n++];
-      m->name = text_of (q, "name");
-      m->host = text_of (q, "host");
-      m->prefix = text_of (q, "prefix");
-      m->service = text_of (q, "service");
-      m->priority = (uint32_t)number_of (q, "priority", 0);
-      m->attempts = (uint32_t)number_of (q, "attempts", 1);
-      m->stretch = number_of (q, "stretch", 1);
-      m->slo_ms = (mm_time_ms)number_of (q, "slo_ms", 0);
+      m->name = string_field (q, "name");
+      m->host = string_field (q, "host");
+      m->prefix = string_field (q, "prefix");
+      m->service = string_field (q, "service");
+      m->priority = (uint32_t)number_field (q, "priority", 0);
+      m->attempts = (uint32_t)number_field (q, "attempts", 1);
+      m->stretch = number_field (q, "stretch", 1);
+      m->slo_ms = (mm_time_ms)number_field (q, "slo_ms", 0);
       m->config_version = r->version;
       if (m->name && m->service)
         continue;
-      g_warning ("store: configuration passed over: a queue has no name or "
-                 "service");
+      g_warning (
+          "store: configuration ignored: a queue has no name or service");
       mm_routes_unref (r);
       return NULL;
     }
@@ -79,16 +81,16 @@
   cJSON_ArrayForEach (row, list)
     {
       const cJSON *value = cJSON_GetObjectItemCaseSensitive (row, "value");
-      mm_stream_item i = { .key = text_of (row, "key") };
-      if (i.key && value && kind == MM_STREAM_CONFIG)
-        i.routes = read_config (value);
-      else if (i.key && value)
-        i.upstream = read_upstream (i.key, value);
-      bool readable = i.key && (!value || i.routes || i.upstream);
+      mm_stream_item item = { .key = string_field (row, "key") };
+      if (item.key && value && kind == MM_STREAM_CONFIG)
+        item.routes = read_config (value);
+      else if (item.key && value)
+        item.upstream = read_upstream (item.key, value);
+      bool readable = item.key && (!value || item.routes || item.upstream);
       if (readable)
-        g_array_append_val (items, i);
+        g_array_append_val (items, item);
       else
-        mm_stream_item_clear (&i);
+        mm_stream_item_clear (&item);
     }
 }
 
@@ -107,8 +109,8 @@
   if (r.ok)
     {
       read_items (list, c->kind, items);
-      r.next = (uint64_t)number_of (body, "next", 0);
-      r.end = (uint64_t)number_of (body, "end", 0);
+      r.next = (uint64_t)number_field (body, "next", 0);
+      r.end = (uint64_t)number_field (body, "end", 0);
       r.after = cJSON_GetStringValue (
           cJSON_GetObjectItemCaseSensitive (body, "after"));
     }
@@ -117,29 +119,29 @@
 }
 
 static void
-own_newest (void *ctx, mm_stream_kind kind, const char *after,
-            mm_time_ms timeout_ms, mm_stream_done done, void *done_ctx)
+native_newest (void *ctx, mm_stream_kind kind, const char *after,
+               mm_time_ms timeout_ms, mm_stream_done done, void *done_ctx)
 {
-  mm_store_call p = { .kind = kind, .stream_done = done, .ctx = done_ctx };
+  mm_store_call call = { .kind = kind, .stream_done = done, .ctx = done_ctx };
   char *key = after ? g_uri_escape_string (after, NULL, FALSE) : NULL;
   char *path
       = g_strdup_printf ("/v1/streams/%s/newest%s%s", stream_names[kind],
                          key ? "?after=" : "", key ? key : "");
-  mm_store_http_send (ctx, "GET", path, NULL, timeout_ms, on_stream, &p);
+  mm_store_http_send (ctx, "GET", path, NULL, timeout_ms, on_stream, &call);
   g_free (key);
 }
 
 static void
-own_tail (void *ctx, const mm_tail *t, mm_stream_done done, void *done_ctx)
+native_tail (void *ctx, const mm_tail *t, mm_stream_done done, void *done_ctx)
 {
-  mm_store_call p = {
+  mm_store_call call = {
     .kind = t->kind, .from = t->from, .stream_done = done, .ctx = done_ctx
   };
   char *path = g_strdup_printf (
       "/v1/streams/%s?from=%" G_GUINT64_FORMAT "&wait_ms=%" G_GINT64_FORMAT
       "&max_bytes=%" G_GSIZE_FORMAT,
       stream_names[t->kind], t->from, t->wait_ms, t->max_bytes);
-  mm_store_http_send (ctx, "GET", path, NULL, t->timeout_ms, on_stream, &p);
+  mm_store_http_send (ctx, "GET", path, NULL, t->timeout_ms, on_stream, &call);
 }
 
 static void
@@ -147,48 +149,48 @@
 {
   cJSON *body = cJSON_ParseWithLength (res->body, res->body_bytes);
   const cJSON *list = cJSON_GetObjectItemCaseSensitive (body, "parts");
-  GArray *parts = g_array_new (FALSE, FALSE, sizeof (uint32_t));
+  GArray *partitions = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   mm_join_result r
       = { .ok = mm_store_http_ok (res) && cJSON_IsArray (list),
-          .generation = (uint64_t)number_of (body, "generation", 0) };
-  const cJSON *part;
-  cJSON_ArrayForEach (part, list)
+          .generation = (uint64_t)number_field (body, "generation", 0) };
+  const cJSON *partition;
+  cJSON_ArrayForEach (partition, list)
     {
-      uint32_t no = (uint32_t)part->valuedouble;
-      g_array_append_val (parts, no);
+      uint32_t number = (uint32_t)partition->valuedouble;
+      g_array_append_val (partitions, number);
     }
-  mm_store_tell_join (ctx, res, &r, parts);
+  mm_store_tell_join (ctx, res, &r, partitions);
   cJSON_Delete (body);
 }
 
 static void
-own_join (void *ctx, const char *group, const char *member,
-          uint64_t generation, mm_time_ms ttl_ms, mm_time_ms timeout_ms,
-          mm_join_done done, void *done_ctx)
+native_join (void *ctx, const char *group, const char *member,
+             uint64_t generation, mm_time_ms ttl_ms, mm_time_ms timeout_ms,
+             mm_join_done done, void *done_ctx)
 {
-  mm_store_call p = { .join_done = done, .ctx = done_ctx };
-  cJSON *b = cJSON_CreateObject ();
-  cJSON_AddStringToObject (b, "member", member);
-  cJSON_AddNumberToObject (b, "generation", (double)generation);
-  cJSON_AddNumberToObject (b, "ttl_ms", (double)ttl_ms);
+  mm_store_call call = { .join_done = done, .ctx = done_ctx };
+  cJSON *request = cJSON_CreateObject ();
+  cJSON_AddStringToObject (request, "member", member);
+  cJSON_AddNumberToObject (request, "generation", (double)generation);
+  cJSON_AddNumberToObject (request, "ttl_ms", (double)ttl_ms);
   mm_store_http_send (ctx, "POST",
-                      g_strdup_printf ("/v1/groups/%s/join", group), b,
-                      timeout_ms, on_join, &p);
+                      g_strdup_printf ("/v1/groups/%s/join", group), request,
+                      timeout_ms, on_join, &call);
 }
 
 static void
-own_leave (void *ctx, const char *group, const char *member,
-           mm_time_ms timeout_ms, mm_join_done done, void *done_ctx)
+native_leave (void *ctx, const char *group, const char *member,
+              mm_time_ms timeout_ms, mm_join_done done, void *done_ctx)
 {
-  mm_store_call p = { .join_done = done, .ctx = done_ctx };
-  cJSON *b = cJSON_CreateObject ();
-  cJSON_AddStringToObject (b, "member", member);
+  mm_store_call call = { .join_done = done, .ctx = done_ctx };
+  cJSON *request = cJSON_CreateObject ();
+  cJSON_AddStringToObject (request, "member", member);
   mm_store_http_send (ctx, "POST",
-                      g_strdup_printf ("/v1/groups/%s/leave", group), b,
-                      timeout_ms, on_join, &p);
+                      g_strdup_printf ("/v1/groups/%s/leave", group), request,
+                      timeout_ms, on_join, &call);
 }
 
-/* Rows [partition, member].  */
+/* Reads rows of the form [partition, member].  */
 static GArray *
 read_holders (const cJSON *list)
 {
@@ -196,11 +198,11 @@
   const cJSON *row;
   cJSON_ArrayForEach (row, list)
     {
-      const cJSON *part = cJSON_GetArrayItem (row, 0);
+      const cJSON *partition = cJSON_GetArrayItem (row, 0);
       const char *member = cJSON_GetStringValue (cJSON_GetArrayItem (row, 1));
-      if (!cJSON_IsNumber (part) || !member)
+      if (!cJSON_IsNumber (partition) || !member)
         continue;
-      mm_part_holder h = { .part = (uint32_t)part->valuedouble,
+      mm_part_holder h = { .part = (uint32_t)partition->valuedouble,
                            .member = g_strdup (member) };
       g_array_append_val (holders, h);
     }
@@ -218,12 +220,12 @@
 }
 
 static void
-own_members (void *ctx, const char *group, mm_time_ms timeout_ms,
-             mm_members_done done, void *done_ctx)
+native_members (void *ctx, const char *group, mm_time_ms timeout_ms,
+                mm_members_done done, void *done_ctx)
 {
-  mm_store_call p = { .members_done = done, .ctx = done_ctx };
+  mm_store_call call = { .members_done = done, .ctx = done_ctx };
   mm_store_http_send (ctx, "GET", g_strdup_printf ("/v1/groups/%s", group),
-                      NULL, timeout_ms, on_members, &p);
+                      NULL, timeout_ms, on_members, &call);
 }
 
 /* ---- kept jobs -------------------------------------------------------- */
@@ -241,19 +243,20 @@
         = cJSON_IsNumber (expected) ? MM_APPEND_OUT_OF_SEQ : MM_APPEND_FENCED;
   else if (!res->error && res->status == 503)
     r.verdict = MM_APPEND_REFUSED;
-  r.expected_seq = (uint64_t)number_of (body, "expected", 0);
+  r.expected_seq = (uint64_t)number_field (body, "expected", 0);
   cJSON_Delete (body);
   mm_store_tell_append (ctx, res, &r);
 }
 
 static void
-own_append (void *ctx, const mm_append *a, mm_append_done done, void *done_ctx)
+native_append (void *ctx, const mm_append *a, mm_append_done done,
+               void *done_ctx)
 {
-  mm_store_call p = { .append_done = done, .ctx = done_ctx };
-  cJSON *b = cJSON_CreateObject ();
-  cJSON_AddNumberToObject (b, "epoch", (double)a->epoch);
-  cJSON_AddNumberToObject (b, "seq", (double)a->seq);
-  cJSON *list = cJSON_AddArrayToObject (b, "records");
+  mm_store_call call = { .append_done = done, .ctx = done_ctx };
+  cJSON *request = cJSON_CreateObject ();
+  cJSON_AddNumberToObject (request, "epoch", (double)a->epoch);
+  cJSON_AddNumberToObject (request, "seq", (double)a->seq);
+  cJSON *list = cJSON_AddArrayToObject (request, "records");
   for (size_t i = 0; i < a->n_records; i++)
     {
       const mm_record *rec = &a->records[i];
@@ -271,7 +274,7 @@
     }
   mm_store_http_send (ctx, "POST",
                       g_strdup_printf ("/v1/streams/jobs-%u/append", a->part),
-                      b, a->timeout_ms, on_append, &p);
+                      request, a->timeout_ms, on_append, &call);
 }
 
 static void
@@ -287,7 +290,7 @@
     {
       const char *text = cJSON_GetStringValue (
           cJSON_GetObjectItemCaseSensitive (row, "value"));
-      mm_record rec = { .key = text_of (row, "key") };
+      mm_record rec = { .key = string_field (row, "key") };
       if (!rec.key || !text)
         {
           mm_record_clear (&rec);
@@ -305,30 +308,31 @@
 }
 
 static void
-own_records (void *ctx, uint32_t part, const char *after,
-             mm_time_ms timeout_ms, mm_records_done done, void *done_ctx)
+native_records (void *ctx, uint32_t partition, const char *after,
+                mm_time_ms timeout_ms, mm_records_done done, void *done_ctx)
 {
-  mm_store_call p = { .records_done = done, .ctx = done_ctx };
+  mm_store_call call = { .records_done = done, .ctx = done_ctx };
   char *key = after ? g_uri_escape_string (after, NULL, FALSE) : NULL;
-  char *path = g_strdup_printf ("/v1/streams/jobs-%u/newest%s%s", part,
+  char *path = g_strdup_printf ("/v1/streams/jobs-%u/newest%s%s", partition,
                                 key ? "?after=" : "", key ? key : "");
-  mm_store_http_send (ctx, "GET", path, NULL, timeout_ms, on_job_records, &p);
+  mm_store_http_send (ctx, "GET", path, NULL, timeout_ms, on_job_records,
+                      &call);
   g_free (key);
 }
 
 /**
- * mm_own_store_port() - the stand-in's store as the core sees it.
- * @s: must outlive the port.
+ * mm_own_store_port() - the stand-in's store as a port of the core.
+ * @s: HTTP client of the store; must outlive the port.
  */
 mm_store_port
 mm_own_store_port (mm_store_http *s)
 {
-  return (mm_store_port){ .newest = own_newest,
-                          .tail = own_tail,
-                          .join = own_join,
-                          .leave = own_leave,
-                          .members = own_members,
-                          .append = own_append,
-                          .records = own_records,
+  return (mm_store_port){ .newest = native_newest,
+                          .tail = native_tail,
+                          .join = native_join,
+                          .leave = native_leave,
+                          .members = native_members,
+                          .append = native_append,
+                          .records = native_records,
                           .ctx = s };
 }
