--- a/src/mm_routes.c
+++ b/src/mm_routes.c
@@ -34,12 +34,13 @@
   g_free (r);
 }
 
-/* A Host header may carry a port.  */
+/* Compares host names without case; a port in the Host header is ignored.  */
 static bool
-same_host (const char *want, const char *header)
+host_matches (const char *route_host, const char *header)
 {
   size_t n = strcspn (header, ":");
-  return strlen (want) == n && g_ascii_strncasecmp (want, header, n) == 0;
+  return strlen (route_host) == n
+         && g_ascii_strncasecmp (route_host, header, n) == 0;
 }
 
 const mm_route *
@@ -52,7 +53,7 @@
     {
       const mm_route *c = &r->routes[i];
       size_t len = strlen (c->prefix);
-      if (same_host (c->host, host) && strncmp (path, c->prefix, len) == 0
+      if (host_matches (c->host, host) && strncmp (path, c->prefix, len) == 0
           && (!best || len > best_len))
         {
           best = c;
--- a/src/mm_routes.h
+++ b/src/mm_routes.h
@@ -1,24 +1,27 @@
-/* mm_routes: the configuration in force: which queue goes where.  */
+/* mm_routes: the queues of the configuration in force, and how requests are
+   routed to them.  */
 #ifndef MM_ROUTES_H
 #define MM_ROUTES_H
 
 #include "masticmill.h"
 
-/* A queue of jobs, chosen by host and path.  */
+/* A queue of jobs, selected by the host and path of a request.  */
 typedef struct
 {
   char *name;
   char *host;
-  char *prefix;      /* of the path; the longest one wins */
-  char *service;     /* whose upstreams run its tasks */
-  uint32_t priority; /* 0 first */
-  uint32_t attempts; /* runs of a task that may fail */
-  double stretch;    /* objective: this times the longest chain of work */
-  mm_time_ms slo_ms; /* and this much more */
-  uint64_t config_version; /* that it stands in */
-  bool needs_advice; /* only an adviser knows which upstreams may run it */
+  char *prefix;      /* path prefix; the longest matching one wins */
+  char *service;     /* service whose upstreams run the queue's tasks */
+  uint32_t priority; /* 0 is served first */
+  uint32_t attempts; /* failed runs of a task after which its job fails */
+  /* The objective of a job is stretch * mm_submission_chain_ms() + slo_ms.  */
+  double stretch;
+  mm_time_ms slo_ms;
+  uint64_t config_version; /* version of the configuration with this queue */
+  bool needs_advice; /* an adviser decides which upstreams may run a task */
 } mm_route;
 
+/* One version of the configuration, reference-counted.  */
 typedef struct
 {
   int refs;
@@ -29,8 +32,9 @@
 
 mm_routes *mm_routes_new (void);
 mm_routes *mm_routes_ref (mm_routes *r);
-void mm_routes_unref (mm_routes *r); /* NULL is fine */
-/* The route of a path, NULL for none; @rest: what follows the prefix.  */
+void mm_routes_unref (mm_routes *r); /* @r may be NULL */
+/* Returns the route for a host and path, or NULL for none; sets @rest to the
+   part of the path after the prefix.  */
 const mm_route *mm_routes_find (const mm_routes *r, const char *host,
                                 const char *path, const char **rest);
 
--- a/src/mm_submission.c
+++ b/src/mm_submission.c
@@ -1,4 +1,4 @@
-/* mm_submission: what a job asks for as a whole.  */
+/* mm_submission: properties of a job as a whole.  */
 #include "mm_submission.h"
 
 #include "config.h"
@@ -61,20 +61,20 @@
   return NULL;
 }
 
-/* Steps name only earlier ones, so one pass in order is enough.  */
+/* Steps depend only on earlier steps, so one pass in order is enough.  */
 mm_time_ms
 mm_submission_chain_ms (const mm_submission *s)
 {
-  mm_time_ms *ends = g_new0 (mm_time_ms, s->n_steps + 1);
-  mm_time_ms longest = 0;
+  mm_time_ms *ends_ms = g_new0 (mm_time_ms, s->n_steps + 1);
+  mm_time_ms longest_ms = 0;
   for (uint32_t i = 0; i < s->n_steps; i++)
     {
-      mm_time_ms start = 0;
+      mm_time_ms start_ms = 0;
       for (uint32_t j = 0; j < s->steps[i].n_after; j++)
-        start = MAX (start, ends[s->steps[i].after[j]]);
-      ends[i] = start + s->steps[i].estimate_ms;
-      longest = MAX (longest, ends[i]);
+        start_ms = MAX (start_ms, ends_ms[s->steps[i].after[j]]);
+      ends_ms[i] = start_ms + s->steps[i].estimate_ms;
+      longest_ms = MAX (longest_ms, ends_ms[i]);
     }
-  g_free (ends);
-  return longest;
+  g_free (ends_ms);
+  return longest_ms;
 }
--- a/src/mm_submission.h
+++ b/src/mm_submission.h
@@ -1,42 +1,45 @@
-/* mm_submission: a job as its caller handed it in.  */
+/* mm_submission: a job as submitted by its caller.  */
 #ifndef MM_SUBMISSION_H
 #define MM_SUBMISSION_H
 
 #include "mm_task.h"
 
+/* A step of a job: tasks with the same needs and dependencies.  */
 typedef struct
 {
-  uint32_t count; /* tasks */
-  mm_need need;   /* of each */
-  mm_time_ms estimate_ms;
-  uint32_t *after; /* earlier steps that must be done first */
+  uint32_t count;         /* number of tasks */
+  mm_need need;           /* resources of each task */
+  mm_time_ms estimate_ms; /* declared run time of each task */
+  uint32_t *after; /* indexes of earlier steps that must be done before */
   uint32_t n_after;
-  char *payload;             /* instead of the job's, or NULL */
-  bool once;                 /* no second run of a task that may have run */
-  char *label;               /* upstreams must carry it, or NULL */
-  char *data_label;          /* of upstreams near its data, or NULL */
-  bool gang;                 /* all tasks at once, or none */
-  bool lasting;              /* runs until cancelled */
-  bool fills;                /* takes only what others leave */
-  uint32_t max_per_upstream; /* 0: no limit */
+  char *payload;    /* overrides the payload of the job; or NULL */
+  bool once;        /* a task that may have run is not run again */
+  char *label;      /* label that an upstream must carry; or NULL */
+  char *data_label; /* label of upstreams near the step's data; or NULL */
+  bool gang;        /* all tasks start together, or none does */
+  bool lasting;     /* tasks run until they are cancelled */
+  bool fills;       /* tasks use only capacity that other tasks leave unused */
+  uint32_t max_per_upstream; /* most tasks on one upstream; 0: no limit */
 } mm_step;
 
 typedef struct
 {
   char id[MM_JOB_ID_MAX + 1];
   char *payload;
-  bool best_effort; /* answered when it has ended; nothing is kept */
-  bool repeats;     /* runs again at set times */
+  bool best_effort; /* answered when the job has ended; nothing is stored */
+  bool repeats;     /* the job runs again at set times */
   mm_step *steps;
   uint32_t n_steps;
 } mm_submission;
 
 void mm_submission_free (mm_submission *s);
-uint32_t mm_submission_tasks (const mm_submission *s);       /* in all steps */
-uint32_t mm_submission_first_tasks (const mm_submission *s); /* at once */
-/* Why this kind of job is not served, or NULL when it is.  */
+/* Number of tasks in all steps.  */
+uint32_t mm_submission_tasks (const mm_submission *s);
+/* Number of tasks that wait for no other step.  */
+uint32_t mm_submission_first_tasks (const mm_submission *s);
+/* Returns why this kind of job is not served, or NULL when it is served.  */
 const char *mm_submission_unsupported (const mm_submission *s);
-/* The longest chain of declared run times.  */
+/* Sum of the declared run times along the longest chain of steps.  */
 mm_time_ms mm_submission_chain_ms (const mm_submission *s);
 
 #endif /* MM_SUBMISSION_H */
--- a/src/mm_submission_codec.c
+++ b/src/mm_submission_codec.c
@@ -1,9 +1,9 @@
-/* mm_submission_codec: [id, payload, [step, ...]] with a step as [count,
-   cpu_milli, mem_mb, gpus, estimate_ms, payload, once, label, data_label,
-   [after, ...]].
+/* mm_submission_codec: a job is encoded as [id, payload, [step, ...]], and a
+   step as [count, cpu_milli, mem_mb, gpus, estimate_ms, payload, once, label,
+   data_label, [after, ...]].
 
-   Only kinds of jobs that are served are packed (mm_submission_unsupported).
- */
+   Fields of kinds of jobs that are not served are left out: jobs that
+   mm_submission_unsupported() rejects are not encoded.  */
 #include "mm_submission_codec.h"
 
 #include "config.h"
@@ -79,10 +79,11 @@
 }
 
 /**
- * mm_submission_unpack() - read a job.
- * @o: what mm_submission_pack() wrote.
+ * mm_submission_unpack() - decode a job.
+ * @o: object written by mm_submission_pack().
  *
- * Return: the job, or NULL when it is not understood.
+ * Return: the job, or NULL when @o is not a valid job; free with
+ * mm_submission_free().
  */
 mm_submission *
 mm_submission_unpack (const msgpack_object *o)
--- a/src/mm_submission_codec.h
+++ b/src/mm_submission_codec.h
@@ -1,4 +1,5 @@
-/* mm_submission_codec: a job as msgpack, for the store and other instances. */
+/* mm_submission_codec: encodes a job as msgpack, for the store and for other
+   instances.  */
 #ifndef MM_SUBMISSION_CODEC_H
 #define MM_SUBMISSION_CODEC_H
 
@@ -7,6 +8,7 @@
 #include <msgpack.h>
 
 void mm_submission_pack (msgpack_packer *pk, const mm_submission *s);
-mm_submission *mm_submission_unpack (const msgpack_object *o); /* or NULL */
+/* Returns NULL when @o is not a valid job.  */
+mm_submission *mm_submission_unpack (const msgpack_object *o);
 
 #endif /* MM_SUBMISSION_CODEC_H */
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -1,4 +1,6 @@
-/* Upstreams that leave while their partitions change hands.  */
+/* Guards against tasks being started on a draining upstream.  The upstreams
+   begin to drain while their partitions are handed over, because another
+   instance joins or their owner shuts down.  */
 #include "harness.h"
 
 #include <signal.h>
@@ -7,14 +9,14 @@
 
 enum
 {
-  UPSTREAMS = 8, /* so that some of them change hands */
+  UPSTREAMS = 8, /* enough that some of them are handed over */
   SLOTS = 3,
-  DRAIN_BOUND_MS = 2000, /* after an upstream says that it leaves */
-  TICKS_MS = 100,        /* from listing it as draining to the last start */
-  LONG_MS = 5000,
-  PATIENCE_MS = 6000, /* of a caller */
-  SHORT_MS = 50,
-  EVERY_MS = 40
+  DRAIN_BOUND_MS = 2000, /* latest start after upstreams are told to drain */
+  LISTED_BOUND_MS = 100, /* latest start after the drain was listed */
+  LONG_RUN_MS = 5000,
+  CALLER_TIMEOUT_MS = 6000,
+  SHORT_RUN_MS = 50,
+  SUBMIT_INTERVAL_MS = 40
 };
 
 static void
@@ -28,20 +30,20 @@
 {
   char id[32];
   g_snprintf (id, sizeof id, "%s-%d", name, no);
-  char *job = h_job_json (id, tasks, run_ms, PATIENCE_MS, true);
-  pid_t p = h_submit (node, job);
+  char *job = h_job_json (id, tasks, run_ms, CALLER_TIMEOUT_MS, true);
+  pid_t caller = h_submit (node, job);
   g_free (job);
-  return p;
+  return caller;
 }
 
-/* All slots but one of each upstream run a long task, so that a hand-over
-   takes as long as it may.  */
+/* Fills all slots but one of each upstream with long tasks, so that a handover
+   takes as long as it is allowed to.  */
 static void
-fill (int node, pid_t *callers)
+fill_slots (int node, pid_t *callers)
 {
   for (int i = 0; i < UPSTREAMS; i++)
     {
-      callers[2 * i] = submit (node, "long", i, SLOTS - 1, LONG_MS);
+      callers[2 * i] = submit (node, "long", i, SLOTS - 1, LONG_RUN_MS);
       sleep_ms (40);
       callers[2 * i + 1] = submit (node, "gap", i, 1, 800);
       sleep_ms (40);
@@ -49,7 +51,8 @@
   sleep_ms (800);
 }
 
-/* Callers wait for room rather than be refused.  */
+/* Configures the queue so that jobs wait for free capacity instead of being
+   refused.  */
 static void
 allow_queueing (void)
 {
@@ -79,55 +82,60 @@
   ck_assert_int_gt (h_log_lines (h_entries[node], text), 0);
 }
 
-/* When the instance listed the upstream as draining, by the clock of runs.  */
+/* Returns when the instance listed the upstream as draining.  The wall-clock
+   time in the log is converted to the clock in which runs are recorded.  */
 static mm_time_ms
-listed_ms (int node, int upstream)
+upstream_draining_listed_ms (int node, int upstream)
 {
-  char also[64];
-  g_snprintf (also, sizeof also, "127.0.0.1:%d\",\"draining\":1",
-              h_upstream_ports[upstream]);
-  mm_time_ms wall_ms
-      = h_log_time_ms (h_entries[node], "\"event\":\"upstream_listed\"", also);
+  char draining_text[64];
+  g_snprintf (draining_text, sizeof draining_text,
+              "127.0.0.1:%d\",\"draining\":1", h_upstream_ports[upstream]);
+  mm_time_ms wall_ms = h_log_time_ms (
+      h_entries[node], "\"event\":\"upstream_listed\"", draining_text);
   ck_assert_int_gt (wall_ms, 0);
   return wall_ms - (mm_clock_wall_ms () - mm_clock_now_ms ());
 }
 
-/* Callers of short tasks keep coming to @node for @for_ms.  */
+/* Submits jobs of short tasks to @node for @for_ms, then waits for all of
+   their answers.  */
 static void
-call_for (int node, int for_ms)
+submit_for (int node, int for_ms)
 {
-  pid_t p[128];
-  int n = MIN (for_ms / EVERY_MS, 128);
+  pid_t short_callers[128];
+  int n = MIN (for_ms / SUBMIT_INTERVAL_MS, 128);
   for (int i = 0; i < n; i++)
     {
-      p[i] = submit (node, "short", i, 2, SHORT_MS);
-      sleep_ms (EVERY_MS);
+      short_callers[i] = submit (node, "short", i, 2, SHORT_RUN_MS);
+      sleep_ms (SUBMIT_INTERVAL_MS);
     }
   for (int i = 0; i < n; i++)
-    h_answered (p[i]);
+    h_answered (short_callers[i]);
 }
 
-/* Nothing starts later than the bound, nor after @node itself knew.  */
+/* Asserts that no run started more than DRAIN_BOUND_MS after the upstreams
+   were told to drain, or more than LISTED_BOUND_MS after @node had listed the
+   upstream of the run as draining.  */
 static void
-assert_drained (int node, mm_time_ms said_ms)
+assert_no_late_starts (int node, mm_time_ms drain_ms)
 {
   GArray *runs = h_runs (UPSTREAMS, NULL);
   for (guint i = 0; i < runs->len; i++)
     {
       const h_run *r = &g_array_index (runs, h_run, i);
-      mm_time_ms knew_ms = listed_ms (node, r->upstream);
-      double after_ms = r->from_ms - (double)knew_ms;
-      ck_assert_msg (after_ms <= TICKS_MS,
+      mm_time_ms draining_listed_ms
+          = upstream_draining_listed_ms (node, r->upstream);
+      double after_ms = r->from_ms - (double)draining_listed_ms;
+      ck_assert_msg (after_ms <= LISTED_BOUND_MS,
                      "%s started on upstream %d %.0f ms after the instance "
-                     "had listed that as draining",
+                     "had listed the upstream as draining",
                      r->task, r->upstream, after_ms);
-      ck_assert_int_le ((mm_time_ms)r->from_ms - said_ms, DRAIN_BOUND_MS);
+      ck_assert_int_le ((mm_time_ms)r->from_ms - drain_ms, DRAIN_BOUND_MS);
     }
   g_array_free (runs, TRUE);
 }
 
 static void
-drain_while_handed_over (bool shutdown)
+drain_during_handover (bool shutdown)
 {
   h_nodes (UPSTREAMS, SLOTS, 1);
   allow_queueing ();
@@ -137,31 +145,31 @@
       h_start_node (1);
       ck_assert (h_wait_nodes (2, UPSTREAMS, 10000));
     }
-  fill (0, callers);
+  fill_slots (0, callers);
   if (shutdown)
     kill (h_entries[0], SIGTERM);
   else
     h_start_node (1);
   if (!shutdown)
     wait_for_line (0, "\"ours\":8,\"leaving\":8");
-  mm_time_ms said_ms = mm_clock_now_ms ();
+  mm_time_ms drain_ms = mm_clock_now_ms ();
   drain_all ();
-  call_for (0, 2800);
-  assert_drained (0, said_ms);
+  submit_for (0, 2800);
+  assert_no_late_starts (0, drain_ms);
   for (int i = 0; i < 2 * UPSTREAMS; i++)
     h_answered (callers[i]);
   h_cluster_stop ();
 }
 
-START_TEST (upstream_that_drains_during_a_hand_over_gets_no_more_starts)
+START_TEST (upstream_that_drains_during_a_handover_gets_no_more_starts)
 {
-  drain_while_handed_over (false);
+  drain_during_handover (false);
 }
 END_TEST
 
 START_TEST (upstream_that_drains_during_a_shutdown_gets_no_more_starts)
 {
-  drain_while_handed_over (true);
+  drain_during_handover (true);
 }
 END_TEST
 
@@ -172,9 +180,9 @@
   TCase *tc = tcase_create ("drain");
   tcase_set_timeout (tc, 60);
   tcase_add_test (tc,
-                  upstream_that_drains_during_a_hand_over_gets_no_more_starts);
+                  upstream_that_drains_during_a_handover_gets_no_more_starts);
   suite_add_tcase (s, tc);
-  /* Run by itself, as test_drain_shutdown.  */
+  /* Runs as a test of its own in ctest, test_drain_shutdown.  */
   tc = tcase_create ("shutdown");
   tcase_set_tags (tc, "shutdown");
   tcase_set_timeout (tc, 60);
