--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -384,7 +384,7 @@
 /* Returns a poison task of the job, one that has crashed so many upstreams
    that it is given up, or NULL.  */
 static const task *
-given_up_task (const job *b)
+find_poison_task (const job *b)
 {
   for (uint32_t i = 0; i < b->n_tasks; i++)
     if (!b->tasks[i].done
@@ -397,9 +397,9 @@
 /* Fails the job when it has a poison task.  Returns whether the job has failed
    and been freed.  */
 static bool
-fail_if_given_up (job *b)
+fail_on_poison_task (job *b)
 {
-  const task *t = given_up_task (b);
+  const task *t = find_poison_task (b);
   if (!t)
     return false;
   mm_fleet_note_given_up (b->jobs->fleet, &t->id);
@@ -540,7 +540,7 @@
     }
   /* A job sent again with a known poison task fails before the task can crash
      more upstreams.  */
-  if (fail_if_given_up (b))
+  if (fail_on_poison_task (b))
     return NULL;
   mm_steps_begin_ready (b->steps, start_task, b);
   return c;
@@ -637,7 +637,7 @@
 static void
 retry_deferred (job *b, mm_time_ms now)
 {
-  if (fail_if_given_up (b))
+  if (fail_on_poison_task (b))
     return;
   if (now >= b->deadline_ms)
     {
