--- a/daemons/masticmill_node.c
+++ b/daemons/masticmill_node.c
@@ -1,7 +1,7 @@
 /* masticmill-node: an instance of the dispatcher, on the prepared platform
    or on our own stand-ins.  SIGTERM is a graceful shutdown; SIGHUP says
    that the settings may have changed.  */
-#include "mm_own.h"
+#include "mm_native.h"
 #include "platform.h"
 
 #include "config.h"
@@ -38,9 +38,9 @@
     }
   if (strcmp (s->interface, "own") == 0)
     {
-      p->exec = mm_exec_http_create (p->to_upstreams, &mm_own_exec_wire);
-      p->store = mm_own_store_port (p->store_calls);
-      p->on_request = mm_own_front_request;
+      p->exec = mm_exec_http_create (p->to_upstreams, &mm_native_exec_wire);
+      p->store = mm_native_store_port (p->store_calls);
+      p->on_request = mm_native_front_request;
       return true;
     }
   g_set_error (error, MM_ERROR, MM_ERROR_CONFIG_RANGE,
--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -7,7 +7,7 @@
    is a libFuzzer target.  */
 #include "mm_kept_wire.h"
 #include "mm_mesh_msg.h"
-#include "mm_own.h"
+#include "mm_native.h"
 #include "mm_run_json.h"
 #include "platform.h"
 
@@ -39,7 +39,7 @@
 {
   mm_time_ms caller_timeout_ms;
   mm_submission_free (
-      mm_own_submission (text, size, &caller_timeout_ms, NULL));
+      mm_native_submission_parse (text, size, &caller_timeout_ms, NULL));
   cJSON *o = cJSON_ParseWithLength (text, size);
   mm_order order;
   mm_hold hold;
@@ -47,7 +47,7 @@
   mm_run_json_read_order (o, &order, &id);
   mm_run_json_read_hold (o, &hold);
   mm_hold_result lists = { 0 };
-  mm_exec_wire_read_lists (&mm_own_exec_wire, o, &lists);
+  mm_exec_wire_read_lists (&mm_native_exec_wire, o, &lists);
   g_free ((void *)lists.running);
   g_free ((void *)lists.ended);
   cJSON_Delete (o);
--- a/src/config.h
+++ b/src/config.h
@@ -196,8 +196,8 @@
 #define MM_CALLER_WAIT_GAIN 0.02 /* weight of one caller in what is usual */
 /* A task out of sight has ended by then: its lease takes 1,000 ms, on a clock
    2 % slow, the rest is for its owner to notice that we are gone.  */
-#define MM_OUT_OF_SIGHT_MS MM_RESEND_MS
-#define MM_SPREAD_WAIT_MS 40   /* in one owner's queue, then spread anew */
+#define MM_IN_DOUBT_MS MM_RESEND_MS
+#define MM_OWNER_WAIT_MS 40    /* in one owner's queue, then spread anew */
 #define MM_GUESS_TASK_MS 250   /* a task's run time, until some have ended */
 #define MM_MEAN_TASK_GAIN 0.02 /* weight of one run in the mean */
 #define MM_FLEET_MAX 128       /* instances that a task is spread over */
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -212,7 +212,7 @@
      placed again, since capacity may have become free at another owner.  */
   r.start_within_ms
       = CLAMP (b->latest_start_ms - now, 1,
-               MM_WITH_SPREAD_ANEW ? MM_SPREAD_WAIT_MS : MM_MAX_PATIENCE_MS);
+               MM_WITH_SPREAD_ANEW ? MM_OWNER_WAIT_MS : MM_MAX_PATIENCE_MS);
   t->dispatched_ms = now;
   t->ticket
       = mm_fleet_submit (b->jobs->fleet, &r, t->returned_by, on_task_ended, t);
@@ -317,7 +317,7 @@
 
 /* Schedules another dispatch of a task in doubt.  Such a task may still run:
    until its owner notices that the link to this instance is gone, and then for
-   the rest of its lease.  After MM_OUT_OF_SIGHT_MS the earlier run has ended
+   the rest of its lease.  After MM_IN_DOUBT_MS the earlier run has ended
    for certain, and the task can run again if its caller still waits, since a
    late complete answer is worth more to the caller than none.  Returns false,
    and schedules nothing, when that would be too late for the caller.  */
@@ -325,7 +325,7 @@
 schedule_redispatch (task *t, mm_time_ms now)
 {
   job *b = t->job;
-  mm_time_ms redispatch_ms = now + MM_OUT_OF_SIGHT_MS;
+  mm_time_ms redispatch_ms = now + MM_IN_DOUBT_MS;
   if (!MM_WITH_RUN_AGAIN || redispatch_ms >= b->latest_start_ms)
     return false;
   t->redispatch_ms = redispatch_ms;
@@ -496,7 +496,7 @@
   mm_answer refusal = { .kind = MM_ANSWER_REFUSED,
                         .retry_after_s = MM_RETRY_AFTER_NO_ROOM_S };
   refusal.why = route->needs_advice ? "queues with advice are not served"
-                                    : mm_submission_unsupported (s);
+                                    : mm_submission_unsupported_reason (s);
   mm_load load = mm_fleet_load (j->fleet, route->service, route->priority);
   mm_time_ms chain_ms = mm_submission_chain_ms (s);
   mm_time_ms slack
--- a/src/mm_own.h
+++ b/src/mm_native.h
@@ -11,15 +11,15 @@
 #include "mm_store_http.h"
 
 /* ---- mm_native_exec: calls to upstreams ---- */
-extern const mm_exec_wire mm_own_exec_wire;
+extern const mm_exec_wire mm_native_exec_wire;
 
 /* ---- mm_native_store: calls to the store ---- */
-mm_store_port mm_own_store_port (mm_store_http *s);
+mm_store_port mm_native_store_port (mm_store_http *s);
 
 /* ---- mm_native_front: callers' jobs ---- */
-void mm_own_front_request (mm_http_request *req, void *ctx /* mm_front */);
-mm_submission *mm_own_submission (const char *body, size_t len,
-                                  mm_time_ms *caller_timeout_ms,
-                                  GError **error);
+void mm_native_front_request (mm_http_request *req, void *ctx /* mm_front */);
+mm_submission *mm_native_submission_parse (const char *body, size_t len,
+                                           mm_time_ms *caller_timeout_ms,
+                                           GError **error);
 
 #endif /* MM_NATIVE_H */
--- a/src/mm_own_exec.c
+++ b/src/mm_native_exec.c
@@ -1,5 +1,5 @@
 /* mm_native_exec: orders to upstreams in the native protocol.  */
-#include "mm_own.h"
+#include "mm_native.h"
 #include "mm_run_json.h"
 
 #include <string.h>
@@ -15,7 +15,7 @@
   return MM_CALL_NO_ANSWER;
 }
 
-const mm_exec_wire mm_own_exec_wire = {
+const mm_exec_wire mm_native_exec_wire = {
   .start_path = "/v1/runs",
   .stop_path = "/v1/runs/stop",
   .hold_path = "/v1/hold",
--- a/src/mm_own_front.c
+++ b/src/mm_native_front.c
@@ -5,7 +5,7 @@
    instance show and cancel it, and GET /v1/queues/NAME counts the kept jobs
    of a queue that have not started.  The queue of a job is "queue" in its
    body, or else the first queue of the configuration.  */
-#include "mm_own.h"
+#include "mm_native.h"
 
 #include "config.h"
 
@@ -142,7 +142,8 @@
 }
 
 /**
- * mm_own_submission() - parse a job in the JSON of the native protocol.
+ * mm_native_submission_parse() - parse a job in the JSON of the native
+ * protocol.
  * @body: JSON text.
  * @len: length of @body in bytes.
  * @caller_timeout_ms: set to the earliest deadline of the job's tasks.
@@ -151,8 +152,8 @@
  * Return: the job, or NULL on error; free with mm_submission_free().
  */
 mm_submission *
-mm_own_submission (const char *body, size_t len, mm_time_ms *caller_timeout_ms,
-                   GError **error)
+mm_native_submission_parse (const char *body, size_t len,
+                            mm_time_ms *caller_timeout_ms, GError **error)
 {
   mm_job *job
       = mm_job_parse_json (body, len, MM_DEFAULT_MAX_TASKS_PER_JOB, error);
@@ -329,12 +330,12 @@
 }
 
 /**
- * mm_own_front_request() - handle a caller's HTTP request.
+ * mm_native_front_request() - handle a caller's HTTP request.
  * @req: the request.
  * @ctx: the mm_front that received it.
  */
 void
-mm_own_front_request (mm_http_request *req, void *ctx)
+mm_native_front_request (mm_http_request *req, void *ctx)
 {
   const char *path = mm_http_request_path (req);
   if (strcmp (mm_http_request_method (req), "POST") == 0
--- a/src/mm_own_store.c
+++ b/src/mm_native_store.c
@@ -1,5 +1,5 @@
 /* mm_native_store: calls to the store in the native protocol.  */
-#include "mm_own.h"
+#include "mm_native.h"
 
 #include <string.h>
 
@@ -321,11 +321,11 @@
 }
 
 /**
- * mm_own_store_port() - the stand-in's store as a port of the core.
+ * mm_native_store_port() - the stand-in's store as a port of the core.
  * @s: HTTP client of the store; must outlive the port.
  */
 mm_store_port
-mm_own_store_port (mm_store_http *s)
+mm_native_store_port (mm_store_http *s)
 {
   return (mm_store_port){ .newest = native_newest,
                           .tail = native_tail,
--- a/src/mm_submission.c
+++ b/src/mm_submission.c
@@ -40,7 +40,7 @@
 }
 
 const char *
-mm_submission_unsupported (const mm_submission *s)
+mm_submission_unsupported_reason (const mm_submission *s)
 {
   if (s->repeats)
     return "repeated jobs are not served";
@@ -51,7 +51,7 @@
       const mm_step *step = &s->steps[i];
       if (step->gang && step->count > 1)
         return "gangs are not served";
-      if (step->lasting)
+      if (step->until_cancelled)
         return "tasks without an end are not served";
       if (step->fills)
         return "tasks that fill unused capacity are not served";
--- a/src/mm_submission.h
+++ b/src/mm_submission.h
@@ -12,13 +12,13 @@
   mm_time_ms estimate_ms; /* declared run time of each task */
   uint32_t *after; /* indexes of earlier steps that must be done before */
   uint32_t n_after;
-  char *payload;    /* overrides the payload of the job; or NULL */
-  bool once;        /* a task that may have run is not run again */
-  char *label;      /* label that an upstream must carry; or NULL */
-  char *data_label; /* label of upstreams near the step's data; or NULL */
-  bool gang;        /* all tasks start together, or none does */
-  bool lasting;     /* tasks run until they are cancelled */
-  bool fills;       /* tasks use only capacity that other tasks leave unused */
+  char *payload;        /* overrides the payload of the job; or NULL */
+  bool once;            /* a task that may have run is not run again */
+  char *label;          /* label that an upstream must carry; or NULL */
+  char *data_label;     /* label of upstreams near the step's data; or NULL */
+  bool gang;            /* all tasks start together, or none does */
+  bool until_cancelled; /* tasks run until they are cancelled */
+  bool fills; /* tasks use only capacity that other tasks leave unused */
   uint32_t max_per_upstream; /* most tasks on one upstream; 0: no limit */
 } mm_step;
 
@@ -38,7 +38,7 @@
 /* Number of tasks that wait for no other step.  */
 uint32_t mm_submission_first_tasks (const mm_submission *s);
 /* Returns why this kind of job is not served, or NULL when it is served.  */
-const char *mm_submission_unsupported (const mm_submission *s);
+const char *mm_submission_unsupported_reason (const mm_submission *s);
 /* Sum of the declared run times along the longest chain of steps.  */
 mm_time_ms mm_submission_chain_ms (const mm_submission *s);
 
--- a/src/mm_submission_codec.c
+++ b/src/mm_submission_codec.c
@@ -3,7 +3,7 @@
    data_label, [after, ...]].
 
    Fields of kinds of jobs that are not served are left out: jobs that
-   mm_submission_unsupported() rejects are not encoded.  */
+   mm_submission_unsupported_reason() rejects are not encoded.  */
 #include "mm_submission_codec.h"
 
 #include "config.h"
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -339,7 +339,7 @@
   mm_submission s = { .best_effort = true, .steps = steps, .n_steps = 4 };
   ck_assert_int_eq (mm_submission_chain_ms (&s), 160);
   ck_assert_uint_eq (mm_submission_tasks (&s), 6);
-  ck_assert_ptr_null (mm_submission_unsupported (&s));
+  ck_assert_ptr_null (mm_submission_unsupported_reason (&s));
 }
 END_TEST
 
@@ -347,20 +347,20 @@
 {
   mm_step step = { .count = 2 };
   mm_submission s = { .best_effort = true, .steps = &step, .n_steps = 1 };
-  ck_assert_ptr_null (mm_submission_unsupported (&s));
+  ck_assert_ptr_null (mm_submission_unsupported_reason (&s));
   s.best_effort = false;
-  ck_assert_ptr_null (mm_submission_unsupported (&s));
+  ck_assert_ptr_null (mm_submission_unsupported_reason (&s));
   s.best_effort = s.repeats = true;
-  ck_assert_ptr_nonnull (mm_submission_unsupported (&s));
+  ck_assert_ptr_nonnull (mm_submission_unsupported_reason (&s));
   s.repeats = false;
   step.gang = true;
-  ck_assert_ptr_nonnull (mm_submission_unsupported (&s));
+  ck_assert_ptr_nonnull (mm_submission_unsupported_reason (&s));
   step.gang = false;
   step.max_per_upstream = 1;
-  ck_assert_ptr_nonnull (mm_submission_unsupported (&s));
+  ck_assert_ptr_nonnull (mm_submission_unsupported_reason (&s));
   step.max_per_upstream = 0;
   step.count = MM_MAX_JOB_TASKS + 1;
-  ck_assert_ptr_nonnull (mm_submission_unsupported (&s));
+  ck_assert_ptr_nonnull (mm_submission_unsupported_reason (&s));
 }
 END_TEST
 
