--- a/src/mm_absence.c
+++ b/src/mm_absence.c
@@ -1,7 +1,8 @@
-/* mm_absence: one record stands for all questions that came before it.
+/* mm_absence: one stored record confirms all requests received before it.
 
-   The record is a tombstone of an id that was asked for.  However many ask,
-   one is under way at a time, MM_ABSENCE_PAUSE_MS apart.  */
+   The record is a tombstone for one of the requested ids.  However many
+   requests arrive, at most one record is in flight, and records are sent at
+   least MM_ABSENCE_PAUSE_MS apart.  */
 #include "mm_absence.h"
 
 #include "config.h"
@@ -9,17 +10,17 @@
 typedef struct
 {
   char *job_id;
-  mm_kept_told told; /* NULL: it was answered */
+  mm_kept_told answered; /* NULL once called */
   void *ctx;
-  mm_time_ms until_ms;
-} question;
+  mm_time_ms expires_ms;
+} request;
 
 struct mm_absence
 {
   mm_job_log *log;
-  GQueue *questions; /* in the order in which they came */
-  guint covered;     /* of these, by the record under way; 0: none is */
-  mm_time_ms sent_ms;
+  GQueue *requests; /* in the order of arrival */
+  guint n_covered;  /* confirmed by the record in flight, 0: none is */
+  mm_time_ms record_sent_ms;
 };
 
 mm_absence *
@@ -27,18 +28,18 @@
 {
   mm_absence *a = g_new0 (mm_absence, 1);
   a->log = log;
-  a->questions = g_queue_new ();
+  a->requests = g_queue_new ();
   return a;
 }
 
 static void
-answer (question *q, mm_kept_status status)
+answer (request *r, mm_kept_status status)
 {
-  mm_kept_answer said = { .status = status };
-  mm_kept_told told = q->told;
-  q->told = NULL;
-  if (told)
-    told (q->ctx, &said);
+  mm_kept_answer result = { .status = status };
+  mm_kept_told answered = r->answered;
+  r->answered = NULL;
+  if (answered)
+    answered (r->ctx, &result);
 }
 
 static void
@@ -46,10 +47,10 @@
 {
   for (guint i = 0; i < n; i++)
     {
-      question *q = g_queue_pop_head (a->questions);
-      answer (q, status);
-      g_free (q->job_id);
-      g_free (q);
+      request *r = g_queue_pop_head (a->requests);
+      answer (r, status);
+      g_free (r->job_id);
+      g_free (r);
     }
 }
 
@@ -58,8 +59,8 @@
 {
   if (!a)
     return;
-  answer_first (a, a->questions->length, MM_KEPT_MOVING);
-  g_queue_free (a->questions);
+  answer_first (a, a->requests->length, MM_KEPT_MOVING);
+  g_queue_free (a->requests);
   g_free (a);
 }
 
@@ -67,43 +68,43 @@
 on_stored (void *ctx, bool ok)
 {
   mm_absence *a = ctx;
-  guint n = a->covered;
-  a->covered = 0;
+  guint n = a->n_covered;
+  a->n_covered = 0;
   answer_first (a, n, ok ? MM_KEPT_NO_JOB : MM_KEPT_MOVING);
 }
 
 static void
-send_record (mm_absence *a, mm_time_ms now)
+store_record (mm_absence *a, mm_time_ms now)
 {
-  if (a->covered || !a->questions->length
-      || now - a->sent_ms < MM_ABSENCE_PAUSE_MS)
+  if (a->n_covered || !a->requests->length
+      || now - a->record_sent_ms < MM_ABSENCE_PAUSE_MS)
     return;
-  const question *first = g_queue_peek_head (a->questions);
-  a->sent_ms = now;
-  a->covered = a->questions->length;
+  const request *first = g_queue_peek_head (a->requests);
+  a->record_sent_ms = now;
+  a->n_covered = a->requests->length;
   mm_job_log_put (a->log, first->job_id, NULL, on_stored, a);
 }
 
 void
-mm_absence_ask (mm_absence *a, const char *job_id, mm_kept_told told,
+mm_absence_ask (mm_absence *a, const char *job_id, mm_kept_told answered,
                 void *ctx)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  question *q = g_new (question, 1);
-  *q = (question){ .job_id = g_strdup (job_id),
-                   .told = told,
-                   .ctx = ctx,
-                   .until_ms = now + MM_KEPT_ACCEPT_MS };
-  g_queue_push_tail (a->questions, q);
-  send_record (a, now);
+  request *r = g_new (request, 1);
+  *r = (request){ .job_id = g_strdup (job_id),
+                  .answered = answered,
+                  .ctx = ctx,
+                  .expires_ms = now + MM_KEPT_ACCEPT_MS };
+  g_queue_push_tail (a->requests, r);
+  store_record (a, now);
 }
 
 void
 mm_absence_tick (mm_absence *a)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  for (GList *l = a->questions->head; l; l = l->next)
-    if (now >= ((question *)l->data)->until_ms)
+  for (GList *l = a->requests->head; l; l = l->next)
+    if (now >= ((request *)l->data)->expires_ms)
       answer (l->data, MM_KEPT_BUSY);
-  send_record (a, now);
+  store_record (a, now);
 }
--- a/src/mm_absence.h
+++ b/src/mm_absence.h
@@ -1,9 +1,14 @@
-/* mm_absence: is a kept job that is asked for truly not here?
+/* mm_absence: confirms with a stored record that a kept job does not exist.
 
-   An instance that was a job's home until a moment ago may not know that it is
-   not any more, nor what its successor has accepted.  The store refuses its
-   records: what a home does not know of does not exist once the store has
-   taken a record of it that was sent after the question came.  */
+   A kept job is a durable job: stored before its caller is told that it is
+   accepted, and run to its end whatever instance dies.  The home of a
+   partition stores and runs the partition's kept jobs.
+
+   An instance that was a job's home until a moment ago may not know yet that
+   it no longer is, nor which jobs the new home has accepted.  The store
+   refuses records of a former home.  So a job that the home does not know
+   does not exist once the store has accepted a record that the home sent
+   after the request arrived.  */
 #ifndef MM_ABSENCE_H
 #define MM_ABSENCE_H
 
@@ -12,12 +17,13 @@
 
 typedef struct mm_absence mm_absence;
 
-mm_absence *mm_absence_create (mm_job_log *log); /* must outlive its use */
-void mm_absence_destroy (mm_absence *a);         /* after the log's close */
-/* Answered once: NO_JOB, MOVING when this is not the home any more, or BUSY
-   when the store does not say in time.  */
-void mm_absence_ask (mm_absence *a, const char *job_id, mm_kept_told told,
+/* @log must outlive the returned object's use.  */
+mm_absence *mm_absence_create (mm_job_log *log);
+void mm_absence_destroy (mm_absence *a); /* call after closing the log */
+/* Calls @answered once: with NO_JOB, with MOVING when this instance is not
+   the home any more, or with BUSY when the store does not answer in time.  */
+void mm_absence_ask (mm_absence *a, const char *job_id, mm_kept_told answered,
                      void *ctx);
-void mm_absence_tick (mm_absence *a); /* each MM_EXEC_TICK_MS */
+void mm_absence_tick (mm_absence *a); /* call every MM_EXEC_TICK_MS */
 
 #endif /* MM_ABSENCE_H */
--- a/src/mm_catalog.c
+++ b/src/mm_catalog.c
@@ -1,9 +1,9 @@
-/* mm_catalog: keep what the list says, and forget with delay.
+/* mm_catalog: keeps the listed upstreams and drops missing ones with a delay.
 
-   Entries lapse while the store is down and are back within two seconds
-   of its return.  An upstream dropped at once would lose its running
-   tasks for that gap, so a missing one stays for MM_LIST_DROP_MS of
-   contact with the store.  */
+   Entries of the list expire while the store is down and are back within two
+   seconds of its return.  If an upstream were dropped at once, its running
+   tasks would be lost because of that gap.  So a missing upstream stays until
+   it has been missing for MM_LIST_DROP_MS of contact with the store.  */
 #include "mm_catalog.h"
 
 #include "config.h"
@@ -14,13 +14,13 @@
 typedef struct
 {
   mm_upstream_info *info;
-  mm_time_ms missing_since_ms; /* 0: listed */
+  mm_time_ms missing_since_ms; /* 0: it is listed */
 } entry;
 
 struct mm_catalog
 {
   GHashTable *by_name; /* name -> entry */
-  size_t n_missing;    /* entries */
+  size_t n_missing;    /* entries with missing_since_ms set */
   uint64_t changes;
   mm_catalog_listed listed;
   void *ctx;
@@ -59,9 +59,10 @@
   g_free (c);
 }
 
-/* Heartbeats repeat the same words: only these matter.  */
+/* Returns whether two entries agree in the fields that matter here.  Each
+   heartbeat of an upstream repeats its entry, mostly unchanged.  */
 static bool
-same (const mm_upstream_info *a, const mm_upstream_info *b)
+same_entry (const mm_upstream_info *a, const mm_upstream_info *b)
 {
   return a->draining == b->draining && a->slots == b->slots
          && memcmp (&a->capacity, &b->capacity, sizeof a->capacity) == 0
@@ -74,7 +75,7 @@
                 const mm_catalog_origin *from)
 {
   entry *e = g_hash_table_lookup (c->by_name, u->name);
-  if (e && same (e->info, u))
+  if (e && same_entry (e->info, u))
     {
       bool back = e->missing_since_ms != 0;
       c->n_missing -= back;
@@ -89,8 +90,8 @@
   c->n_missing -= e && e->missing_since_ms;
   entry *fresh = g_new0 (entry, 1);
   fresh->info = mm_upstream_info_copy (u);
-  /* A report of ready that is older than one of draining cannot undo it:
-     records of a key come in order.  */
+  /* An older entry that is not draining cannot replace a newer one that is:
+     the records of a key arrive in order.  */
   g_hash_table_replace (c->by_name, g_strdup (u->name), fresh);
   c->changes++;
   if (c->listed)
@@ -121,7 +122,7 @@
 }
 
 void
-mm_catalog_tick (mm_catalog *c, bool in_touch)
+mm_catalog_tick (mm_catalog *c, bool in_contact)
 {
   if (c->n_missing == 0)
     return;
@@ -134,7 +135,7 @@
       entry *e = v;
       if (!e->missing_since_ms)
         continue;
-      if (!in_touch)
+      if (!in_contact)
         e->missing_since_ms = now;
       else if (now - e->missing_since_ms > MM_LIST_DROP_MS)
         {
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -1,4 +1,4 @@
-/* mm_fleet: hand tasks to the owner that mm_spread chooses.  */
+/* mm_fleet: dispatches each task to the owner that mm_spread chooses.  */
 #include "mm_fleet.h"
 
 #include "config.h"
@@ -14,16 +14,16 @@
   mm_mesh *mesh;
   char *datacentre;
   double mean_task_ms;
-  bool seen_any;         /* a task was handed out */
-  bool seen_end;         /* it is observed; until then as declared */
-  mm_suspects *suspects; /* NULL: not followed */
+  bool any_declared;     /* a declared run time was recorded */
+  bool any_ended;        /* a task has ended: declared run times are ignored */
+  mm_suspects *suspects; /* NULL: crashes are not tracked */
 };
 
 struct mm_ticket
 {
   mm_fleet *fleet;
-  mm_work *work;     /* here, or */
-  mm_remote *remote; /* at a peer */
+  mm_work *work;     /* dispatched to this instance; else NULL */
+  mm_remote *remote; /* dispatched to a peer; else NULL */
   mm_work_done done;
   void *ctx;
 };
@@ -71,8 +71,10 @@
   g_free (upstreams);
 }
 
+/* Fills @out with the capacity reports of this instance, always first, and of
+   its peers.  Return: their number.  */
 static size_t
-places (const mm_fleet *f, const char *service, mm_mesh_place *out)
+list_owners (const mm_fleet *f, const char *service, mm_mesh_place *out)
 {
   out[0].name = NULL;
   out[0].age_ms = 0;
@@ -84,109 +86,116 @@
 mm_load
 mm_fleet_load (const mm_fleet *f, const char *service, uint32_t priority)
 {
-  mm_mesh_place p[MM_FLEET_MAX];
-  size_t n = places (f, service, p);
+  mm_mesh_place owners[MM_FLEET_MAX];
+  size_t n = list_owners (f, service, owners);
   mm_load load = { .mean_task_ms = (mm_time_ms)f->mean_task_ms };
-  double known = 0, cost = 0;
+  double known_places = 0, run_ms_sum = 0;
   for (size_t i = 0; i < n; i++)
     {
-      load.places += p[i].room.places;
-      load.free += p[i].room.free;
-      load.waiting += mm_room_ahead (&p[i].room, priority);
-      load.age_ms = MAX (load.age_ms, p[i].age_ms);
-      if (p[i].room.task_ms && p[i].room.places)
+      load.places += owners[i].room.places;
+      load.free += owners[i].room.free;
+      load.waiting += mm_room_ahead (&owners[i].room, priority);
+      load.age_ms = MAX (load.age_ms, owners[i].age_ms);
+      if (owners[i].room.task_ms && owners[i].room.places)
         {
-          known += p[i].room.places;
-          cost += (double)p[i].room.places * p[i].room.task_ms;
+          known_places += owners[i].room.places;
+          run_ms_sum += (double)owners[i].room.places * owners[i].room.task_ms;
         }
     }
-  if (MM_WITH_COST && known > 0)
-    load.mean_task_ms = MAX (load.mean_task_ms, (mm_time_ms)(cost / known));
+  if (MM_WITH_COST && known_places > 0)
+    load.mean_task_ms
+        = MAX (load.mean_task_ms, (mm_time_ms)(run_ms_sum / known_places));
   return load;
 }
 
 static void
-note_run_time (mm_fleet *f, mm_time_ms run_ms)
+record_run_time (mm_fleet *f, mm_time_ms run_ms)
 {
   f->mean_task_ms += MM_MEAN_TASK_GAIN * ((double)run_ms - f->mean_task_ms);
 }
 
-/* A newcomer has seen no task end.  A fixed guess would be far too long for a
-   queue of short tasks, and jobs with time to spare would be refused; what the
-   tasks declare is nearer.  */
+/* Updates the mean run time from a task's declared run time until a task has
+   ended here.  A fixed estimate would be far too long for a queue of short
+   tasks, and an instance that has just joined would refuse jobs that still
+   have enough time; declared times are closer.  */
 static void
-note_declared (mm_fleet *f, mm_time_ms run_ms)
+record_declared_run_time (mm_fleet *f, mm_time_ms run_ms)
 {
-  if (f->seen_end || run_ms <= 0)
+  if (f->any_ended || run_ms <= 0)
     return;
-  if (!f->seen_any)
+  if (!f->any_declared)
     f->mean_task_ms = (double)run_ms;
-  f->seen_any = true;
-  note_run_time (f, run_ms);
+  f->any_declared = true;
+  record_run_time (f, run_ms);
 }
 
 static void
 on_done (void *ctx, const mm_work_result *r)
 {
   mm_ticket *t = ctx;
-  /* The run alone: with the wait in it, a queue would look longer the
-     longer it was, and jobs that fit would be refused.  */
+  /* Records the run without the wait in the queue: the estimated length of a
+     queue would otherwise grow with its own length, and jobs that fit would
+     be refused.  */
   if (r->how == MM_END_DONE)
     {
-      t->fleet->seen_end = true;
-      note_run_time (t->fleet, r->ran_ms);
+      t->fleet->any_ended = true;
+      record_run_time (t->fleet, r->ran_ms);
     }
   t->done (t->ctx, r);
   g_free (t);
 }
 
 /**
- * mm_fleet_submit() - hand a task to an owner.
+ * mm_fleet_submit() - dispatches a task to an owner.
  * @f: the fleet.
  * @t: the task.
- * @gave_back: the owner that has just given it back, "": this instance; or
- *             NULL.
- * @done: called once, later, unless it is cancelled before.
+ * @returned_by: the owner that has just returned the task without running
+ *               it, "" for this instance, or NULL.
+ * @done: called once, after this function has returned, unless the ticket is
+ *        cancelled first.
  * @ctx: for @done.
  *
- * Return: a ticket valid until @done, or NULL when no owner has a place.
+ * Return: a ticket valid until @done, or NULL when no owner has capacity.
  */
 mm_ticket *
-mm_fleet_submit (mm_fleet *f, const mm_task_request *t, const char *gave_back,
-                 mm_work_done done, void *ctx)
+mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
+                 const char *returned_by, mm_work_done done, void *ctx)
 {
-  note_declared (f, t->estimate_ms);
-  mm_mesh_place p[MM_FLEET_MAX];
-  mm_spread_choice c[MM_FLEET_MAX];
-  size_t n = places (f, t->service, p);
+  record_declared_run_time (f, t->estimate_ms);
+  mm_mesh_place owners[MM_FLEET_MAX];
+  mm_spread_choice choices[MM_FLEET_MAX];
+  size_t n = list_owners (f, t->service, owners);
   for (size_t i = 0; i < n; i++)
     {
-      bool here = strcmp (p[i].datacentre, f->datacentre) == 0;
-      c[i].near = i == 0 ? MM_NEAR_SELF
-                  : here ? MM_NEAR_DATACENTRE
-                         : MM_NEAR_FAR;
-      c[i].gave_back
-          = gave_back && strcmp (p[i].name ? p[i].name : "", gave_back) == 0;
-      c[i].room = p[i].room;
-      c[i].room.waiting = mm_room_ahead (&p[i].room, t->priority);
+      bool same_datacentre = strcmp (owners[i].datacentre, f->datacentre) == 0;
+      choices[i].near = i == 0            ? MM_NEAR_SELF
+                        : same_datacentre ? MM_NEAR_DATACENTRE
+                                          : MM_NEAR_FAR;
+      choices[i].gave_back
+          = returned_by
+            && strcmp (owners[i].name ? owners[i].name : "", returned_by) == 0;
+      choices[i].room = owners[i].room;
+      choices[i].room.waiting = mm_room_ahead (&owners[i].room, t->priority);
     }
-  int best = mm_spread_choose (c, n);
+  int best = mm_spread_choose (choices, n);
   if (best < 0)
     return NULL;
-  mm_ticket *k = g_new0 (mm_ticket, 1);
-  k->fleet = f;
-  k->done = done;
-  k->ctx = ctx;
+  mm_ticket *ticket = g_new0 (mm_ticket, 1);
+  ticket->fleet = f;
+  ticket->done = done;
+  ticket->ctx = ctx;
   mm_metrics_count (MM_CT_TASKS_HANDED);
   mm_log_event (MM_EV_TASK_HANDED, MM_TASK (&t->id),
-                MM_TEXT (best ? p[best].name : "self"),
-                MM_INT (p[best].room.free), MM_INT (p[best].room.waiting),
-                MM_INT (p[best].age_ms), MM_INT (t->attempt));
+                MM_TEXT (best ? owners[best].name : "self"),
+                MM_INT (owners[best].room.free),
+                MM_INT (owners[best].room.waiting),
+                MM_INT (owners[best].age_ms), MM_INT (t->attempt));
   if (best == 0)
-    k->work = mm_owner_submit (f->owner, t, on_done, k);
+    ticket->work = mm_owner_submit (f->owner, t, on_done, ticket);
   else
-    k->remote = mm_mesh_submit (f->mesh, p[best].name, t, on_done, k);
-  return k;
+    ticket->remote
+        = mm_mesh_submit (f->mesh, owners[best].name, t, on_done, ticket);
+  return ticket;
 }
 
 void
