--- a/src/mm_holdings.c
+++ b/src/mm_holdings.c
@@ -1,9 +1,10 @@
-/* mm_holdings: own shares, and standing in for other data centres.
+/* mm_holdings: partitions of the own data centre, and of others as standby.
 
-   Stands in only where the last instance's links were closed, not where
-   they fell silent: an instance that is cut off goes on serving its
-   upstreams, and a higher token would stop what runs there once the cut
-   heals.  Of all instances in touch, MM_STANDBY_COUNT stand in.  */
+   An instance becomes standby only for a data centre whose last instance
+   closed its links, not for one whose links became unresponsive: an instance
+   behind a network partition goes on serving its upstreams, and a higher
+   fencing token would stop the runs there once the network is whole again.
+   Of all instances in contact, MM_STANDBY_COUNT become standby.  */
 #include "mm_holdings.h"
 
 #include "config.h"
@@ -13,35 +14,36 @@
 #include <string.h>
 #include <xxhash.h>
 
+/* A data centre, and this instance's membership in its group.  */
 typedef struct
 {
   char *datacentre;
   char *group;
   bool own;
-  mm_shares *shares; /* NULL: no part in it */
-  bool retiring;
-  mm_time_ms retiring_ms;
-  mm_time_ms orphaned_ms; /* since when it has no instance, 0: it has */
-} holding;
+  mm_shares *partitions; /* NULL: not a member */
+  bool retiring;         /* leaves the group once its upstreams are idle */
+  mm_time_ms retiring_since_ms;
+  mm_time_ms orphaned_since_ms; /* 0: an instance stays there */
+} membership;
 
 struct mm_holdings
 {
   mm_store_port port;
   mm_mesh *mesh;
   char *member;
-  uint32_t parts;
+  uint32_t n_partitions;
   mm_holdings_events ev;
-  holding *all;
+  membership *memberships;
   size_t n;
-  uint64_t changes; /* besides those of the shares held now */
+  uint64_t changes; /* without those that the memberships count themselves */
   bool leaving;
-  mm_time_ms looked_ms;  /* when the other data centres were last looked at */
-  mm_time_ms alone_ms;   /* leaving: then others are waited for, if any */
-  mm_time_ms give_up_ms; /* leaving: then all is let go of */
+  mm_time_ms checked_ms;     /* when standby was last checked */
+  mm_time_ms alone_after_ms; /* leaving: end of the wait without a peer */
+  mm_time_ms release_by_ms;  /* leaving: end of the wait in any case */
 };
 
 static void
-on_handed (void *ctx, const char *group)
+on_released (void *ctx, const char *group)
 {
   mm_mesh_tell_handed (((mm_holdings *)ctx)->mesh, group);
 }
@@ -49,70 +51,71 @@
 static void
 on_changed (void *ctx)
 {
-  mm_holdings *h = ctx;
-  h->ev.changed (h->ev.ctx);
+  mm_holdings *dcs = ctx;
+  dcs->ev.changed (dcs->ev.ctx);
 }
 
 static void
-join (mm_holdings *h, holding *d)
+join_group (mm_holdings *dcs, membership *m)
 {
-  d->shares = mm_shares_create (&h->port, d->group, h->member, h->parts);
+  m->partitions = mm_shares_create (&dcs->port, m->group, dcs->member,
+                                    dcs->n_partitions);
   mm_shares_events ev
-      = { .handed = on_handed, .changed = on_changed, .ctx = h };
-  mm_shares_on (d->shares, &ev);
-  d->retiring = false;
+      = { .handed = on_released, .changed = on_changed, .ctx = dcs };
+  mm_shares_on (m->partitions, &ev);
+  m->retiring = false;
 }
 
 mm_holdings *
 mm_holdings_create (const mm_store_port *port, mm_mesh *mesh,
                     char *const *datacentres, const char *own,
-                    const char *member, uint32_t parts,
+                    const char *member, uint32_t n_partitions,
                     const mm_holdings_events *ev)
 {
-  mm_holdings *h = g_new0 (mm_holdings, 1);
-  h->port = *port;
-  h->mesh = mesh;
-  h->member = g_strdup (member);
-  h->parts = parts;
-  h->ev = *ev;
-  h->n = g_strv_length ((char **)datacentres);
-  h->all = g_new0 (holding, h->n + 1);
-  for (size_t i = 0; i < h->n; i++)
+  mm_holdings *dcs = g_new0 (mm_holdings, 1);
+  dcs->port = *port;
+  dcs->mesh = mesh;
+  dcs->member = g_strdup (member);
+  dcs->n_partitions = n_partitions;
+  dcs->ev = *ev;
+  dcs->n = g_strv_length ((char **)datacentres);
+  dcs->memberships = g_new0 (membership, dcs->n + 1);
+  for (size_t i = 0; i < dcs->n; i++)
     {
-      holding *d = &h->all[i];
-      d->datacentre = g_strdup (datacentres[i]);
-      d->group = mm_members_group (datacentres[i]);
-      d->own = strcmp (datacentres[i], own) == 0;
-      if (d->own)
-        join (h, d);
+      membership *m = &dcs->memberships[i];
+      m->datacentre = g_strdup (datacentres[i]);
+      m->group = mm_members_group (datacentres[i]);
+      m->own = strcmp (datacentres[i], own) == 0;
+      if (m->own)
+        join_group (dcs, m);
     }
-  return h;
+  return dcs;
 }
 
 void
-mm_holdings_destroy (mm_holdings *h)
+mm_holdings_destroy (mm_holdings *dcs)
 {
-  if (!h)
+  if (!dcs)
     return;
-  for (size_t i = 0; i < h->n; i++)
+  for (size_t i = 0; i < dcs->n; i++)
     {
-      mm_shares_destroy (h->all[i].shares);
-      g_free (h->all[i].datacentre);
-      g_free (h->all[i].group);
+      mm_shares_destroy (dcs->memberships[i].partitions);
+      g_free (dcs->memberships[i].datacentre);
+      g_free (dcs->memberships[i].group);
     }
-  g_free (h->all);
-  g_free (h->member);
-  g_free (h);
+  g_free (dcs->memberships);
+  g_free (dcs->member);
+  g_free (dcs);
 }
 
 static void
-retire (mm_holdings *h, holding *d)
+retire (mm_holdings *dcs, membership *m)
 {
-  if (!d->shares || d->retiring)
+  if (!m->partitions || m->retiring)
     return;
-  h->changes++;
-  d->retiring = true;
-  d->retiring_ms = mm_clock_now_ms ();
+  dcs->changes++;
+  m->retiring = true;
+  m->retiring_since_ms = mm_clock_now_ms ();
 }
 
 static uint64_t
@@ -122,187 +125,199 @@
                                XXH3_64bits (datacentre, strlen (datacentre)));
 }
 
-/* Are we among the instances that stand in for this data centre?  */
+/* Returns whether this instance is one of the MM_STANDBY_COUNT instances that
+   are standby for the data centre.  */
 static bool
-chosen (const mm_holdings *h, const holding *d)
+is_chosen_standby (const mm_holdings *dcs, const membership *m)
 {
   mm_mesh_place peers[MM_FLEET_MAX];
-  size_t n = mm_mesh_places (h->mesh, "", peers, MM_FLEET_MAX);
-  uint64_t own = rank_of (h->member, d->datacentre);
-  uint32_t before = 0;
+  size_t n = mm_mesh_places (dcs->mesh, "", peers, MM_FLEET_MAX);
+  uint64_t own = rank_of (dcs->member, m->datacentre);
+  uint32_t n_before = 0;
   for (size_t i = 0; i < n; i++)
-    before += rank_of (peers[i].name, d->datacentre) > own;
-  return before < MM_STANDBY_COUNT;
+    n_before += rank_of (peers[i].name, m->datacentre) > own;
+  return n_before < MM_STANDBY_COUNT;
 }
 
 static void
-consider_standby (mm_holdings *h, holding *d, mm_time_ms now)
+update_standby (mm_holdings *dcs, membership *m, mm_time_ms now)
 {
-  mm_mesh_presence p = mm_mesh_presence_in (h->mesh, d->datacentre);
-  /* Only some of its instances are linked to: with these lost, the others
-     are tried first.  Those that shut down serve on until they can hand
-     over: with all of them leaving, it is we who take over.  */
-  bool lost = p.connected == 0 && p.untried == 0 && p.closed_ms
-              && now - p.closed_ms < MM_STANDBY_FORGET_MS;
-  bool orphan = lost || (p.connected && !p.staying);
-  if (!orphan)
+  mm_mesh_presence presence = mm_mesh_presence_in (dcs->mesh, m->datacentre);
+  /* This instance has links to only some instances of the data centre; when
+     these are lost, it first tries the others.  Instances that shut down
+     serve until they can hand over their partitions; when all of them are
+     shutting down, a standby takes over.  */
+  bool all_lost = presence.connected == 0 && presence.untried == 0
+                  && presence.closed_ms
+                  && now - presence.closed_ms < MM_STANDBY_FORGET_MS;
+  bool is_orphaned = all_lost || (presence.connected && !presence.staying);
+  if (!is_orphaned)
     {
-      d->orphaned_ms = 0;
-      if (p.staying)
-        retire (h, d);
+      m->orphaned_since_ms = 0;
+      if (presence.staying)
+        retire (dcs, m);
       return;
     }
-  if (!d->orphaned_ms)
-    d->orphaned_ms = now;
-  if (!d->shares && now - d->orphaned_ms >= MM_STANDBY_AFTER_MS
-      && chosen (h, d))
+  if (!m->orphaned_since_ms)
+    m->orphaned_since_ms = now;
+  if (!m->partitions && now - m->orphaned_since_ms >= MM_STANDBY_AFTER_MS
+      && is_chosen_standby (dcs, m))
     {
-      mm_log_event (MM_EV_STANDBY, MM_TEXT (d->datacentre),
-                    MM_INT (lost ? now - p.closed_ms : 0));
-      join (h, d);
+      mm_log_event (MM_EV_STANDBY, MM_TEXT (m->datacentre),
+                    MM_INT (all_lost ? now - presence.closed_ms : 0));
+      join_group (dcs, m);
     }
 }
 
 static void
-tick_shares (mm_holdings *h, holding *d, mm_time_ms now)
+tick_membership (mm_holdings *dcs, membership *m, mm_time_ms now)
 {
-  mm_shares_tick (d->shares);
-  bool releasing = mm_shares_releasing (d->shares);
-  bool quiet
-      = (releasing || d->retiring) && h->ev.quiet (h->ev.ctx, d->datacentre);
-  if (releasing && quiet)
-    mm_shares_release (d->shares);
-  if (d->retiring && (quiet || now - d->retiring_ms > MM_HANDOVER_MS))
-    mm_shares_leave (d->shares);
-  if (!mm_shares_left (d->shares) || d->own)
+  mm_shares_tick (m->partitions);
+  bool releasing = mm_shares_releasing (m->partitions);
+  bool idle = (releasing || m->retiring)
+              && dcs->ev.quiet (dcs->ev.ctx, m->datacentre);
+  if (releasing && idle)
+    mm_shares_release (m->partitions);
+  if (m->retiring && (idle || now - m->retiring_since_ms > MM_HANDOVER_MS))
+    mm_shares_leave (m->partitions);
+  if (!mm_shares_left (m->partitions) || m->own)
     return;
-  h->changes += 1 + mm_shares_changes (d->shares);
-  mm_shares_destroy (d->shares);
-  d->shares = NULL;
+  dcs->changes += 1 + mm_shares_changes (m->partitions);
+  mm_shares_destroy (m->partitions);
+  m->partitions = NULL;
 }
 
-/* Leaving: is there somebody who takes over?  Without, we serve to our end:
-   in a restart of all instances one after the other nobody would own any
-   upstream for seconds if each let go of its own at once.  */
+/* Releases the partitions of a data centre when another instance can take
+   them over, and otherwise goes on serving as long as possible.  In a rolling
+   restart of all instances, upstreams would have no owner for seconds if each
+   instance released its partitions at once.  */
 static void
-consider_leaving (mm_holdings *h, holding *d, mm_time_ms now)
+update_leaving (mm_holdings *dcs, membership *m, mm_time_ms now)
 {
-  if (!d->shares || d->retiring)
+  if (!m->partitions || m->retiring)
     return;
-  mm_mesh_presence p = mm_mesh_presence_in (h->mesh, d->datacentre);
-  bool alone = mm_mesh_connected (h->mesh) == 0 && now >= h->alone_ms;
-  if (p.staying || alone || now >= h->give_up_ms || !MM_WITH_SERVE_ON)
-    retire (h, d);
+  mm_mesh_presence presence = mm_mesh_presence_in (dcs->mesh, m->datacentre);
+  bool is_alone
+      = mm_mesh_connected (dcs->mesh) == 0 && now >= dcs->alone_after_ms;
+  if (presence.staying || is_alone || now >= dcs->release_by_ms
+      || !MM_WITH_SERVE_ON)
+    retire (dcs, m);
 }
 
 void
-mm_holdings_tick (mm_holdings *h)
+mm_holdings_tick (mm_holdings *dcs)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  bool look = MM_WITH_STANDBY && now - h->looked_ms >= MM_STANDBY_LOOK_MS;
-  if (look)
-    h->looked_ms = now;
-  for (size_t i = 0; i < h->n; i++)
+  bool check_standby
+      = MM_WITH_STANDBY && now - dcs->checked_ms >= MM_STANDBY_LOOK_MS;
+  if (check_standby)
+    dcs->checked_ms = now;
+  for (size_t i = 0; i < dcs->n; i++)
     {
-      holding *d = &h->all[i];
-      if (h->leaving)
-        consider_leaving (h, d, now);
-      else if (!d->own && look)
-        consider_standby (h, d, now);
-      if (d->shares)
-        tick_shares (h, d, now);
+      membership *m = &dcs->memberships[i];
+      if (dcs->leaving)
+        update_leaving (dcs, m, now);
+      else if (!m->own && check_standby)
+        update_standby (dcs, m, now);
+      if (m->partitions)
+        tick_membership (dcs, m, now);
     }
 }
 
-static holding *
-holding_of (const mm_holdings *h, const mm_upstream_info *u)
+static membership *
+membership_of (const mm_holdings *dcs, const mm_upstream_info *u)
 {
-  for (size_t i = 0; i < h->n; i++)
-    if (strcmp (h->all[i].datacentre, u->datacentre) == 0)
-      return h->all[i].shares ? &h->all[i] : NULL;
+  for (size_t i = 0; i < dcs->n; i++)
+    if (strcmp (dcs->memberships[i].datacentre, u->datacentre) == 0)
+      return dcs->memberships[i].partitions ? &dcs->memberships[i] : NULL;
   return NULL;
 }
 
 mm_share_state
-mm_holdings_of (const mm_holdings *h, const mm_upstream_info *u,
+mm_holdings_of (const mm_holdings *dcs, const mm_upstream_info *u,
                 uint64_t *fence)
 {
   *fence = 0;
-  const holding *d = holding_of (h, u);
-  if (!d)
+  const membership *m = membership_of (dcs, u);
+  if (!m)
     return MM_SHARE_OTHERS;
-  mm_share_state s = mm_shares_of (d->shares, u->name, fence);
-  return s == MM_SHARE_OURS && d->retiring ? MM_SHARE_LEAVING : s;
+  mm_share_state state = mm_shares_of (m->partitions, u->name, fence);
+  return state == MM_SHARE_OURS && m->retiring ? MM_SHARE_LEAVING : state;
 }
 
 void
-mm_holdings_retake (mm_holdings *h, const mm_upstream_info *u)
+mm_holdings_retake (mm_holdings *dcs, const mm_upstream_info *u)
 {
-  holding *d = holding_of (h, u);
-  if (d)
-    mm_shares_retake (d->shares, u->name);
+  membership *m = membership_of (dcs, u);
+  if (m)
+    mm_shares_retake (m->partitions, u->name);
 }
 
 void
-mm_holdings_leave (mm_holdings *h, mm_time_ms alone_ms, mm_time_ms give_up_ms)
+mm_holdings_leave (mm_holdings *dcs, mm_time_ms alone_after_ms,
+                   mm_time_ms release_by_ms)
 {
-  h->leaving = true;
-  h->alone_ms = alone_ms;
-  h->give_up_ms = give_up_ms;
+  dcs->leaving = true;
+  dcs->alone_after_ms = alone_after_ms;
+  dcs->release_by_ms = release_by_ms;
 }
 
 void
-mm_holdings_hurry (mm_holdings *h, const char *group)
+mm_holdings_hurry (mm_holdings *dcs, const char *group)
 {
-  for (size_t i = 0; i < h->n; i++)
-    if (h->all[i].shares && strcmp (h->all[i].group, group) == 0)
-      mm_shares_hurry (h->all[i].shares);
+  for (size_t i = 0; i < dcs->n; i++)
+    if (dcs->memberships[i].partitions
+        && strcmp (dcs->memberships[i].group, group) == 0)
+      mm_shares_hurry (dcs->memberships[i].partitions);
 }
 
 bool
-mm_holdings_left (const mm_holdings *h)
+mm_holdings_left (const mm_holdings *dcs)
 {
-  for (size_t i = 0; i < h->n; i++)
-    if (h->all[i].shares && !mm_shares_left (h->all[i].shares))
+  for (size_t i = 0; i < dcs->n; i++)
+    if (dcs->memberships[i].partitions
+        && !mm_shares_left (dcs->memberships[i].partitions))
       return false;
   return true;
 }
 
 bool
-mm_holdings_any (const mm_holdings *h)
+mm_holdings_any (const mm_holdings *dcs)
 {
-  for (size_t i = 0; i < h->n; i++)
-    if (h->all[i].shares && mm_shares_any (h->all[i].shares))
+  for (size_t i = 0; i < dcs->n; i++)
+    if (dcs->memberships[i].partitions
+        && mm_shares_any (dcs->memberships[i].partitions))
       return true;
   return false;
 }
 
 bool
-mm_holdings_sure (const mm_holdings *h)
+mm_holdings_sure (const mm_holdings *dcs)
 {
-  mm_time_ms since = mm_clock_now_ms () - MM_GROUP_SURE_MS;
-  for (size_t i = 0; i < h->n; i++)
-    if (h->all[i].shares && mm_shares_sure_ms (h->all[i].shares) < since)
+  mm_time_ms oldest_ms = mm_clock_now_ms () - MM_GROUP_SURE_MS;
+  for (size_t i = 0; i < dcs->n; i++)
+    if (dcs->memberships[i].partitions
+        && mm_shares_sure_ms (dcs->memberships[i].partitions) < oldest_ms)
       return false;
   return true;
 }
 
 uint64_t
-mm_holdings_changes (const mm_holdings *h)
+mm_holdings_changes (const mm_holdings *dcs)
 {
-  uint64_t sum = h->changes;
-  for (size_t i = 0; i < h->n; i++)
-    if (h->all[i].shares)
-      sum += mm_shares_changes (h->all[i].shares);
+  uint64_t sum = dcs->changes;
+  for (size_t i = 0; i < dcs->n; i++)
+    if (dcs->memberships[i].partitions)
+      sum += mm_shares_changes (dcs->memberships[i].partitions);
   return sum;
 }
 
 uint64_t
-mm_holdings_generation (const mm_holdings *h)
+mm_holdings_generation (const mm_holdings *dcs)
 {
   uint64_t sum = 0;
-  for (size_t i = 0; i < h->n; i++)
-    if (h->all[i].shares)
-      sum += mm_shares_generation (h->all[i].shares);
+  for (size_t i = 0; i < dcs->n; i++)
+    if (dcs->memberships[i].partitions)
+      sum += mm_shares_generation (dcs->memberships[i].partitions);
   return sum;
 }
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -1,4 +1,4 @@
-/* mm_list_share: who reads next, and what is passed on.  */
+/* mm_list_share: which instance reads next, and which changes it sends on.  */
 #include "mm_list_share.h"
 
 #include "config.h"
@@ -10,22 +10,22 @@
 
 struct mm_list_share
 {
-  mm_catalog *catalog; /* not ours */
-  mm_mesh *mesh;       /* not ours */
+  mm_catalog *catalog; /* not owned */
+  mm_mesh *mesh;       /* not owned */
   mm_stream *stream;
   char *self;
   mm_list_changed changed;
   void *ctx;
   mm_list_log *log;
-  GArray *seen; /* mm_list_change of the answer being read */
-  uint64_t round;
-  mm_time_ms own_until_ms; /* until then only our own reads count */
-  mm_time_ms notified_ms;  /* as of when the others were last notified */
-  mm_time_ms contact_ms;   /* since when it is followed, 0: not read yet */
+  GArray *changes_read; /* mm_list_change, from the answer being read */
+  uint64_t round;       /* number of shared reads so far */
+  mm_time_ms own_reads_until_ms; /* until then updates of peers are ignored */
+  mm_time_ms notified_as_of_ms;  /* time of the view last sent to all */
+  mm_time_ms contact_since_ms;   /* start of contact, 0: not read yet */
   bool complete;
 };
 
-/* ---- who reads next --------------------------------------------------- */
+/* ---- read order ------------------------------------------------------- */
 
 static uint64_t
 rank_of (const char *name, uint64_t round)
@@ -34,46 +34,46 @@
 }
 
 uint32_t
-mm_list_place (const char *self, GList *linked, uint64_t round)
+mm_list_place (const char *self, GList *peers, uint64_t round)
 {
   uint64_t own = rank_of (self, round);
-  uint32_t before = 0;
-  for (GList *i = linked; i; i = i->next)
-    before += rank_of (i->data, round) < own;
-  return MIN (before, MM_LIST_PLACES_MAX);
+  uint32_t n_before = 0;
+  for (GList *i = peers; i; i = i->next)
+    n_before += rank_of (i->data, round) < own;
+  return MIN (n_before, MM_LIST_PLACES_MAX);
 }
 
 static mm_time_ms
 pause_ms (void *ctx)
 {
   const mm_list_share *l = ctx;
-  GList *linked = mm_mesh_linked (l->mesh);
-  uint32_t place = mm_list_place (l->self, linked, l->round);
-  g_list_free (linked);
-  return MM_LIST_POLL_MS + place * MM_LIST_PLACE_MS;
+  GList *peers = mm_mesh_linked (l->mesh);
+  uint32_t rank = mm_list_place (l->self, peers, l->round);
+  g_list_free (peers);
+  return MM_LIST_POLL_MS + rank * MM_LIST_PLACE_MS;
 }
 
 /* ---- updates sent ----------------------------------------------------- */
 
 static uint64_t
-update_for (void *ctx, uint64_t known_upto, msgpack_sbuffer *out)
+pack_update_for (void *ctx, uint64_t known_upto, msgpack_sbuffer *out)
 {
   const mm_list_share *l = ctx;
-  mm_list_update n
+  mm_list_update update
       = { .round = l->round,
           .from = MAX (known_upto, mm_list_log_first (l->log)),
           .to = mm_stream_next (l->stream),
           .age_ms = mm_clock_now_ms () - mm_stream_known_ms (l->stream) };
-  n.changes = mm_list_log_since (l->log, n.from, &n.n_changes);
-  mm_list_update_pack (&n, out);
-  return n.to;
+  update.changes = mm_list_log_since (l->log, update.from, &update.n_changes);
+  mm_list_update_pack (&update, out);
+  return update.to;
 }
 
 static void
-notify (mm_list_share *l, const char *but_not)
+notify (mm_list_share *l, const char *except)
 {
-  l->notified_ms = mm_stream_known_ms (l->stream);
-  mm_mesh_notify (l->mesh, update_for, l, but_not);
+  l->notified_as_of_ms = mm_stream_known_ms (l->stream);
+  mm_mesh_notify (l->mesh, pack_update_for, l, except);
 }
 
 /* ---- own reads -------------------------------------------------------- */
@@ -96,23 +96,25 @@
   const mm_upstream_info *u = item->upstream;
   mm_list_change c = { .name = g_strdup (item->key),
                        .info = u ? mm_upstream_info_copy (u) : NULL };
-  g_array_append_val (l->seen, c);
+  g_array_append_val (l->changes_read, c);
 }
 
-/* Others may have seen an upstream go that we never saw come, or the other
-   way round: what changed for them is not all that changed for us.  By then
-   an upstream that lives has written to the list again.  */
+/* A full read of the list replaces the catalog, and updates of peers are
+   ignored for MM_LIST_OWN_MS.  Peers may have seen an upstream leave that this
+   instance never saw join, or the reverse, so their changes are not all of
+   this instance's changes.  Within that time every live upstream writes to
+   the list again.  */
 static void
-on_whole (void *ctx, GHashTable *keys)
+on_full_read (void *ctx, GHashTable *keys)
 {
   mm_list_share *l = ctx;
   mm_catalog_keep_only (l->catalog, keys);
-  g_array_set_size (l->seen, 0);
+  g_array_set_size (l->changes_read, 0);
   mm_list_log_reset (l->log, mm_stream_next (l->stream));
   mm_time_ms now = mm_clock_now_ms ();
-  l->own_until_ms = now + MM_LIST_OWN_MS;
-  if (!l->contact_ms)
-    l->contact_ms = now;
+  l->own_reads_until_ms = now + MM_LIST_OWN_MS;
+  if (!l->contact_since_ms)
+    l->contact_since_ms = now;
   l->changed (l->ctx);
 }
 
@@ -121,12 +123,13 @@
 {
   mm_list_share *l = ctx;
   uint64_t upto = mm_stream_next (l->stream);
-  for (guint i = 0; i < l->seen->len; i++)
+  for (guint i = 0; i < l->changes_read->len; i++)
     {
-      const mm_list_change *c = &g_array_index (l->seen, mm_list_change, i);
+      const mm_list_change *c
+          = &g_array_index (l->changes_read, mm_list_change, i);
       mm_list_log_add (l->log, upto, c->name, c->info);
     }
-  g_array_set_size (l->seen, 0);
+  g_array_set_size (l->changes_read, 0);
   if (!all)
     return;
   l->round++;
@@ -135,43 +138,45 @@
 
 /* ---- updates received ------------------------------------------------- */
 
-/* The peer took for known what it sent before own_until_ms.  It learns from
-   our update what we know, and its next one begins there.  */
+/* Handles an update that begins past what this instance knows: the peer counts
+   as known what it sent while updates were ignored.  Sends the peer an update
+   from which it learns the offset known here, so that its next update begins
+   there.  */
 static void
-close_gap (mm_list_share *l, const char *peer, const mm_list_update *n)
+resend_known (mm_list_share *l, const char *peer, const mm_list_update *update)
 {
-  if (l->contact_ms && n->from > mm_stream_next (l->stream))
-    mm_mesh_notify_peer (l->mesh, peer, update_for, l);
+  if (l->contact_since_ms && update->from > mm_stream_next (l->stream))
+    mm_mesh_notify_peer (l->mesh, peer, pack_update_for, l);
 }
 
 static void
-take_update (mm_list_share *l, const char *peer, const mm_list_update *n)
+apply_update (mm_list_share *l, const char *peer, const mm_list_update *update)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  mm_time_ms as_of_ms = now - n->age_ms;
-  l->round = MAX (l->round, n->round);
-  mm_mesh_set_known (l->mesh, peer, n->to);
-  if (now < l->own_until_ms)
+  mm_time_ms as_of_ms = now - update->age_ms;
+  l->round = MAX (l->round, update->round);
+  mm_mesh_set_known (l->mesh, peer, update->to);
+  if (now < l->own_reads_until_ms)
     return;
-  if (!mm_stream_advance (l->stream, n->from, n->to, as_of_ms))
+  if (!mm_stream_advance (l->stream, update->from, update->to, as_of_ms))
     {
-      close_gap (l, peer, n);
+      resend_known (l, peer, update);
       return;
     }
   mm_metrics_count (MM_CT_LIST_UPDATES);
-  mm_catalog_origin passed_on = { .peer = peer, .as_of_ms = as_of_ms };
-  bool any = false;
-  for (size_t i = 0; i < n->n_changes; i++)
+  mm_catalog_origin origin = { .peer = peer, .as_of_ms = as_of_ms };
+  bool any_change = false;
+  for (size_t i = 0; i < update->n_changes; i++)
     {
-      const mm_list_change *c = &n->changes[i];
-      if (!apply (l, c->name, c->info, &passed_on))
+      const mm_list_change *c = &update->changes[i];
+      if (!apply (l, c->name, c->info, &origin))
         continue;
-      mm_list_log_add (l->log, n->to, c->name, c->info);
-      any = true;
+      mm_list_log_add (l->log, update->to, c->name, c->info);
+      any_change = true;
     }
-  if (any || as_of_ms - l->notified_ms >= MM_LIST_NOTIFY_MS)
+  if (any_change || as_of_ms - l->notified_as_of_ms >= MM_LIST_NOTIFY_MS)
     notify (l, peer);
-  if (any)
+  if (any_change)
     l->changed (l->ctx);
 }
 
@@ -179,26 +184,26 @@
 on_update (void *ctx, const char *peer, const void *data, size_t len,
            mm_time_ms held_up_ms)
 {
-  mm_list_update n;
-  if (mm_list_update_read (data, len, &n))
+  mm_list_update update;
+  if (mm_list_update_read (data, len, &update))
     {
-      n.age_ms += held_up_ms;
-      take_update (ctx, peer, &n);
+      update.age_ms += held_up_ms;
+      apply_update (ctx, peer, &update);
     }
   else
-    g_warning ("mesh: update of the upstream list from %s not understood",
-               peer);
-  mm_list_update_clear (&n);
+    g_warning ("mesh: malformed update of the upstream list from %s", peer);
+  mm_list_update_clear (&update);
 }
 
 /**
- * mm_list_share_create() - follow the upstream list together.
+ * mm_list_share_create() - follows the upstream list with the other instances.
  * @port: the store.
- * @catalog: takes what is read and passed on; must outlive this.
- * @mesh: the other instances; must outlive this.
- * @self: our name among them.
- * @changed: called when the catalog has changed but for our own reads of
- *           changes.
+ * @catalog: filled from own reads and from updates of peers; must outlive
+ *           the returned object.
+ * @mesh: the other instances; must outlive the returned object.
+ * @self: the name of this instance in the mesh.
+ * @changed: called after a full read and after a peer's update that changed
+ *           the catalog, but not after own reads of changes.
  * @ctx: for @changed.
  *
  * Return: free with mm_list_share_destroy().
@@ -215,10 +220,10 @@
   l->changed = changed;
   l->ctx = ctx;
   l->log = mm_list_log_create ();
-  l->seen = g_array_new (FALSE, FALSE, sizeof (mm_list_change));
-  g_array_set_clear_func (l->seen, mm_list_change_clear);
+  l->changes_read = g_array_new (FALSE, FALSE, sizeof (mm_list_change));
+  g_array_set_clear_func (l->changes_read, mm_list_change_clear);
   mm_stream_events ev = { .item = on_item,
-                          .whole = on_whole,
+                          .whole = on_full_read,
                           .changes = on_changes,
                           .pause_ms = pause_ms,
                           .ctx = l };
@@ -235,7 +240,7 @@
   mm_mesh_on_update (l->mesh, NULL, NULL);
   mm_stream_destroy (l->stream);
   mm_list_log_destroy (l->log);
-  g_array_free (l->seen, TRUE);
+  g_array_free (l->changes_read, TRUE);
   g_free (l->self);
   g_free (l);
 }
@@ -249,12 +254,12 @@
 void
 mm_list_share_tick (mm_list_share *l)
 {
-  if (l->complete || !l->contact_ms)
+  if (l->complete || !l->contact_since_ms)
     return;
   mm_time_ms now = mm_clock_now_ms ();
   if (now - mm_stream_known_ms (l->stream) >= MM_STREAM_TOUCH_MS)
-    l->contact_ms = now;
-  l->complete = now - l->contact_ms >= MM_LIST_DROP_MS;
+    l->contact_since_ms = now;
+  l->complete = now - l->contact_since_ms >= MM_LIST_DROP_MS;
 }
 
 bool
--- a/src/mm_list_share.h
+++ b/src/mm_list_share.h
@@ -1,17 +1,17 @@
-/* mm_list_share: instances read the upstream list for one another.
+/* mm_list_share: instances share the work of reading the upstream list.
 
-   Answers the load of hundreds of instances and a thousand upstreams, each of
-   which writes to the list every second or two: if every instance reads all
-   of it, the store sends its whole answer hundreds of times, and on a thin
-   link the answers hold up orders to upstreams.  So one instance reads at a
-   time and passes on what changed, over the links there are.
+   With hundreds of instances and a thousand upstreams, each of which writes
+   to the list every second or two, the store would send its complete answer
+   hundreds of times if every instance read all of the list, and on a slow
+   link these answers would delay the calls to upstreams.  So one instance
+   reads at a time and sends the changes to the others over the mesh.
 
    The order in which linked instances read follows from their names and the
    number of the round; each waits MM_LIST_PLACE_MS longer than the one before.
-   If the first is gone, cut off, or turned away by the store, the next one
-   reads.  So nobody's view is older than MM_LIST_POLL_MS and
-   MM_LIST_PLACES_MAX such waits, whoever dies: an upstream that leaves gets no
-   start later than that.  */
+   If the first instance is gone, disconnected, or refused by the store, the
+   next one reads.  So no instance's view is older than MM_LIST_POLL_MS and
+   MM_LIST_PLACES_MAX such waits, whichever instance dies: an upstream that is
+   draining gets no start later than that.  */
 #ifndef MM_LIST_SHARE_H
 #define MM_LIST_SHARE_H
 
@@ -21,6 +21,7 @@
 
 typedef struct mm_list_share mm_list_share;
 
+/* Called when the catalog has changed.  */
 typedef void (*mm_list_changed) (void *ctx);
 
 mm_list_share *mm_list_share_create (const mm_store_port *port,
@@ -28,16 +29,17 @@
                                      const char *self, mm_list_changed changed,
                                      void *ctx);
 void mm_list_share_destroy (mm_list_share *l);
-/* The stream of the list, to be ticked or paused.  */
+/* Returns the stream of the list; the caller ticks or pauses the stream.  */
 mm_stream *mm_list_share_stream (const mm_list_share *l);
 
 void mm_list_share_tick (mm_list_share *l);
-/* Is there no upstream that the list does not name?  Entries lapse while the
-   store is out of reach, and are back some time after: an instance that read
-   the list for the first time just then knows nothing of those.  */
+/* Returns whether the list names every upstream.  Entries expire while the
+   store is unreachable and are back some time after: an instance that first
+   read the list in between does not know the missing upstreams.  */
 bool mm_list_share_complete (const mm_list_share *l);
 
-/* How many of the linked instances read before us in this round?  */
-uint32_t mm_list_place (const char *self, GList *linked, uint64_t round);
+/* Returns how many of @peers, the linked instances, read before @self in this
+   round, MM_LIST_PLACES_MAX at most.  */
+uint32_t mm_list_place (const char *self, GList *peers, uint64_t round);
 
 #endif /* MM_LIST_SHARE_H */
--- a/src/mm_list_update.c
+++ b/src/mm_list_update.c
@@ -1,4 +1,4 @@
-/* mm_list_update: pack and read it.  */
+/* mm_list_update: packs and reads the message.  */
 #include "mm_list_update.h"
 
 #include "mm_msgpack.h"
@@ -8,7 +8,7 @@
 enum
 {
   UPDATE_FIELDS = 5,
-  GONE_FIELDS = 1,
+  MISSING_FIELDS = 1,
   LISTED_FIELDS = 10
 };
 
@@ -27,7 +27,7 @@
 pack_change (msgpack_packer *pk, const mm_list_change *c)
 {
   const mm_upstream_info *u = c->info;
-  msgpack_pack_array (pk, u ? LISTED_FIELDS : GONE_FIELDS);
+  msgpack_pack_array (pk, u ? LISTED_FIELDS : MISSING_FIELDS);
   mm_mp_pack_text (pk, c->name);
   if (!u)
     return;
@@ -43,18 +43,18 @@
 }
 
 void
-mm_list_update_pack (const mm_list_update *n, msgpack_sbuffer *out)
+mm_list_update_pack (const mm_list_update *update, msgpack_sbuffer *out)
 {
   msgpack_packer pk;
   msgpack_packer_init (&pk, out, msgpack_sbuffer_write);
   msgpack_pack_array (&pk, UPDATE_FIELDS);
-  msgpack_pack_uint64 (&pk, n->round);
-  msgpack_pack_uint64 (&pk, n->from);
-  msgpack_pack_uint64 (&pk, n->to);
-  msgpack_pack_int64 (&pk, n->age_ms);
-  msgpack_pack_array (&pk, n->n_changes);
-  for (size_t i = 0; i < n->n_changes; i++)
-    pack_change (&pk, &n->changes[i]);
+  msgpack_pack_uint64 (&pk, update->round);
+  msgpack_pack_uint64 (&pk, update->from);
+  msgpack_pack_uint64 (&pk, update->to);
+  msgpack_pack_int64 (&pk, update->age_ms);
+  msgpack_pack_array (&pk, update->n_changes);
+  for (size_t i = 0; i < update->n_changes; i++)
+    pack_change (&pk, &update->changes[i]);
 }
 
 static char **
@@ -90,7 +90,7 @@
 static bool
 read_change (const msgpack_object *o, mm_list_change *c)
 {
-  if (mm_mp_is_array (o, GONE_FIELDS))
+  if (mm_mp_is_array (o, MISSING_FIELDS))
     return mm_mp_read_text (&o->via.array.ptr[0], false, &c->name);
   if (!mm_mp_is_array (o, LISTED_FIELDS))
     return false;
@@ -117,12 +117,12 @@
     {
       mm_list_change c = { .upto = out->to };
       bool ok = read_change (&f[4].via.array.ptr[i], &c);
-      g_array_append_val (out->owned, c);
+      g_array_append_val (out->decoded, c);
       if (!ok)
         return false;
     }
-  out->changes = (const mm_list_change *)(void *)out->owned->data;
-  out->n_changes = out->owned->len;
+  out->changes = (const mm_list_change *)(void *)out->decoded->data;
+  out->n_changes = out->decoded->len;
   return true;
 }
 
@@ -130,21 +130,22 @@
 mm_list_update_read (const void *data, size_t len, mm_list_update *out)
 {
   memset (out, 0, sizeof *out);
-  out->owned = g_array_new (FALSE, FALSE, sizeof (mm_list_change));
-  g_array_set_clear_func (out->owned, mm_list_change_clear);
+  out->decoded = g_array_new (FALSE, FALSE, sizeof (mm_list_change));
+  g_array_set_clear_func (out->decoded, mm_list_change_clear);
   msgpack_unpacked u;
   msgpack_unpacked_init (&u);
-  size_t at = 0;
-  bool ok = msgpack_unpack_next (&u, data, len, &at) == MSGPACK_UNPACK_SUCCESS
-            && read_update (&u.data, out);
+  size_t offset = 0;
+  bool ok
+      = msgpack_unpack_next (&u, data, len, &offset) == MSGPACK_UNPACK_SUCCESS
+        && read_update (&u.data, out);
   msgpack_unpacked_destroy (&u);
   return ok;
 }
 
 void
-mm_list_update_clear (mm_list_update *n)
+mm_list_update_clear (mm_list_update *update)
 {
-  if (n->owned)
-    g_array_free (n->owned, TRUE);
-  n->owned = NULL;
+  if (update->decoded)
+    g_array_free (update->decoded, TRUE);
+  update->decoded = NULL;
 }
--- a/src/mm_list_update.h
+++ b/src/mm_list_update.h
@@ -1,4 +1,5 @@
-/* mm_list_update: changes of the upstream list, from one instance to another.
+/* mm_list_update: message with changes of the upstream list, sent between
+   instances.
 
    A msgpack array: [round, from, to, age_ms, [change, ...]]; a change is
    [name] for an upstream that is not listed any more, or
@@ -13,18 +14,18 @@
 
 typedef struct
 {
-  uint64_t round;    /* how often the list was read for all */
-  uint64_t from;     /* of use to whoever knows the list up to here ... */
-  uint64_t to;       /* and brings it up to here */
-  mm_time_ms age_ms; /* since the read of it was sent to the store */
+  uint64_t round;    /* number of shared reads so far */
+  uint64_t from;     /* stream offset that the receiver must know already */
+  uint64_t to;       /* stream offset known after the update */
+  mm_time_ms age_ms; /* time since the read was sent to the store */
   const mm_list_change *changes;
   size_t n_changes;
-  GArray *owned; /* of a message that was read: the changes */
+  GArray *decoded; /* backs changes after mm_list_update_read(); else NULL */
 } mm_list_update;
 
-void mm_list_update_pack (const mm_list_update *n, msgpack_sbuffer *out);
-/* False for what is no such message; clear it in any case.  */
+void mm_list_update_pack (const mm_list_update *update, msgpack_sbuffer *out);
+/* Returns false for a malformed message; @out must be cleared in any case.  */
 bool mm_list_update_read (const void *data, size_t len, mm_list_update *out);
-void mm_list_update_clear (mm_list_update *n);
+void mm_list_update_clear (mm_list_update *update);
 
 #endif /* MM_LIST_UPDATE_H */
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -1,4 +1,4 @@
-/* mm_members: ask the store who holds partitions in each data centre.  */
+/* mm_members: reads the members of each data centre's group from the store. */
 #include "mm_members.h"
 
 #include "config.h"
@@ -14,26 +14,26 @@
   mm_members *members;
   char *name;
   char *group;
-  char **who; /* member names last told */
+  char **member_names; /* names in the last answer; NULL: none yet */
   bool in_flight;
 } datacentre;
 
 struct mm_members
 {
-  int refs; /* the maker's, and one a call in flight */
+  int refs; /* one of the creator, one of each call in flight */
   bool closed;
   mm_store_port port;
   mm_mesh *mesh;
-  mm_predecessors *predecessors; /* not ours */
+  mm_predecessors *predecessors; /* not owned */
   char *self;
-  char *own; /* data centre */
+  char *own; /* own data centre */
   datacentre *dcs;
   size_t n;
-  size_t next; /* of the data centres, asked about by turns */
+  size_t next; /* index of the data centre to poll next */
   mm_time_ms due_ms;
   mm_members_changed changed;
   void *changed_ctx;
-  uint32_t asked; /* how often, while few */
+  uint32_t n_polls; /* polls so far, MM_MEMBERS_FIRST_POLLS at most */
 };
 
 char *
@@ -58,7 +58,7 @@
     {
       g_free (m->dcs[i].name);
       g_free (m->dcs[i].group);
-      g_strfreev (m->dcs[i].who);
+      g_strfreev (m->dcs[i].member_names);
     }
   g_free (m->dcs);
   g_free (m->self);
@@ -66,7 +66,7 @@
   g_free (m);
 }
 
-/* INSTANCE@ADDRESS/DATACENTRE; the parts are freed by mm_peer_info_clear(). */
+/* A member name is INSTANCE@ADDRESS/DATACENTRE.  */
 bool
 mm_members_read_name (const char *name, mm_peer_info *out)
 {
@@ -74,7 +74,8 @@
   const char *slash = at ? strchr (at, DATACENTRE_SEPARATOR) : NULL;
   if (!slash)
     {
-      g_warning ("store: member %s passed over: not a name of ours", name);
+      g_warning ("store: member %s ignored: not INSTANCE@ADDRESS/DATACENTRE",
+                 name);
       return false;
     }
   out->name = g_strdup (name);
@@ -84,8 +85,9 @@
   return true;
 }
 
-/* A restarted instance reads the list and links to all: they need not wait
-   for their next reading of the list to use its upstreams.  */
+/* Adds an instance that has linked to this one as a peer.  A restarted
+   instance reads the members and links to the others, which can then use its
+   upstreams without waiting for their own next poll.  */
 static void
 on_hello (void *ctx, const char *name)
 {
@@ -143,10 +145,11 @@
   GArray *peers = g_array_new (FALSE, FALSE, sizeof (mm_peer_info));
   g_array_set_clear_func (peers, mm_peer_info_clear);
   for (size_t i = 0; i < m->n; i++)
-    for (char **w = m->dcs[i].who; w && *w; w++)
+    for (char **member = m->dcs[i].member_names; member && *member; member++)
       {
         mm_peer_info p;
-        if (strcmp (*w, m->self) == 0 || !mm_members_read_name (*w, &p))
+        if (strcmp (*member, m->self) == 0
+            || !mm_members_read_name (*member, &p))
           continue;
         p.stands_in = strcmp (p.datacentre, m->dcs[i].name) != 0;
         g_array_append_val (peers, p);
@@ -165,10 +168,10 @@
   if (!m->closed && res->ok)
     {
       mm_predecessors_note (m->predecessors, dc->group, res);
-      g_strfreev (dc->who);
-      dc->who = g_new0 (char *, res->n_members + 1);
+      g_strfreev (dc->member_names);
+      dc->member_names = g_new0 (char *, res->n_members + 1);
       for (size_t i = 0; i < res->n_members; i++)
-        dc->who[i] = g_strdup (res->members[i]);
+        dc->member_names[i] = g_strdup (res->members[i]);
       publish (m);
       if (m->changed)
         m->changed (m->changed_ctx, NULL);
@@ -177,7 +180,7 @@
 }
 
 static void
-ask (datacentre *dc)
+request_members (datacentre *dc)
 {
   mm_members *m = dc->members;
   if (dc->in_flight)
@@ -200,29 +203,31 @@
 {
   for (size_t i = 0; i < m->n; i++)
     if (strcmp (m->dcs[i].name, m->own) == 0)
-      return m->dcs[i].who != NULL;
+      return m->dcs[i].member_names != NULL;
   return true;
 }
 
-/* Our own data centre each time, the others by turns: with dozens of them,
-   all answers together would be most of what an instance reads.  */
+/* Polls the own data centre each time and the others in turn: with dozens of
+   data centres, all answers together would be most of what an instance reads.
+ */
 void
 mm_members_tick (mm_members *m)
 {
   mm_time_ms now = mm_clock_now_ms ();
   if (now < m->due_ms)
     return;
-  /* Soon again while others may just have joined, as after a loss of power,
-     and an earlier life of ours may not have been named.  */
-  bool first = m->asked == 0;
-  m->asked = MIN (m->asked + 1, MM_MEMBERS_FIRST_POLLS);
+  /* The first polls follow one another quickly, as other instances may just
+     be joining, for example after a power failure, and an answer may not have
+     listed a previous incarnation of this instance yet.  */
+  bool first = m->n_polls == 0;
+  m->n_polls = MIN (m->n_polls + 1, MM_MEMBERS_FIRST_POLLS);
   m->due_ms = now
-              + (m->asked < MM_MEMBERS_FIRST_POLLS ? MM_MEMBERS_FIRST_POLL_MS
-                                                   : MM_MEMBERS_POLL_MS);
-  size_t others = first ? m->n : MIN (m->n, MM_MEMBERS_FAR_POLL);
-  for (size_t i = 0; i < others; i++, m->next++)
-    ask (&m->dcs[m->next % m->n]);
+              + (m->n_polls < MM_MEMBERS_FIRST_POLLS ? MM_MEMBERS_FIRST_POLL_MS
+                                                     : MM_MEMBERS_POLL_MS);
+  size_t n_far = first ? m->n : MIN (m->n, MM_MEMBERS_FAR_POLL);
+  for (size_t i = 0; i < n_far; i++, m->next++)
+    request_members (&m->dcs[m->next % m->n]);
   for (size_t i = 0; i < m->n; i++)
     if (strcmp (m->dcs[i].name, m->own) == 0)
-      ask (&m->dcs[i]);
+      request_members (&m->dcs[i]);
 }
--- a/src/mm_neighbours.c
+++ b/src/mm_neighbours.c
@@ -1,13 +1,14 @@
 /* mm_neighbours: a bounded number of links, spread evenly.
 
-   Answers the load of many instances: with a link from each to each other
-   one, the messages that keep the links alive and tell of room grow with
-   the square of their number.  A task finds room among a dozen owners as
-   well as among hundreds: each draws others, by a hash of both names, so
-   that all are drawn about equally often and a newcomer moves few links.
+   If each instance had a link to each other one, the messages that keep the
+   links alive and report free capacity would grow with the square of the
+   number of instances.  A task finds free capacity among a dozen owners as
+   well as among hundreds.  So each instance ranks the others by a hash of both
+   names: all are chosen about equally often, and an instance that joins
+   changes few links.
 
-   One that lately lost its link comes last, so that a data centre some of
-   whose instances are gone is reached through the others.  */
+   An instance whose link was lost recently is ranked last, so that a data
+   centre some of whose instances are gone is reached through the others.  */
 #include "mm_neighbours.h"
 
 #include "config.h"
@@ -17,11 +18,11 @@
 
 typedef struct
 {
-  const mm_neighbour *c;
-  size_t at;     /* in the caller's list */
-  uint64_t rank; /* for this instance */
-  bool lost;
-  uint32_t place; /* among those of its data centre */
+  const mm_neighbour *instance;
+  size_t index;  /* in the caller's array */
+  uint64_t rank; /* hash for this instance: the highest is chosen first */
+  bool recently_lost;
+  uint32_t position; /* rank within its data centre, from 0 */
 } candidate;
 
 static uint64_t
@@ -35,77 +36,80 @@
 by_rank (const void *a, const void *b)
 {
   const candidate *x = a, *y = b;
-  if (x->lost != y->lost)
-    return x->lost ? 1 : -1;
+  if (x->recently_lost != y->recently_lost)
+    return x->recently_lost ? 1 : -1;
   return x->rank < y->rank ? 1 : x->rank > y->rank ? -1 : 0;
 }
 
-/* Number the candidates of each data centre, in the order they stand.  */
+/* Numbers the candidates of each data centre in sorted order.  */
 static void
 number_by_datacentre (candidate *sorted, size_t n)
 {
   GHashTable *counts = g_hash_table_new (g_str_hash, g_str_equal);
   for (size_t i = 0; i < n; i++)
     {
-      gpointer dc = (gpointer)sorted[i].c->datacentre;
-      sorted[i].place = GPOINTER_TO_UINT (g_hash_table_lookup (counts, dc));
-      g_hash_table_insert (counts, dc, GUINT_TO_POINTER (sorted[i].place + 1));
+      gpointer dc = (gpointer)sorted[i].instance->datacentre;
+      sorted[i].position = GPOINTER_TO_UINT (g_hash_table_lookup (counts, dc));
+      g_hash_table_insert (counts, dc,
+                           GUINT_TO_POINTER (sorted[i].position + 1));
     }
   g_hash_table_destroy (counts);
 }
 
-/* Those @place-th of their data centres, until @room is used up.  */
+/* Chooses the candidates at @position in each data centre other than @own,
+   until @remaining is 0.  */
 static void
-choose_far (const candidate *sorted, size_t n, const char *own, uint32_t place,
-            uint32_t *room, bool *chosen)
+choose_far (const candidate *sorted, size_t n, const char *own,
+            uint32_t position, uint32_t *remaining, bool *chosen)
 {
-  for (size_t i = 0; i<n && * room> 0; i++)
+  for (size_t i = 0; i<n && * remaining> 0; i++)
     {
-      if (strcmp (sorted[i].c->datacentre, own) == 0
-          || sorted[i].place != place)
+      if (strcmp (sorted[i].instance->datacentre, own) == 0
+          || sorted[i].position != position)
         continue;
-      chosen[sorted[i].at] = true;
-      (*room)--;
+      chosen[sorted[i].index] = true;
+      (*remaining)--;
     }
 }
 
 /**
- * mm_neighbours_choose() - whom to link to.
- * @self: our name.
- * @own_datacentre: ours.
- * @c: the other instances that are known.
+ * mm_neighbours_choose() - chooses the instances to link to.
+ * @self: the name of this instance.
+ * @own_datacentre: the data centre of this instance.
+ * @candidates: the other known instances.
  * @n: their number.
- * @now: the clock.
+ * @now: the current time.
  * @chosen: set for each of them.
  *
- * MM_NEIGHBOURS_NEAR of our data centre, MM_NEIGHBOURS_FAR of others and of
- * each other one MM_NEIGHBOURS_FAR_EACH at most; besides, whoever stands in
- * for a data centre, as nobody else has its upstreams.
+ * Chooses at most MM_NEIGHBOURS_NEAR instances of the own data centre,
+ * MM_NEIGHBOURS_FAR of all others together and MM_NEIGHBOURS_FAR_EACH of each
+ * other one; also every instance that is standby for a data centre, as no
+ * other instance owns that data centre's upstreams.
  */
 void
 mm_neighbours_choose (const char *self, const char *own_datacentre,
-                      const mm_neighbour *c, size_t n, mm_time_ms now,
+                      const mm_neighbour *candidates, size_t n, mm_time_ms now,
                       bool *chosen)
 {
   candidate *sorted = g_new (candidate, n + 1);
   for (size_t i = 0; i < n; i++)
-    sorted[i]
-        = (candidate){ .c = &c[i],
-                       .at = i,
-                       .rank = rank_of (self, c[i].name),
-                       .lost = c[i].lost_ms
-                               && now - c[i].lost_ms < MM_NEIGHBOUR_LOST_MS };
+    sorted[i] = (candidate){ .instance = &candidates[i],
+                             .index = i,
+                             .rank = rank_of (self, candidates[i].name),
+                             .recently_lost = candidates[i].lost_ms
+                                              && now - candidates[i].lost_ms
+                                                     < MM_NEIGHBOUR_LOST_MS };
   qsort (sorted, n, sizeof *sorted, by_rank);
   number_by_datacentre (sorted, n);
   for (size_t i = 0; i < n; i++)
     {
-      bool own = strcmp (sorted[i].c->datacentre, own_datacentre) == 0;
-      chosen[sorted[i].at] = (own && sorted[i].place < MM_NEIGHBOURS_NEAR)
-                             || sorted[i].c->stands_in
-                             || !MM_WITH_BOUNDED_LINKS;
+      bool own = strcmp (sorted[i].instance->datacentre, own_datacentre) == 0;
+      chosen[sorted[i].index]
+          = (own && sorted[i].position < MM_NEIGHBOURS_NEAR)
+            || sorted[i].instance->stands_in || !MM_WITH_BOUNDED_LINKS;
     }
   uint32_t far = MM_NEIGHBOURS_FAR;
-  for (uint32_t place = 0; place < MM_NEIGHBOURS_FAR_EACH; place++)
-    choose_far (sorted, n, own_datacentre, place, &far, chosen);
+  for (uint32_t position = 0; position < MM_NEIGHBOURS_FAR_EACH; position++)
+    choose_far (sorted, n, own_datacentre, position, &far, chosen);
   g_free (sorted);
 }
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -1,4 +1,4 @@
-/* mm_ownership: see the header.  */
+/* mm_ownership: reconciles sessions with the list and the partitions.  */
 #include "mm_ownership.h"
 
 #include "config.h"
@@ -7,12 +7,12 @@
 
 struct mm_ownership
 {
-  mm_catalog *catalog; /* not ours */
-  mm_owner *owner;     /* not ours */
-  mm_ownership_shares shares;
-  uint64_t catalog_changes; /* when last brought in line */
-  uint64_t share_changes;
-  mm_time_ms in_line_ms;
+  mm_catalog *catalog; /* not owned */
+  mm_owner *owner;     /* not owned */
+  mm_ownership_shares partitions;
+  uint64_t catalog_changes;   /* at the last full reconciliation */
+  uint64_t partition_changes; /* at the last full reconciliation */
+  mm_time_ms reconciled_ms;
 };
 
 static void
@@ -22,21 +22,22 @@
 }
 
 /**
- * mm_ownership_create() - own what is ours, as the list says.
- * @catalog: the list; must outlive this.
- * @owner: has the sessions; must outlive this.
- * @shares: whose upstreams are; copied.
+ * mm_ownership_create() - keeps sessions with the upstreams of the partitions
+ * that this instance owns.
+ * @catalog: the upstream list; must outlive the returned object.
+ * @owner: keeps the sessions; must outlive the returned object.
+ * @partitions: tells which partitions this instance owns; copied.
  *
  * Return: free with mm_ownership_destroy().
  */
 mm_ownership *
 mm_ownership_create (mm_catalog *catalog, mm_owner *owner,
-                     const mm_ownership_shares *shares)
+                     const mm_ownership_shares *partitions)
 {
   mm_ownership *w = g_new0 (mm_ownership, 1);
   w->catalog = catalog;
   w->owner = owner;
-  w->shares = *shares;
+  w->partitions = *partitions;
   mm_catalog_on_listed (catalog, on_listed, w);
   return w;
 }
@@ -51,23 +52,24 @@
 }
 
 static mm_share_state
-share_of (const mm_ownership *w, const mm_upstream_info *u, uint64_t *fence)
+state_of (const mm_ownership *w, const mm_upstream_info *u, uint64_t *fence)
 {
   *fence = 0;
-  return w->shares.of (w->shares.ctx, u, fence);
+  return w->partitions.of (w->partitions.ctx, u, fence);
 }
 
-/* Start nothing more on what is not ours, or not for long.  This does not
-   wait for a fresh list: the next owner may be there already.  */
+/* Closes the sessions of upstreams whose partitions are assigned elsewhere and
+   freezes those of partitions that are being released.  A fresh list is not
+   needed for this: the next owner may already be active.  */
 static void
-let_go (mm_ownership *w)
+release_sessions (mm_ownership *w)
 {
   GList *owned = mm_owner_names (w->owner);
   for (GList *l = owned; l; l = l->next)
     {
       uint64_t fence;
       const mm_upstream_info *u = mm_catalog_find (w->catalog, l->data);
-      mm_share_state state = u ? share_of (w, u, &fence) : MM_SHARE_OTHERS;
+      mm_share_state state = u ? state_of (w, u, &fence) : MM_SHARE_OTHERS;
       if (state == MM_SHARE_OTHERS)
         mm_owner_disown (w->owner, l->data);
       else if (state == MM_SHARE_LEAVING)
@@ -77,25 +79,25 @@
 }
 
 static void
-take_one (mm_ownership *w, const mm_upstream_info *u)
+own_if_assigned (mm_ownership *w, const mm_upstream_info *u)
 {
   uint64_t fence;
-  if (share_of (w, u, &fence) != MM_SHARE_OURS)
+  if (state_of (w, u, &fence) != MM_SHARE_OURS)
     return;
   if (mm_owner_fenced (w->owner, u->name))
     {
-      w->shares.retake (w->shares.ctx, u);
-      share_of (w, u, &fence);
+      w->partitions.retake (w->partitions.ctx, u);
+      state_of (w, u, &fence);
     }
   mm_owner_own (w->owner, u, fence);
 }
 
 static void
-take_ours (mm_ownership *w)
+own_assigned (mm_ownership *w)
 {
   GList *all = mm_catalog_all (w->catalog);
   for (GList *l = all; l; l = l->next)
-    take_one (w, l->data);
+    own_if_assigned (w, l->data);
   g_list_free (all);
 }
 
@@ -103,34 +105,35 @@
 mm_ownership_tick (mm_ownership *w, bool list_fresh)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  uint64_t listed = mm_catalog_changes (w->catalog);
-  uint64_t shared = w->shares.changes (w->shares.ctx);
-  bool changed = listed != w->catalog_changes || shared != w->share_changes;
-  if (!changed && now - w->in_line_ms < MM_RECONCILE_MS)
+  uint64_t catalog_now = mm_catalog_changes (w->catalog);
+  uint64_t partitions_now = w->partitions.changes (w->partitions.ctx);
+  bool changed = catalog_now != w->catalog_changes
+                 || partitions_now != w->partition_changes;
+  if (!changed && now - w->reconciled_ms < MM_RECONCILE_MS)
     return;
-  let_go (w);
-  if (!list_fresh && w->shares.any (w->shares.ctx))
-    return; /* an old list may name upstreams that are leaving */
-  w->catalog_changes = listed;
-  w->share_changes = shared;
-  w->in_line_ms = now;
-  take_ours (w);
+  release_sessions (w);
+  if (!list_fresh && w->partitions.any (w->partitions.ctx))
+    return; /* a stale list may name upstreams that are draining */
+  w->catalog_changes = catalog_now;
+  w->partition_changes = partitions_now;
+  w->reconciled_ms = now;
+  own_assigned (w);
 }
 
 bool
 mm_ownership_quiet (const mm_ownership *w, const char *datacentre)
 {
-  bool quiet = true;
+  bool idle = true;
   GList *owned = mm_owner_names (w->owner);
-  for (GList *l = owned; l && quiet; l = l->next)
+  for (GList *l = owned; l && idle; l = l->next)
     {
       uint64_t fence;
       const mm_upstream_info *u = mm_catalog_find (w->catalog, l->data);
       if (u && strcmp (u->datacentre, datacentre) == 0
-          && share_of (w, u, &fence) == MM_SHARE_LEAVING
+          && state_of (w, u, &fence) == MM_SHARE_LEAVING
           && !mm_owner_quiet (w->owner, l->data))
-        quiet = false;
+        idle = false;
     }
   g_list_free (owned);
-  return quiet;
+  return idle;
 }
--- a/src/mm_ownership.h
+++ b/src/mm_ownership.h
@@ -1,9 +1,10 @@
-/* mm_ownership: the sessions that an instance should have.
+/* mm_ownership: decides which upstreams this instance has sessions with.
 
-   Brings the owner's sessions in line with the upstream list and with the
-   partitions that are ours.  A session gets each change of its upstream's
-   entry at once, whatever its partition is doing: a hand-over takes seconds,
-   in which short tasks go on being started.  No network of its own.  */
+   Reconciles the owner's sessions with the upstream list and with the
+   partitions that this instance owns.  A session gets each change of its
+   upstream's entry at once, whatever the state of the partition: a handover
+   takes seconds, in which short tasks are still started.  This module uses no
+   network.  */
 #ifndef MM_OWNERSHIP_H
 #define MM_OWNERSHIP_H
 
@@ -13,22 +14,28 @@
 
 typedef struct mm_ownership mm_ownership;
 
-/* Whose an upstream is.  */
+/* Tells which partitions this instance owns.  */
 typedef struct
 {
+  /* State and fencing token of the partition of an upstream.  */
   mm_share_state (*of) (void *ctx, const mm_upstream_info *u, uint64_t *fence);
-  void (*retake) (void *ctx, const mm_upstream_info *u); /* a newer token */
-  uint64_t (*changes) (void *ctx);                       /* rises with each */
-  bool (*any) (void *ctx); /* is any partition ours? */
+  /* Renews the fencing token of that partition.  */
+  void (*retake) (void *ctx, const mm_upstream_info *u);
+  /* A number that rises with each change of a state or token.  */
+  uint64_t (*changes) (void *ctx);
+  /* Returns whether this instance owns any partition.  */
+  bool (*any) (void *ctx);
   void *ctx;
 } mm_ownership_shares;
 
 mm_ownership *mm_ownership_create (mm_catalog *catalog, mm_owner *owner,
-                                   const mm_ownership_shares *shares);
+                                   const mm_ownership_shares *partitions);
 void mm_ownership_destroy (mm_ownership *w);
-/* @list_fresh: the list was read since partitions became ours.  */
+/* @list_fresh: the list has been read since partitions were assigned to this
+   instance.  */
 void mm_ownership_tick (mm_ownership *w, bool list_fresh);
-/* Nothing runs on what is handed over there.  */
+/* Returns whether nothing runs on the upstreams of a data centre whose
+   partitions are being released.  */
 bool mm_ownership_quiet (const mm_ownership *w, const char *datacentre);
 
 #endif /* MM_OWNERSHIP_H */
--- a/src/mm_predecessors.c
+++ b/src/mm_predecessors.c
@@ -1,10 +1,10 @@
-/* mm_predecessors: leave groups on behalf of a member that is dead.
+/* mm_predecessors: leaves groups on behalf of a dead member.
 
-   Guards against room in nobody's hands after a restart: without it, the
-   upstreams of a killed process stand idle for the rest of its membership,
-   up to 1.5 s, though its successor is there.  It holds as the higher
-   generation at which a partition comes to its next holder fences whatever
-   order of the earlier life is still under way.  */
+   Guards against upstreams without an owner after a restart: otherwise, the
+   upstreams of a killed process would be idle for the rest of its membership,
+   up to 1.5 s, although its successor is already running.  This is safe, as a
+   partition gets a higher generation with its next owner, which fences calls
+   of the previous incarnation that are still in flight.  */
 #include "mm_predecessors.h"
 
 #include "config.h"
@@ -15,25 +15,25 @@
 
 struct mm_predecessors
 {
-  int refs; /* the maker's, and one a call in flight */
+  int refs; /* one of the creator, one of each call in flight */
   mm_store_port port;
   char *self;
-  char *addr;        /* where we listen */
-  GHashTable *asked; /* "group member" whose leaving is in flight */
+  char *addr;                  /* address that this instance listens on */
+  GHashTable *leaving_members; /* "group member" of each call in flight */
 };
 
 typedef struct
 {
   mm_predecessors *p;
   char *key;
-} leaving;
+} leave_call;
 
 static void
 predecessors_unref (mm_predecessors *p)
 {
   if (--p->refs > 0)
     return;
-  g_hash_table_destroy (p->asked);
+  g_hash_table_destroy (p->leaving_members);
   g_free (p->self);
   g_free (p->addr);
   g_free (p);
@@ -46,7 +46,8 @@
   p->refs = 1;
   p->port = *port;
   p->self = g_strdup (self);
-  p->asked = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  p->leaving_members
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   mm_peer_info own;
   if (mm_members_read_name (self, &own))
     {
@@ -63,43 +64,45 @@
     predecessors_unref (p);
 }
 
-/* Not answered: the member is still listed next time, and asked about anew. */
+/* A leave call that failed needs no handling: the store lists the member
+   again, and the next check repeats the call.  */
 static void
 on_left (const mm_join_result *res, void *ctx)
 {
-  leaving *l = ctx;
-  g_hash_table_remove (l->p->asked, l->key);
-  predecessors_unref (l->p);
-  g_free (l->key);
-  g_free (l);
+  leave_call *call = ctx;
+  g_hash_table_remove (call->p->leaving_members, call->key);
+  predecessors_unref (call->p);
+  g_free (call->key);
+  g_free (call);
 }
 
 static bool
-is_earlier_life (const mm_predecessors *p, const char *member)
+is_previous_incarnation (const mm_predecessors *p, const char *member)
 {
-  mm_peer_info m;
-  if (strcmp (member, p->self) == 0 || !mm_members_read_name (member, &m))
+  mm_peer_info info;
+  if (strcmp (member, p->self) == 0 || !mm_members_read_name (member, &info))
     return false;
-  bool same = g_strcmp0 (m.addr, p->addr) == 0;
-  mm_peer_info_clear (&m);
-  return same;
+  bool same_addr = g_strcmp0 (info.addr, p->addr) == 0;
+  mm_peer_info_clear (&info);
+  return same_addr;
 }
 
 static void
-take_out (mm_predecessors *p, const char *group, const char *member)
+remove_member (mm_predecessors *p, const char *group, const char *member)
 {
   char *key = g_strdup_printf ("%s %s", group, member);
-  if (g_hash_table_contains (p->asked, key))
+  if (g_hash_table_contains (p->leaving_members, key))
     {
       g_free (key);
       return;
     }
   mm_log_event (MM_EV_PREDECESSOR, MM_TEXT (group), MM_TEXT (member));
-  g_hash_table_add (p->asked, g_strdup (key));
-  leaving *l = g_new (leaving, 1);
-  *l = (leaving){ .p = p, .key = key };
+  g_hash_table_add (p->leaving_members, g_strdup (key));
+  leave_call *call = g_new (leave_call, 1);
+  *call = (leave_call){ .p = p, .key = key };
   p->refs++;
-  p->port.leave (p->port.ctx, group, member, MM_STORE_TIMEOUT_MS, on_left, l);
+  p->port.leave (p->port.ctx, group, member, MM_STORE_TIMEOUT_MS, on_left,
+                 call);
 }
 
 void
@@ -109,6 +112,6 @@
   if (!MM_WITH_PREDECESSORS)
     return;
   for (size_t i = 0; res->ok && i < res->n_members; i++)
-    if (is_earlier_life (p, res->members[i]))
-      take_out (p, group, res->members[i]);
+    if (is_previous_incarnation (p, res->members[i]))
+      remove_member (p, group, res->members[i]);
 }
--- a/src/mm_predecessors.h
+++ b/src/mm_predecessors.h
@@ -1,8 +1,9 @@
-/* mm_predecessors: take earlier lives of this instance out of their groups.
+/* mm_predecessors: removes previous incarnations of this instance from groups.
 
-   A restarted instance is a new member, and what its earlier life held stays
-   with that until its membership lapses.  Who listens on a member's address is
-   its successor, so the earlier life is dead and need not be waited for.  */
+   A restarted instance is a new member, and the partitions of its previous
+   incarnation stay assigned to that one until its membership expires.  The
+   instance that now listens on a member's address is its successor, so the
+   previous incarnation is dead and its expiry need not be awaited.  */
 #ifndef MM_PREDECESSORS_H
 #define MM_PREDECESSORS_H
 
@@ -10,11 +11,13 @@
 
 typedef struct mm_predecessors mm_predecessors;
 
-/* @self: our member name, whose address we listen on.  */
+/* @self: the member name of this instance, with the address that it listens
+   on.  */
 mm_predecessors *mm_predecessors_create (const mm_store_port *port,
                                          const char *self);
 void mm_predecessors_destroy (mm_predecessors *p);
-/* The store told who holds partitions of @group.  */
+/* Checks the store's answer with the members of @group, and removes previous
+   incarnations of this instance from the group.  */
 void mm_predecessors_note (mm_predecessors *p, const char *group,
                            const mm_members_result *res);
 
--- a/src/mm_shares.c
+++ b/src/mm_shares.c
@@ -1,14 +1,15 @@
-/* mm_shares: membership in the data centre's group.
-
-   A partition is handed over in two steps: the store no longer lists it
-   to us, and gives it to another member once we join with the generation
-   that said so.  In between we start nothing there and let what runs
-   end.  The generation at which a partition came to us is our fencing
-   token at its upstreams: it is higher than that of any earlier owner.
-
-   While the store is out of reach we keep what we have: if it gave our
-   partitions away meanwhile, the new owner's higher token stops us at the
-   upstreams.  */
+/* mm_shares: membership in a group whose partitions the store assigns.
+
+   A partition is handed over in two steps: the store no longer lists it for
+   this instance, and assigns it to another member once this instance joins
+   with the generation of that list.  In between, this instance starts no task
+   there and lets the running ones end.  The generation at which a partition
+   was assigned to this instance is its fencing token at the upstreams: higher
+   than the token of any earlier owner.
+
+   While the store is unreachable, this instance keeps its partitions: if the
+   store has assigned them to another member meanwhile, the new owner's higher
+   token stops this instance at the upstreams.  */
 #include "mm_shares.h"
 
 #include "config.h"
@@ -20,300 +21,306 @@
 
 typedef struct
 {
-  uint64_t fence; /* 0: not ours */
-  bool leaving;
-} share;
+  uint64_t fence;    /* fencing token; 0: not owned by this instance */
+  bool is_releasing; /* no longer assigned to this instance */
+} partition;
 
 struct mm_shares
 {
-  int refs;
+  int refs; /* one of the creator, one of the call in flight */
   bool closed;
   mm_store_port port;
   char *group;
   char *member;
-  share *shares;
+  partition *partitions;
   uint32_t n;
-  uint64_t listed;    /* generation of the last answer */
-  uint64_t confirmed; /* the one we join with */
-  mm_time_ms leaving_since_ms;
+  uint64_t listed_generation;    /* generation in the last answer */
+  uint64_t confirmed_generation; /* generation that the next join confirms */
+  mm_time_ms releasing_since_ms;
   bool in_flight;
-  bool in_touch;
-  mm_time_ms sent_ms; /* the call in flight */
-  mm_time_ms sure_ms; /* sending of the last one that was answered well */
-  bool quitting;
-  bool left;
+  bool in_contact;
+  mm_time_ms call_sent_ms; /* when the last call was sent */
+  mm_time_ms confirmed_ms; /* when the last join that succeeded was sent */
+  bool quitting;           /* leaving the group */
+  bool has_left;
   mm_time_ms due_ms;
-  uint64_t changes; /* of any share */
+  uint64_t changes; /* of any partition */
   mm_time_ms created_ms;
-  uint64_t sent_confirmed; /* in the call in flight */
-  bool releasing;          /* the next join lets go of partitions */
+  uint64_t sent_generation; /* generation that the call in flight confirms */
+  bool release_pending;     /* the next join hands over partitions */
   mm_shares_events ev;
 };
 
 static void
-shares_unref (mm_shares *s)
+shares_unref (mm_shares *set)
 {
-  if (--s->refs > 0)
+  if (--set->refs > 0)
     return;
-  g_free (s->group);
-  g_free (s->member);
-  g_free (s->shares);
-  g_free (s);
+  g_free (set->group);
+  g_free (set->member);
+  g_free (set->partitions);
+  g_free (set);
 }
 
 mm_shares *
 mm_shares_create (const mm_store_port *port, const char *group,
-                  const char *member, uint32_t parts)
+                  const char *member, uint32_t n_partitions)
 {
-  mm_shares *s = g_new0 (mm_shares, 1);
-  s->refs = 1;
-  s->port = *port;
-  s->group = g_strdup (group);
-  s->member = g_strdup (member);
-  s->n = parts;
-  s->shares = g_new0 (share, parts);
-  s->created_ms = mm_clock_now_ms ();
-  return s;
+  mm_shares *set = g_new0 (mm_shares, 1);
+  set->refs = 1;
+  set->port = *port;
+  set->group = g_strdup (group);
+  set->member = g_strdup (member);
+  set->n = n_partitions;
+  set->partitions = g_new0 (partition, n_partitions);
+  set->created_ms = mm_clock_now_ms ();
+  return set;
 }
 
 void
-mm_shares_destroy (mm_shares *s)
+mm_shares_destroy (mm_shares *set)
 {
-  if (!s)
+  if (!set)
     return;
-  s->closed = true;
-  shares_unref (s);
+  set->closed = true;
+  shares_unref (set);
 }
 
 static bool
-is_listed (const mm_join_result *res, uint32_t part)
+is_assigned_in (const mm_join_result *res, uint32_t index)
 {
   for (size_t i = 0; i < res->n_parts; i++)
-    if (res->parts[i] == part)
+    if (res->parts[i] == index)
       return true;
   return false;
 }
 
 static void
-take_list (mm_shares *s, const mm_join_result *res)
+apply_assignment (mm_shares *set, const mm_join_result *res)
 {
-  uint32_t ours = 0, leaving = 0;
-  s->changes++;
-  for (uint32_t i = 0; i < s->n; i++)
+  uint32_t n_owned = 0, n_releasing = 0;
+  set->changes++;
+  for (uint32_t i = 0; i < set->n; i++)
     {
-      share *p = &s->shares[i];
-      bool listed = is_listed (res, i);
-      if (listed && !p->fence)
+      partition *p = &set->partitions[i];
+      bool is_assigned = is_assigned_in (res, i);
+      if (is_assigned && !p->fence)
         p->fence = res->generation;
-      p->leaving = p->fence && !listed;
-      ours += listed;
-      leaving += p->leaving;
+      p->is_releasing = p->fence && !is_assigned;
+      n_owned += is_assigned;
+      n_releasing += p->is_releasing;
     }
   mm_metrics_count (MM_CT_OWNERSHIP_CHANGES);
-  mm_log_event (MM_EV_GROUP_CHANGED, MM_TEXT (s->group),
-                MM_INT (res->generation), MM_INT (ours), MM_INT (leaving));
-  if (!leaving)
-    s->confirmed = res->generation;
-  else if (!s->leaving_since_ms)
-    s->leaving_since_ms = mm_clock_now_ms ();
-  if (s->ev.changed)
-    s->ev.changed (s->ev.ctx);
+  mm_log_event (MM_EV_GROUP_CHANGED, MM_TEXT (set->group),
+                MM_INT (res->generation), MM_INT (n_owned),
+                MM_INT (n_releasing));
+  if (!n_releasing)
+    set->confirmed_generation = res->generation;
+  else if (!set->releasing_since_ms)
+    set->releasing_since_ms = mm_clock_now_ms ();
+  if (set->ev.changed)
+    set->ev.changed (set->ev.ctx);
 }
 
 static void
-tell_handed (const mm_shares *s)
+notify_released (const mm_shares *set)
 {
-  if (s->ev.handed && !s->closed)
-    s->ev.handed (s->ev.ctx, s->group);
+  if (set->ev.handed && !set->closed)
+    set->ev.handed (set->ev.ctx, set->group);
 }
 
 static void
 on_joined (const mm_join_result *res, void *ctx)
 {
-  mm_shares *s = ctx;
-  s->in_flight = false;
+  mm_shares *set = ctx;
+  set->in_flight = false;
   mm_metrics_count (res->ok ? MM_CT_JOIN_OK : MM_CT_JOIN_FAILED);
-  mm_metrics_time (MM_HG_JOIN_CALL, mm_clock_now_ms () - s->sent_ms);
-  if (!s->closed)
-    mm_store_note_touch (&s->in_touch, res->ok, s->group, res->why);
+  mm_metrics_time (MM_HG_JOIN_CALL, mm_clock_now_ms () - set->call_sent_ms);
+  if (!set->closed)
+    mm_store_note_touch (&set->in_contact, res->ok, set->group, res->why);
   if (res->ok)
-    s->sure_ms = s->sent_ms;
-  if (res->ok && s->releasing && s->sent_confirmed == s->confirmed)
+    set->confirmed_ms = set->call_sent_ms;
+  if (res->ok && set->release_pending
+      && set->sent_generation == set->confirmed_generation)
     {
-      s->releasing = false;
-      tell_handed (s);
+      set->release_pending = false;
+      notify_released (set);
     }
-  if (!s->closed && res->ok && !s->quitting && res->generation != s->listed)
+  if (!set->closed && res->ok && !set->quitting
+      && res->generation != set->listed_generation)
     {
-      s->listed = res->generation;
-      take_list (s, res);
+      set->listed_generation = res->generation;
+      apply_assignment (set, res);
     }
-  shares_unref (s);
+  shares_unref (set);
 }
 
 static void
 on_left (const mm_join_result *res, void *ctx)
 {
-  mm_shares *s = ctx;
-  s->in_flight = false;
-  s->left = s->left || res->ok;
+  mm_shares *set = ctx;
+  set->in_flight = false;
+  set->has_left = set->has_left || res->ok;
   if (res->ok)
-    tell_handed (s);
-  shares_unref (s);
+    notify_released (set);
+  shares_unref (set);
 }
 
-/* A newcomer without a partition asks often: those of an instance that is
-   known to be dead come within one call of its being taken out, and until
-   then nobody can start anything on their upstreams.  */
+/* Returns the time between joins.  A joining instance without a partition
+   polls fast: partitions of an instance that is known to be dead are
+   reassigned one call after its removal, and until then no instance can start
+   tasks on their upstreams.  */
 static mm_time_ms
-beat_ms (const mm_shares *s, mm_time_ms now)
+join_interval_ms (const mm_shares *set, mm_time_ms now)
 {
-  bool eager
-      = !mm_shares_any (s) && now - s->created_ms < MM_GROUP_EAGER_FOR_MS;
-  return eager ? MM_GROUP_EAGER_MS : MM_GROUP_BEAT_MS;
+  bool fast_poll
+      = !mm_shares_any (set) && now - set->created_ms < MM_GROUP_EAGER_FOR_MS;
+  return fast_poll ? MM_GROUP_EAGER_MS : MM_GROUP_BEAT_MS;
 }
 
 void
-mm_shares_tick (mm_shares *s)
+mm_shares_tick (mm_shares *set)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  if (s->leaving_since_ms && now - s->leaving_since_ms > MM_HANDOVER_MS)
-    mm_shares_release (s);
-  if (s->in_flight || s->left || now < s->due_ms)
+  if (set->releasing_since_ms
+      && now - set->releasing_since_ms > MM_HANDOVER_MS)
+    mm_shares_release (set);
+  if (set->in_flight || set->has_left || now < set->due_ms)
     return;
-  s->in_flight = true;
-  s->sent_ms = now;
-  s->sent_confirmed = s->confirmed;
-  s->due_ms = now + beat_ms (s, now);
-  s->refs++;
-  if (s->quitting)
-    s->port.leave (s->port.ctx, s->group, s->member, MM_STORE_TIMEOUT_MS,
-                   on_left, s);
+  set->in_flight = true;
+  set->call_sent_ms = now;
+  set->sent_generation = set->confirmed_generation;
+  set->due_ms = now + join_interval_ms (set, now);
+  set->refs++;
+  if (set->quitting)
+    set->port.leave (set->port.ctx, set->group, set->member,
+                     MM_STORE_TIMEOUT_MS, on_left, set);
   else
-    s->port.join (s->port.ctx, s->group, s->member, s->confirmed,
-                  MM_GROUP_TTL_MS, MM_STORE_TIMEOUT_MS, on_joined, s);
+    set->port.join (set->port.ctx, set->group, set->member,
+                    set->confirmed_generation, MM_GROUP_TTL_MS,
+                    MM_STORE_TIMEOUT_MS, on_joined, set);
 }
 
 void
-mm_shares_leave (mm_shares *s)
+mm_shares_leave (mm_shares *set)
 {
-  if (s->quitting)
+  if (set->quitting)
     return;
-  s->quitting = true;
-  s->changes++;
-  s->due_ms = 0;
-  memset (s->shares, 0, s->n * sizeof *s->shares);
+  set->quitting = true;
+  set->changes++;
+  set->due_ms = 0;
+  memset (set->partitions, 0, set->n * sizeof *set->partitions);
 }
 
 void
-mm_shares_on (mm_shares *s, const mm_shares_events *ev)
+mm_shares_on (mm_shares *set, const mm_shares_events *ev)
 {
-  s->ev = *ev;
+  set->ev = *ev;
 }
 
 void
-mm_shares_hurry (mm_shares *s)
+mm_shares_hurry (mm_shares *set)
 {
-  s->due_ms = 0;
+  set->due_ms = 0;
 }
 
 bool
-mm_shares_left (const mm_shares *s)
+mm_shares_left (const mm_shares *set)
 {
-  return s->left;
+  return set->has_left;
 }
 
-static share *
-share_of (const mm_shares *s, const char *upstream)
+static partition *
+partition_of (const mm_shares *set, const char *upstream)
 {
-  return &s->shares[XXH3_64bits (upstream, strlen (upstream)) % s->n];
+  return &set->partitions[XXH3_64bits (upstream, strlen (upstream)) % set->n];
 }
 
 static mm_share_state
-state_of (const share *p, uint64_t *fence)
+state_of (const partition *p, uint64_t *fence)
 {
   *fence = p->fence;
   if (!p->fence)
     return MM_SHARE_OTHERS;
-  return p->leaving ? MM_SHARE_LEAVING : MM_SHARE_OURS;
+  return p->is_releasing ? MM_SHARE_LEAVING : MM_SHARE_OURS;
 }
 
 mm_share_state
-mm_shares_of (const mm_shares *s, const char *upstream, uint64_t *fence)
+mm_shares_of (const mm_shares *set, const char *upstream, uint64_t *fence)
 {
-  return state_of (share_of (s, upstream), fence);
+  return state_of (partition_of (set, upstream), fence);
 }
 
 mm_share_state
-mm_shares_of_part (const mm_shares *s, uint32_t part, uint64_t *fence)
+mm_shares_of_part (const mm_shares *set, uint32_t index, uint64_t *fence)
 {
-  return state_of (&s->shares[part], fence);
+  return state_of (&set->partitions[index], fence);
 }
 
 mm_time_ms
-mm_shares_sure_ms (const mm_shares *s)
+mm_shares_sure_ms (const mm_shares *set)
 {
-  return s->sure_ms;
+  return set->confirmed_ms;
 }
 
 static void
-retake (mm_shares *s, share *p)
+renew_fence (mm_shares *set, partition *p)
 {
-  if (p->fence && !p->leaving && p->fence < s->listed)
+  if (p->fence && !p->is_releasing && p->fence < set->listed_generation)
     {
-      p->fence = s->listed;
-      s->changes++;
+      p->fence = set->listed_generation;
+      set->changes++;
     }
 }
 
 void
-mm_shares_retake (mm_shares *s, const char *upstream)
+mm_shares_retake (mm_shares *set, const char *upstream)
 {
-  retake (s, share_of (s, upstream));
+  renew_fence (set, partition_of (set, upstream));
 }
 
 void
-mm_shares_retake_part (mm_shares *s, uint32_t part)
+mm_shares_retake_part (mm_shares *set, uint32_t index)
 {
-  retake (s, &s->shares[part]);
+  renew_fence (set, &set->partitions[index]);
 }
 
 void
-mm_shares_release (mm_shares *s)
+mm_shares_release (mm_shares *set)
 {
-  for (uint32_t i = 0; i < s->n; i++)
-    if (s->shares[i].leaving)
-      s->shares[i] = (share){ 0 };
-  s->leaving_since_ms = 0;
-  s->changes++;
-  s->confirmed = s->listed;
-  s->releasing = true;
-  s->due_ms = 0;
+  for (uint32_t i = 0; i < set->n; i++)
+    if (set->partitions[i].is_releasing)
+      set->partitions[i] = (partition){ 0 };
+  set->releasing_since_ms = 0;
+  set->changes++;
+  set->confirmed_generation = set->listed_generation;
+  set->release_pending = true;
+  set->due_ms = 0;
 }
 
 bool
-mm_shares_releasing (const mm_shares *s)
+mm_shares_releasing (const mm_shares *set)
 {
-  return s->leaving_since_ms != 0;
+  return set->releasing_since_ms != 0;
 }
 
 bool
-mm_shares_any (const mm_shares *s)
+mm_shares_any (const mm_shares *set)
 {
-  for (uint32_t i = 0; i < s->n; i++)
-    if (s->shares[i].fence)
+  for (uint32_t i = 0; i < set->n; i++)
+    if (set->partitions[i].fence)
       return true;
   return false;
 }
 
 uint64_t
-mm_shares_changes (const mm_shares *s)
+mm_shares_changes (const mm_shares *set)
 {
-  return s->changes;
+  return set->changes;
 }
 
 uint64_t
-mm_shares_generation (const mm_shares *s)
+mm_shares_generation (const mm_shares *set)
 {
-  return s->listed;
+  return set->listed_generation;
 }
--- a/src/mm_transit.c
+++ b/src/mm_transit.c
@@ -1,30 +1,30 @@
-/* mm_transit: see the header.  */
+/* mm_transit: estimates the queueing delay of messages.  */
 #include "mm_transit.h"
 
 #include "config.h"
 
 /**
- * mm_transit_held_up_ms() - note a message.
- * @t: of its sender; zero at first.
- * @sent_ms: when it was sent, by the sender's clock.
- * @now_ms: by ours.
+ * mm_transit_held_up_ms() - records a message and returns its queueing delay.
+ * @t: the state of the sender's link; zero-initialised.
+ * @sent_ms: when the message was sent, by the sender's clock.
+ * @now_ms: when the message was received, by this instance's clock.
  *
- * Return: how much longer it took than the fastest one lately.
+ * Return: how much longer the message took than the fastest recent one.
  */
 mm_time_ms
 mm_transit_held_up_ms (mm_transit *t, mm_time_ms sent_ms, mm_time_ms now_ms)
 {
   mm_time_ms difference_ms = now_ms - sent_ms;
-  if (!t->known)
-    *t = (mm_transit){ .known = true,
-                       .began_ms = now_ms,
-                       .least_ms = { difference_ms, difference_ms } };
-  else if (now_ms - t->began_ms >= MM_TRANSIT_WINDOW_MS)
+  if (!t->initialised)
+    *t = (mm_transit){ .initialised = true,
+                       .window_start_ms = now_ms,
+                       .min_ms = { difference_ms, difference_ms } };
+  else if (now_ms - t->window_start_ms >= MM_TRANSIT_WINDOW_MS)
     {
-      t->began_ms = now_ms;
-      t->least_ms[1] = t->least_ms[0];
-      t->least_ms[0] = difference_ms;
+      t->window_start_ms = now_ms;
+      t->min_ms[1] = t->min_ms[0];
+      t->min_ms[0] = difference_ms;
     }
-  t->least_ms[0] = MIN (t->least_ms[0], difference_ms);
-  return difference_ms - MIN (t->least_ms[0], t->least_ms[1]);
+  t->min_ms[0] = MIN (t->min_ms[0], difference_ms);
+  return difference_ms - MIN (t->min_ms[0], t->min_ms[1]);
 }
--- a/src/mm_transit.h
+++ b/src/mm_transit.h
@@ -1,10 +1,11 @@
-/* mm_transit: how much longer than usual a message of a peer was under way.
+/* mm_transit: estimates how long a message of a peer was delayed by queues.
 
-   The clocks of two instances differ by an unknown offset.  The least
-   difference between receipt and sending that was seen lately stands for an
-   empty link; what is beyond it was spent in queues.  A peer that stood still
-   looks held up until that is forgotten: its updates then count as older than
-   they are.  */
+   The clocks of two instances differ by an unknown offset.  The smallest
+   recent difference between the times of receipt and sending is taken for an
+   empty link, and whatever exceeds the smallest difference for time in queues.
+   After a peer has stalled, its messages seem delayed until the older
+   differences leave the window, and its updates count as older than they
+   are.  */
 #ifndef MM_TRANSIT_H
 #define MM_TRANSIT_H
 
@@ -12,9 +13,9 @@
 
 typedef struct
 {
-  bool known;
-  mm_time_ms began_ms;    /* of the window that least_ms[0] is of */
-  mm_time_ms least_ms[2]; /* differences: in this window, in the last one */
+  bool initialised;
+  mm_time_ms window_start_ms; /* start of the current window */
+  mm_time_ms min_ms[2]; /* minimum of the current, of the previous window */
 } mm_transit;
 
 mm_time_ms mm_transit_held_up_ms (mm_transit *t, mm_time_ms sent_ms,
