--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -1,5 +1,6 @@
-/* Instances that read the upstream list for one another: meshes of one
-   process on loopback, with a store of one stream that counts the reads.  */
+/* Tests that instances share the work of reading the upstream list: several
+   meshes in one process on loopback, with a fake store of one stream that
+   counts the reads.  */
 #include "config.h"
 #include "harness.h"
 #include "mm_list_update.h"
@@ -13,8 +14,8 @@
 #define INSTANCES 12
 #define UPSTREAMS 40
 #define CALL_MS 4
-#define HEARTBEAT_S 0.1     /* of all upstreams together */
-#define DRAIN_BOUND_MS 2000 /* of the least patient platform */
+#define HEARTBEAT_S 0.1     /* between heartbeats of all upstreams */
+#define DRAIN_BOUND_MS 2000 /* shortest limit that a platform has */
 
 typedef struct
 {
@@ -26,24 +27,25 @@
 {
   struct ev_loop *loop;
   ev_timer tick;
-  ev_timer beat;
-  GArray *records; /* record: the stream */
-  uint32_t reads;
-  uint32_t told; /* records */
-  int reader;    /* of the last read */
-  int lost;      /* this instance's calls get no answer, -1: none */
-  int forgotten; /* its next call finds the history dropped, -1: none */
+  ev_timer heartbeat;
+  GArray *records; /* record, in the order of the stream */
+  uint32_t n_reads;
+  uint32_t n_records_sent; /* in answers to all reads */
+  int last_reader;         /* instance that sent the last read */
+  int unanswered;          /* instance whose calls get no answer, -1: none */
+  int no_history;          /* instance whose next tail call finds the history
+                             dropped, -1: none */
   mm_owner *owner[INSTANCES];
   mm_mesh *mesh[INSTANCES];
   mm_catalog *catalog[INSTANCES];
-  mm_list_share *share[INSTANCES];
+  mm_list_share *list_share[INSTANCES];
   mm_peer_info info[INSTANCES];
-} world;
+} fixture;
 
 typedef struct
 {
   ev_timer timer;
-  world *w;
+  fixture *fx;
   bool newest;
   int caller;
   uint64_t from;
@@ -52,49 +54,49 @@
 } call;
 
 static char *
-name_of (int i)
+upstream_name (int i)
 {
   return g_strdup_printf ("up%d", i);
 }
 
 static void
-append (world *w, int upstream, bool draining)
+append_record (fixture *fx, int upstream, bool draining)
 {
   record r = { .draining = draining };
-  r.info.name = name_of (upstream);
+  r.info.name = upstream_name (upstream);
   r.info.addr = g_strdup ("127.0.0.1:1");
   r.info.service = g_strdup ("tasks");
   r.info.datacentre = g_strdup ("dc1");
   r.info.draining = draining;
-  g_array_append_val (w->records, r);
+  g_array_append_val (fx->records, r);
 }
 
 static void
 answer_cb (struct ev_loop *loop, ev_timer *t, int revents)
 {
   call *c = (call *)t;
-  world *w = c->w;
-  uint64_t end = w->records->len;
+  fixture *fx = c->fx;
+  uint64_t end = fx->records->len;
   uint64_t from = c->newest ? end - MIN (end, UPSTREAMS) : c->from;
   mm_stream_result res
-      = { .ok = c->caller != w->lost, .next = end, .end = end };
+      = { .ok = c->caller != fx->unanswered, .next = end, .end = end };
   res.why = "no answer";
-  if (c->caller == w->forgotten && !c->newest)
+  if (c->caller == fx->no_history && !c->newest)
     {
-      w->forgotten = -1;
+      fx->no_history = -1;
       res.ok = false;
       res.history_lost = true;
     }
   GArray *items = g_array_new (FALSE, FALSE, sizeof (mm_stream_item));
   for (uint64_t i = from; res.ok && i < end; i++)
     {
-      record *r = &g_array_index (w->records, record, i);
+      record *r = &g_array_index (fx->records, record, i);
       mm_stream_item item = { .key = r->info.name, .upstream = &r->info };
       g_array_append_val (items, item);
     }
   res.items = (mm_stream_item *)(void *)items->data;
   res.n_items = items->len;
-  w->told += items->len;
+  fx->n_records_sent += items->len;
   if (!res.ok)
     res.next = c->from;
   c->done (&res, c->ctx);
@@ -103,27 +105,27 @@
 }
 
 static void
-ask (int caller, world *w, bool newest, uint64_t from, mm_time_ms timeout_ms,
-     mm_stream_done done, void *ctx)
+call_store (int caller, fixture *fx, bool newest, uint64_t from,
+            mm_time_ms timeout_ms, mm_stream_done done, void *ctx)
 {
   call *c = g_new0 (call, 1);
-  c->w = w;
+  c->fx = fx;
   c->newest = newest;
   c->from = from;
   c->caller = caller;
   c->done = done;
   c->ctx = ctx;
-  w->reads++;
-  w->reader = caller;
-  mm_time_ms way_ms = caller == w->lost ? timeout_ms : CALL_MS;
-  ev_timer_init (&c->timer, answer_cb, (double)way_ms / 1000., 0.);
-  ev_timer_start (w->loop, &c->timer);
+  fx->n_reads++;
+  fx->last_reader = caller;
+  mm_time_ms delay_ms = caller == fx->unanswered ? timeout_ms : CALL_MS;
+  ev_timer_init (&c->timer, answer_cb, (double)delay_ms / 1000., 0.);
+  ev_timer_start (fx->loop, &c->timer);
 }
 
 typedef struct
 {
-  int no;
-  world *world;
+  int number;
+  fixture *fixture;
 } caller;
 
 static void
@@ -131,37 +133,38 @@
               mm_time_ms timeout_ms, mm_stream_done done, void *done_ctx)
 {
   caller *c = ctx;
-  ask (c->no, c->world, true, 0, timeout_ms, done, done_ctx);
+  call_store (c->number, c->fixture, true, 0, timeout_ms, done, done_ctx);
 }
 
 static void
 store_tail (void *ctx, const mm_tail *t, mm_stream_done done, void *done_ctx)
 {
   caller *c = ctx;
-  ask (c->no, c->world, false, t->from, t->timeout_ms, done, done_ctx);
+  call_store (c->number, c->fixture, false, t->from, t->timeout_ms, done,
+              done_ctx);
 }
 
 static void
 tick_cb (struct ev_loop *loop, ev_timer *t, int revents)
 {
-  world *w = t->data;
+  fixture *fx = t->data;
   for (int i = 0; i < INSTANCES; i++)
-    if (w->mesh[i])
+    if (fx->mesh[i])
       {
-        mm_mesh_tick (w->mesh[i]);
-        mm_stream_tick (mm_list_share_stream (w->share[i]));
-        mm_list_share_tick (w->share[i]);
+        mm_mesh_tick (fx->mesh[i]);
+        mm_stream_tick (mm_list_share_stream (fx->list_share[i]));
+        mm_list_share_tick (fx->list_share[i]);
       }
 }
 
 static bool
-is_draining (world *w, int upstream)
+is_draining (fixture *fx, int upstream)
 {
-  char *name = name_of (upstream);
+  char *name = upstream_name (upstream);
   bool draining = false;
-  for (guint i = 0; i < w->records->len; i++)
+  for (guint i = 0; i < fx->records->len; i++)
     {
-      const record *r = &g_array_index (w->records, record, i);
+      const record *r = &g_array_index (fx->records, record, i);
       if (strcmp (r->info.name, name) == 0)
         draining = r->draining;
     }
@@ -169,17 +172,17 @@
   return draining;
 }
 
-/* Each upstream repeats what it last said.  */
+/* Each upstream repeats its last entry.  */
 static void
-beat_cb (struct ev_loop *loop, ev_timer *t, int revents)
+heartbeat_cb (struct ev_loop *loop, ev_timer *t, int revents)
 {
-  world *w = t->data;
+  fixture *fx = t->data;
   for (int i = 0; i < UPSTREAMS; i++)
-    append (w, i, is_draining (w, i));
+    append_record (fx, i, is_draining (fx, i));
 }
 
 static void
-nothing (void *ctx)
+ignore_change (void *ctx)
 {
 }
 
@@ -190,242 +193,253 @@
 }
 
 static void
-pass_time (world *w, mm_time_ms ms)
+run_for (fixture *fx, mm_time_ms ms)
 {
   ev_timer stop;
   ev_timer_init (&stop, stop_loop, (double)ms / 1000., 0.);
-  ev_timer_start (w->loop, &stop);
-  ev_run (w->loop, 0);
+  ev_timer_start (fx->loop, &stop);
+  ev_run (fx->loop, 0);
 }
 
 static void
-add_instance (world *w, int i, caller *c)
+add_instance (fixture *fx, int i, caller *c)
 {
-  mm_exec_port nowhere = { 0 };
+  mm_exec_port no_upstreams = { 0 };
   GError *error = NULL;
   int port = h_port_base () + i;
-  *c = (caller){ .no = i, .world = w };
-  w->info[i].name = g_strdup_printf ("n%d", i);
-  w->info[i].addr = g_strdup_printf ("127.0.0.1:%d", port);
-  w->info[i].datacentre = g_strdup ("dc1");
-  w->owner[i] = mm_owner_create (&nowhere);
-  w->mesh[i] = mm_mesh_create (w->loop, w->info[i].name, "dc1", "127.0.0.1",
-                               (uint16_t)port, w->owner[i], &error);
-  ck_assert_msg (w->mesh[i] != NULL, "%s", error ? error->message : "");
-  w->catalog[i] = mm_catalog_create ();
+  *c = (caller){ .number = i, .fixture = fx };
+  fx->info[i].name = g_strdup_printf ("n%d", i);
+  fx->info[i].addr = g_strdup_printf ("127.0.0.1:%d", port);
+  fx->info[i].datacentre = g_strdup ("dc1");
+  fx->owner[i] = mm_owner_create (&no_upstreams);
+  fx->mesh[i] = mm_mesh_create (fx->loop, fx->info[i].name, "dc1", "127.0.0.1",
+                                (uint16_t)port, fx->owner[i], &error);
+  ck_assert_msg (fx->mesh[i] != NULL, "%s", error ? error->message : "");
+  fx->catalog[i] = mm_catalog_create ();
   mm_store_port store
       = { .newest = store_newest, .tail = store_tail, .ctx = c };
-  w->share[i] = mm_list_share_create (&store, w->catalog[i], w->mesh[i],
-                                      w->info[i].name, nothing, NULL);
+  fx->list_share[i]
+      = mm_list_share_create (&store, fx->catalog[i], fx->mesh[i],
+                              fx->info[i].name, ignore_change, NULL);
 }
 
 static caller callers[INSTANCES];
 
-static world *
-world_create (void)
+static fixture *
+fixture_create (void)
 {
-  world *w = g_new0 (world, 1);
-  w->loop = ev_loop_new (EVFLAG_AUTO);
-  w->records = g_array_new (FALSE, FALSE, sizeof (record));
-  w->lost = w->forgotten = -1;
+  fixture *fx = g_new0 (fixture, 1);
+  fx->loop = ev_loop_new (EVFLAG_AUTO);
+  fx->records = g_array_new (FALSE, FALSE, sizeof (record));
+  fx->unanswered = fx->no_history = -1;
   for (int i = 0; i < UPSTREAMS; i++)
-    append (w, i, false);
+    append_record (fx, i, false);
   for (int i = 0; i < INSTANCES; i++)
-    add_instance (w, i, &callers[i]);
+    add_instance (fx, i, &callers[i]);
   for (int i = 0; i < INSTANCES; i++)
     {
       mm_peer_info others[INSTANCES];
       size_t n = 0;
       for (int k = 0; k < INSTANCES; k++)
         if (k != i)
-          others[n++] = w->info[k];
-      /* Who is in the list a second time stays there.  */
-      mm_mesh_set_peers (w->mesh[i], others, n);
-      mm_mesh_set_peers (w->mesh[i], others, n);
+          others[n++] = fx->info[k];
+      /* A peer counts as listed from the second list that names it.  */
+      mm_mesh_set_peers (fx->mesh[i], others, n);
+      mm_mesh_set_peers (fx->mesh[i], others, n);
     }
-  ev_timer_init (&w->tick, tick_cb, 0., MM_EXEC_TICK_MS / 1000.);
-  w->tick.data = w;
-  ev_timer_start (w->loop, &w->tick);
-  ev_timer_init (&w->beat, beat_cb, HEARTBEAT_S, HEARTBEAT_S);
-  w->beat.data = w;
-  ev_timer_start (w->loop, &w->beat);
-  /* All of the list was read by each, and nobody reads for himself.  */
-  pass_time (w, MM_LIST_OWN_MS + 2 * MM_LIST_POLL_MS);
-  return w;
+  ev_timer_init (&fx->tick, tick_cb, 0., MM_EXEC_TICK_MS / 1000.);
+  fx->tick.data = fx;
+  ev_timer_start (fx->loop, &fx->tick);
+  ev_timer_init (&fx->heartbeat, heartbeat_cb, HEARTBEAT_S, HEARTBEAT_S);
+  fx->heartbeat.data = fx;
+  ev_timer_start (fx->loop, &fx->heartbeat);
+  /* Waits until each instance has read all of the list and accepts updates of
+     peers.  */
+  run_for (fx, MM_LIST_OWN_MS + 2 * MM_LIST_POLL_MS);
+  return fx;
 }
 
 static void
-stop_instance (world *w, int i)
+stop_instance (fixture *fx, int i)
 {
-  mm_list_share_destroy (w->share[i]);
-  mm_mesh_destroy (w->mesh[i]);
-  w->share[i] = NULL;
-  w->mesh[i] = NULL;
+  mm_list_share_destroy (fx->list_share[i]);
+  mm_mesh_destroy (fx->mesh[i]);
+  fx->list_share[i] = NULL;
+  fx->mesh[i] = NULL;
 }
 
 static bool
-knows_draining (const world *w, int instance, int upstream)
+knows_draining (const fixture *fx, int instance, int upstream)
 {
-  char *name = name_of (upstream);
-  const mm_upstream_info *u = mm_catalog_find (w->catalog[instance], name);
+  char *name = upstream_name (upstream);
+  const mm_upstream_info *u = mm_catalog_find (fx->catalog[instance], name);
   g_free (name);
   return u && u->draining;
 }
 
-/* How long until all that are left know that an upstream leaves.  */
+/* Returns how long it takes until all remaining instances know that an
+   upstream is draining.  */
 static mm_time_ms
-known_to_all_ms (world *w, int upstream)
+known_to_all_ms (fixture *fx, int upstream)
 {
-  mm_time_ms from_ms = mm_clock_now_ms ();
+  mm_time_ms start_ms = mm_clock_now_ms ();
   for (;;)
     {
       bool all = true;
       for (int i = 0; i < INSTANCES; i++)
-        all = all && (!w->mesh[i] || knows_draining (w, i, upstream));
-      mm_time_ms took_ms = mm_clock_now_ms () - from_ms;
+        all = all && (!fx->mesh[i] || knows_draining (fx, i, upstream));
+      mm_time_ms took_ms = mm_clock_now_ms () - start_ms;
       if (all || took_ms > 10000)
         return took_ms;
-      pass_time (w, MM_EXEC_TICK_MS);
+      run_for (fx, MM_EXEC_TICK_MS);
     }
 }
 
-/* A dozen instances and forty upstreams that write to the list each 100 ms.
-   Each instance read all of it each 0.9 s, and the store sent it twelve times;
-   with hundreds of instances it did little else.  A quarter of that is asked
-   for.  */
-START_TEST (list_is_read_by_few_and_known_to_all)
+/* Guards against a store that is busy only with sending the list: with
+   hundreds of instances that each read all of it every 0.9 s, the store did
+   little else.  Twelve instances, with forty upstreams that write to the list
+   every 100 ms, may send at most a quarter of those reads.  */
+START_TEST (list_is_read_rarely_and_known_to_all)
 {
-  world *w = world_create ();
-  w->reads = w->told = 0;
-  pass_time (w, 4000);
+  fixture *fx = fixture_create ();
+  fx->n_reads = fx->n_records_sent = 0;
+  run_for (fx, 4000);
   uint32_t each = 4000 / 900;
-  ck_assert_uint_le (w->reads, INSTANCES * each / 4);
-  ck_assert_uint_ge (w->reads, 4);
+  ck_assert_uint_le (fx->n_reads, INSTANCES * each / 4);
+  ck_assert_uint_ge (fx->n_reads, 4);
   mm_time_ms now = mm_clock_now_ms ();
   for (int i = 0; i < INSTANCES; i++)
     ck_assert_int_le (
-        now - mm_stream_known_ms (mm_list_share_stream (w->share[i])),
+        now - mm_stream_known_ms (mm_list_share_stream (fx->list_share[i])),
         MM_LIST_POLL_MS + MM_LIST_PLACE_MS * MM_LIST_PLACES_MAX);
-  append (w, 7, true);
-  ck_assert_int_le (known_to_all_ms (w, 7), DRAIN_BOUND_MS);
+  append_record (fx, 7, true);
+  ck_assert_int_le (known_to_all_ms (fx, 7), DRAIN_BOUND_MS);
 }
 END_TEST
 
-/* An upstream says that it leaves, and the instance that reads the list just
-   then dies before it has told anybody.  The others started tasks there until
-   the upstream was gone, if they waited for its word.  */
-START_TEST (reader_that_dies_keeps_nobody_in_the_dark)
+/* Guards against tasks started on a draining upstream: the instance that reads
+   the draining entry dies before it has notified any other.  If the others
+   waited for its update, they would start tasks there until the upstream was
+   gone.  */
+START_TEST (reader_that_dies_does_not_delay_the_others)
 {
-  world *w = world_create ();
+  fixture *fx = fixture_create ();
   for (int i = 0; i < 4; i++)
     {
-      uint32_t reads = w->reads;
-      append (w, i, true);
-      while (w->reads == reads)
-        pass_time (w, 1);
-      stop_instance (w, w->reader);
-      ck_assert_int_le (known_to_all_ms (w, i), DRAIN_BOUND_MS);
+      uint32_t n_reads = fx->n_reads;
+      append_record (fx, i, true);
+      while (fx->n_reads == n_reads)
+        run_for (fx, 1);
+      stop_instance (fx, fx->last_reader);
+      ck_assert_int_le (known_to_all_ms (fx, i), DRAIN_BOUND_MS);
     }
 }
 END_TEST
 
-/* The store gives the instance whose round it is no answer, and serves the
-   others: they go on, and it hears of the list from them.  */
-START_TEST (reader_without_the_store_is_told_by_the_others)
+/* Guards against a stale list at a reader that gets no answer from the store:
+   the store answers the other instances, which read the list and update the
+   first one.  */
+START_TEST (reader_without_the_store_is_updated_by_the_others)
 {
-  world *w = world_create ();
+  fixture *fx = fixture_create ();
   for (int i = 0; i < 4; i++)
     {
-      w->lost = w->reader;
-      append (w, i, true);
-      ck_assert_int_le (known_to_all_ms (w, i), DRAIN_BOUND_MS);
+      fx->unanswered = fx->last_reader;
+      append_record (fx, i, true);
+      ck_assert_int_le (known_to_all_ms (fx, i), DRAIN_BOUND_MS);
     }
 }
 END_TEST
 
-/* One without changes, from a peer, that was sent so long ago.  */
+/* Delivers a peer's update without changes that was sent @sent_ago_ms ago.  */
 static void
-give_update (world *w, mm_transit *way, mm_time_ms ago_ms)
+deliver_update (fixture *fx, mm_transit *delay, mm_time_ms sent_ago_ms)
 {
-  uint64_t next = mm_stream_next (mm_list_share_stream (w->share[0]));
+  uint64_t next = mm_stream_next (mm_list_share_stream (fx->list_share[0]));
   mm_list_update n = { .from = next, .to = next, .age_ms = 5 };
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_list_update_pack (&n, &b);
   mm_mesh_msg m = { .kind = MM_MESH_UPDATE,
-                    .sent_ms = mm_clock_now_ms () - ago_ms,
+                    .sent_ms = mm_clock_now_ms () - sent_ago_ms,
                     .data = b.data,
                     .len = b.size };
-  mm_mesh_take_update (w->mesh[0], w->info[1].name, way, &m);
+  mm_mesh_take_update (fx->mesh[0], fx->info[1].name, delay, &m);
   msgpack_sbuffer_destroy (&b);
 }
 
-START_TEST (update_that_was_held_up_is_not_taken_for_a_new_one)
+/* Guards against a list that seems newer than it is: an update that waited in
+   queues for DRAIN_BOUND_MS must not count as sent just now.  */
+START_TEST (delayed_update_is_not_taken_for_a_new_one)
 {
-  world *w = world_create ();
-  mm_stream *list = mm_list_share_stream (w->share[0]);
+  fixture *fx = fixture_create ();
+  mm_stream *list = mm_list_share_stream (fx->list_share[0]);
   for (int i = 1; i < INSTANCES; i++)
-    stop_instance (w, i);
-  w->lost = 0;
-  mm_transit way = { 0 };
-  mm_time_ms from_ms = mm_clock_now_ms ();
-  give_update (w, &way, 0);
+    stop_instance (fx, i);
+  fx->unanswered = 0;
+  mm_transit delay = { 0 };
+  mm_time_ms start_ms = mm_clock_now_ms ();
+  deliver_update (fx, &delay, 0);
   mm_time_ms known_ms = mm_stream_known_ms (list);
-  pass_time (w, DRAIN_BOUND_MS);
-  give_update (w, &way, mm_clock_now_ms () - from_ms);
+  run_for (fx, DRAIN_BOUND_MS);
+  deliver_update (fx, &delay, mm_clock_now_ms () - start_ms);
   ck_assert_int_le (mm_stream_known_ms (list) - known_ms, 1);
-  give_update (w, &way, 0);
+  deliver_update (fx, &delay, 0);
   ck_assert_int_le (mm_clock_now_ms () - mm_stream_known_ms (list),
                     MM_EXEC_TICK_MS);
 }
 END_TEST
 
-/* The history is dropped at one instance, which reads all of the list again;
-   then the store turns it away for good.  */
+/* Makes an instance find the history dropped, so that it reads all of the list
+   again; after @after_ms the store no longer answers it.  */
 static void
-read_all_again_and_lose_the_store (world *w, int i, mm_time_ms after_ms)
-{
-  w->forgotten = i;
-  while (w->forgotten >= 0)
-    pass_time (w, MM_EXEC_TICK_MS);
-  pass_time (w, after_ms);
-  w->lost = i;
-  pass_time (w, MM_LIST_POLL_MS + MM_LIST_PLACES_MAX * MM_LIST_PLACE_MS);
+full_read_then_lose_store (fixture *fx, int i, mm_time_ms after_ms)
+{
+  fx->no_history = i;
+  while (fx->no_history >= 0)
+    run_for (fx, MM_EXEC_TICK_MS);
+  run_for (fx, after_ms);
+  fx->unanswered = i;
+  run_for (fx, MM_LIST_POLL_MS + MM_LIST_PLACES_MAX * MM_LIST_PLACE_MS);
 }
 
-START_TEST (instance_turned_away_after_a_new_read_is_told_by_the_others)
+/* Guards against an instance that misses changes after a full read: it ignores
+   updates for a while, and the store stops answering it in that time.  */
+START_TEST (instance_refused_after_a_full_read_is_updated_by_the_others)
 {
-  world *w = world_create ();
-  read_all_again_and_lose_the_store (w, 0, MM_LIST_OWN_MS - MM_LIST_POLL_MS);
-  append (w, 0, true);
-  ck_assert_int_le (known_to_all_ms (w, 0), DRAIN_BOUND_MS);
+  fixture *fx = fixture_create ();
+  full_read_then_lose_store (fx, 0, MM_LIST_OWN_MS - MM_LIST_POLL_MS);
+  append_record (fx, 0, true);
+  ck_assert_int_le (known_to_all_ms (fx, 0), DRAIN_BOUND_MS);
 }
 END_TEST
 
-/* An instance starts as the store is back from an outage, in which entries
-   have lapsed.  Upstreams that are not in the list yet may hold the ends of
-   kept jobs' tasks: looked for now, these would seem to be nowhere, and be
-   started a second time.  */
+/* Guards against tasks started twice after a store outage, in which entries
+   have expired.  An instance that starts then reads an incomplete list.
+   Upstreams that are missing from it may still have the ends of kept jobs'
+   tasks; a search for these tasks would not find them, and the tasks would be
+   started again.  */
 START_TEST (list_read_for_the_first_time_is_not_complete_at_once)
 {
-  world *w = world_create ();
-  ck_assert (mm_list_share_complete (w->share[3]));
-  stop_instance (w, 3);
-  add_instance (w, 3, &callers[3]);
-  pass_time (w, MM_LIST_DROP_MS / 2);
-  ck_assert (!mm_list_share_complete (w->share[3]));
-  /* The store is out of reach again for longer than it was in reach.  */
-  mm_stream_pause (mm_list_share_stream (w->share[3]));
-  w->lost = 3;
-  pass_time (w, MM_STREAM_TOUCH_MS + MM_LIST_DROP_MS);
-  ck_assert (!mm_list_share_complete (w->share[3]));
-  w->lost = -1;
-  pass_time (w, 2 * MM_LIST_DROP_MS);
-  ck_assert (mm_list_share_complete (w->share[3]));
+  fixture *fx = fixture_create ();
+  ck_assert (mm_list_share_complete (fx->list_share[3]));
+  stop_instance (fx, 3);
+  add_instance (fx, 3, &callers[3]);
+  run_for (fx, MM_LIST_DROP_MS / 2);
+  ck_assert (!mm_list_share_complete (fx->list_share[3]));
+  /* The store is unreachable again, for longer than it was reachable.  */
+  mm_stream_pause (mm_list_share_stream (fx->list_share[3]));
+  fx->unanswered = 3;
+  run_for (fx, MM_STREAM_TOUCH_MS + MM_LIST_DROP_MS);
+  ck_assert (!mm_list_share_complete (fx->list_share[3]));
+  fx->unanswered = -1;
+  run_for (fx, 2 * MM_LIST_DROP_MS);
+  ck_assert (mm_list_share_complete (fx->list_share[3]));
 }
 END_TEST
 
-/* Whoever reads the list has its answers on its link: the round goes round. */
+/* Guards against one instance that always reads: the answers load its link, so
+   the reader changes from round to round.  */
 START_TEST (readers_alternate)
 {
   char *names[INSTANCES];
@@ -456,7 +470,7 @@
 END_TEST
 
 static mm_upstream_info
-listed (char *name)
+listed_upstream (char *name)
 {
   static char *labels[] = { "r1-3", NULL };
   return (mm_upstream_info){ .name = name,
@@ -469,11 +483,11 @@
                              .draining = true };
 }
 
-START_TEST (log_holds_what_follows_an_offset)
+START_TEST (log_returns_changes_after_an_offset)
 {
   mm_list_log *l = mm_list_log_create ();
   mm_list_log_reset (l, 10);
-  mm_upstream_info u = listed ("a");
+  mm_upstream_info u = listed_upstream ("a");
   mm_list_log_add (l, 20, "a", &u);
   mm_list_log_add (l, 30, "b", NULL);
   size_t n;
@@ -493,7 +507,7 @@
 
 START_TEST (update_is_read_as_it_was_written)
 {
-  mm_upstream_info u = listed ("a");
+  mm_upstream_info u = listed_upstream ("a");
   mm_list_change changes[] = { { .name = "a", .info = &u }, { .name = "b" } };
   mm_list_update n = { .round = 3,
                        .from = 10,
@@ -539,15 +553,15 @@
   Suite *s = suite_create ("list_share");
   TCase *c = tcase_create ("list_share");
   tcase_set_timeout (c, 60);
-  tcase_add_test (c, list_is_read_by_few_and_known_to_all);
-  tcase_add_test (c, reader_that_dies_keeps_nobody_in_the_dark);
-  tcase_add_test (c, reader_without_the_store_is_told_by_the_others);
+  tcase_add_test (c, list_is_read_rarely_and_known_to_all);
+  tcase_add_test (c, reader_that_dies_does_not_delay_the_others);
+  tcase_add_test (c, reader_without_the_store_is_updated_by_the_others);
   tcase_add_test (c,
-                  instance_turned_away_after_a_new_read_is_told_by_the_others);
-  tcase_add_test (c, update_that_was_held_up_is_not_taken_for_a_new_one);
+                  instance_refused_after_a_full_read_is_updated_by_the_others);
+  tcase_add_test (c, delayed_update_is_not_taken_for_a_new_one);
   tcase_add_test (c, list_read_for_the_first_time_is_not_complete_at_once);
   tcase_add_test (c, readers_alternate);
-  tcase_add_test (c, log_holds_what_follows_an_offset);
+  tcase_add_test (c, log_returns_changes_after_an_offset);
   tcase_add_test (c, update_is_read_as_it_was_written);
   suite_add_tcase (s, c);
   return h_run_suite (s);
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -1,6 +1,7 @@
-/* A job's owner dies, freezes, is cut off or meets a platform outage; the
-   job is handed in again elsewhere.  No task may start twice, and the
-   caller gets the whole answer.  */
+/* Tests the takeover of a job whose owner dies, freezes, is disconnected or
+   runs during a platform outage, when the job is submitted again at another
+   instance.  No task may start twice, and the caller gets the complete
+   answer.  */
 #include "harness.h"
 
 #include <signal.h>
@@ -15,49 +16,53 @@
 static void
 assert_started_once (const char *job, int n_tasks)
 {
-  int max = 0;
-  int n = h_starts (job, &max);
-  ck_assert_msg (max <= 1, "job %s: a task started %d times on one upstream",
-                 job, max);
+  int max_starts = 0;
+  int n = h_starts (job, &max_starts);
+  ck_assert_msg (max_starts <= 1,
+                 "job %s: a task started %d times on one upstream", job,
+                 max_starts);
   ck_assert_msg (n == n_tasks, "job %s: %d starts of %d tasks", job, n,
                  n_tasks);
 }
 
-/* Submit until a whole answer comes, coming back as told.  */
+/* Submits the job again and again, for @limit_ms at most, until the answer is
+   complete.  */
 static bool
 submit_until_complete (int entry, const char *job, mm_time_ms limit_ms)
 {
-  mm_time_ms until = mm_clock_now_ms () + limit_ms;
-  while (mm_clock_now_ms () < until)
+  mm_time_ms deadline_ms = mm_clock_now_ms () + limit_ms;
+  while (mm_clock_now_ms () < deadline_ms)
     {
-      long st = 0;
-      cJSON *o = h_call ("POST", h_entry_ports[entry], "/v1/jobs", job, &st);
-      cJSON_Delete (o);
-      if (st == 200)
+      long status = 0;
+      cJSON *answer
+          = h_call ("POST", h_entry_ports[entry], "/v1/jobs", job, &status);
+      cJSON_Delete (answer);
+      if (status == 200)
         return true;
       g_usleep (300000);
     }
   return false;
 }
 
-/* The instance that runs the job, -1 for none.  */
+/* Returns the instance that runs the job, -1 for none.  */
 static int
 owner_of (const char *job_id)
 {
-  for (int tries = 0; tries < 40; tries++)
+  for (int attempt = 0; attempt < 40; attempt++)
     {
       for (int i = 0; i < N_ENTRIES; i++)
         {
-          cJSON *o = h_call ("GET", h_entry_ports[i], "/v1/state", NULL, NULL);
-          const cJSON *j;
+          cJSON *answer
+              = h_call ("GET", h_entry_ports[i], "/v1/state", NULL, NULL);
+          const cJSON *job_item;
           bool here = false;
-          cJSON_ArrayForEach (j, cJSON_GetObjectItem (o, "jobs"))
+          cJSON_ArrayForEach (job_item, cJSON_GetObjectItem (answer, "jobs"))
             {
-              const char *id
-                  = cJSON_GetStringValue (cJSON_GetObjectItem (j, "job_id"));
+              const char *id = cJSON_GetStringValue (
+                  cJSON_GetObjectItem (job_item, "job_id"));
               here = here || (id && g_str_equal (id, job_id));
             }
-          cJSON_Delete (o);
+          cJSON_Delete (answer);
           if (here)
             return i;
         }
@@ -66,7 +71,8 @@
   return -1;
 }
 
-/* Three instances that know each other and hold their shards.  */
+/* Starts N_ENTRIES instances and waits until they know each other and own
+   their partitions.  */
 static void
 start_cluster (void)
 {
@@ -74,11 +80,10 @@
   g_usleep (1500000);
 }
 
-/* A coordinator's job runs; the instance that owns it is killed with
-   tasks running and tasks waiting.  The caller at another instance gets
-   the whole answer without asking again, a resubmit gets the same, and
-   every task has started once.  Cause: only the dead process knew which
-   tasks it had started.  */
+/* Guards against tasks started twice when the instance that owns a job is
+   killed while tasks are running and waiting: only the dead process knew which
+   tasks it had started.  Callers at other instances get the complete answer
+   without a second request, and so does the resubmitted job.  */
 START_TEST (killed_owners_job_is_finished_elsewhere)
 {
   start_cluster ();
@@ -92,8 +97,8 @@
   h_stop (h_entries[owner], SIGKILL);
   for (int i = 0; i < N_ENTRIES; i++)
     {
-      bool whole = h_answered (callers[i]);
-      ck_assert_msg (whole == (i != owner), "caller at %d, owner %d", i,
+      bool complete = h_answered (callers[i]);
+      ck_assert_msg (complete == (i != owner), "caller at %d, owner %d", i,
                      owner);
     }
   ck_assert (submit_until_complete ((owner + 1) % N_ENTRIES, job, 9000));
@@ -103,10 +108,10 @@
 }
 END_TEST
 
-/* The owner's machine freezes past its time in the member list with
-   tasks still waiting, and the job is handed in again; then the owner
-   wakes and goes on where it stopped.  Its starts must be refused: the
-   job has a new owner.  */
+/* Guards against starts by an owner that freezes with tasks still waiting
+   until its membership has expired.  The job is submitted again and gets a new
+   owner; then the frozen owner resumes where it stopped, and its starts must
+   be refused.  */
 START_TEST (frozen_owner_starts_nothing_when_it_wakes)
 {
   start_cluster ();
@@ -120,7 +125,7 @@
   ck_assert (submit_until_complete (other, job, 15000));
   kill (h_entries[owner], SIGCONT);
   g_usleep (1500000);
-  /* The caller that waited at the frozen instance gets it too.  */
+  /* The caller that waited at the frozen instance gets the answer too.  */
   ck_assert (h_answered (first));
   assert_started_once ("freeze1", 60);
   g_free (job);
@@ -128,10 +133,10 @@
 }
 END_TEST
 
-/* The platform goes down and jobs keep coming: they are served without
-   records.  The owner of one dies in the outage; the platform comes back
-   and the job is handed in again.  No record names it, yet no task may
-   start twice.  */
+/* Guards against tasks started twice after a platform outage, in which jobs
+   are served without records.  The owner of a job dies in the outage, the
+   platform comes back, and the job is submitted again; no record names the
+   job.  */
 START_TEST (owner_killed_in_an_outage_leaves_no_double_start)
 {
   start_cluster ();
@@ -144,8 +149,9 @@
   int owner = owner_of ("out1");
   ck_assert_int_ge (owner, 0);
   g_usleep (600000);
-  int max = 0;
-  ck_assert_msg (h_starts ("out1", &max) > 0, "nothing served in the outage");
+  int max_starts = 0;
+  ck_assert_msg (h_starts ("out1", &max_starts) > 0,
+                 "nothing served in the outage");
   h_stop (h_entries[owner], SIGKILL);
   for (int i = 0; i < N_ENTRIES; i++)
     h_answered (callers[i]);
@@ -157,9 +163,9 @@
 }
 END_TEST
 
-/* Answers of the platform's log get lost after the appends took effect.
-   Jobs are recorded more than once by the same owner; each still runs
-   once and completes.  */
+/* Guards against jobs that run twice when answers of the platform's log are
+   lost after the appends took effect, so that the same owner records a job
+   more than once.  Each job must run once and complete.  */
 START_TEST (lost_answers_of_the_log_double_nothing)
 {
   start_cluster ();
@@ -179,10 +185,10 @@
 }
 END_TEST
 
-/* One instance is cut off from the platform while its peers are not: they
-   drop it from the list and take over its shards.  Jobs that its callers
-   hand in must still be answered, and jobs handed in on both sides of
-   the cut must not start twice.  */
+/* Guards against unanswered or doubled jobs when one instance is disconnected
+   from the platform and its peers are not: they drop it from the list and take
+   over its partitions.  Jobs that its callers submit must be answered, and
+   jobs submitted both there and at a peer must not start twice.  */
 START_TEST (instance_cut_off_from_the_platform_passes_its_jobs_on)
 {
   start_cluster ();
@@ -203,9 +209,9 @@
 }
 END_TEST
 
-/* A new instance joins while every job is handed in at two instances
-   whose member lists differ for a moment, and one leaves gracefully.
-   Each job runs once.  */
+/* Guards against jobs that run twice while an instance joins and another
+   leaves gracefully: every job is submitted at two instances, whose member
+   lists differ for a moment.  */
 START_TEST (instances_joining_and_leaving_double_nothing)
 {
   h_cluster (N_UPSTREAMS, 2, 300);
@@ -230,10 +236,10 @@
 }
 END_TEST
 
-/* The platform is out, jobs are served without records, and then every
-   entry instance loses power.  The platform and new instances come back
-   and the job is handed in again.  Nobody is left who saw the outage, and
-   no record names the job, yet no task may start twice.  */
+/* Guards against tasks started twice when all entry instances lose power in a
+   platform outage, in which jobs are served without records.  The platform and
+   new instances come back, and the job is submitted again.  No remaining
+   instance saw the outage, and no record names the job.  */
 START_TEST (all_instances_killed_in_an_outage_double_nothing)
 {
   start_cluster ();
@@ -242,8 +248,9 @@
   char *job = h_job_json ("herd1", 20, 3000, 20000, false);
   pid_t caller = h_submit (0, job);
   g_usleep (1500000);
-  int max = 0;
-  ck_assert_msg (h_starts ("herd1", &max) > 0, "nothing served in the outage");
+  int max_starts = 0;
+  ck_assert_msg (h_starts ("herd1", &max_starts) > 0,
+                 "nothing served in the outage");
   for (int i = 0; i < N_ENTRIES; i++)
     h_stop (h_entries[i], SIGKILL);
   ck_assert (!h_answered (caller));
