--- a/src/mm_absence.c
+++ b/src/mm_absence.c
@@ -26,10 +26,10 @@
 mm_absence *
 mm_absence_create (mm_job_log *log)
 {
-  mm_absence *a = g_new0 (mm_absence, 1);
-  a->log = log;
-  a->requests = g_queue_new ();
-  return a;
+  mm_absence *barrier = g_new0 (mm_absence, 1);
+  barrier->log = log;
+  barrier->requests = g_queue_new ();
+  return barrier;
 }
 
 static void
@@ -43,11 +43,11 @@
 }
 
 static void
-answer_first (mm_absence *a, guint n, mm_kept_status status)
+answer_first (mm_absence *barrier, guint n, mm_kept_status status)
 {
   for (guint i = 0; i < n; i++)
     {
-      request *r = g_queue_pop_head (a->requests);
+      request *r = g_queue_pop_head (barrier->requests);
       answer (r, status);
       g_free (r->job_id);
       g_free (r);
@@ -55,38 +55,38 @@
 }
 
 void
-mm_absence_destroy (mm_absence *a)
+mm_absence_destroy (mm_absence *barrier)
 {
-  if (!a)
+  if (!barrier)
     return;
-  answer_first (a, a->requests->length, MM_KEPT_MOVING);
-  g_queue_free (a->requests);
-  g_free (a);
+  answer_first (barrier, barrier->requests->length, MM_KEPT_MOVING);
+  g_queue_free (barrier->requests);
+  g_free (barrier);
 }
 
 static void
 on_stored (void *ctx, bool ok)
 {
-  mm_absence *a = ctx;
-  guint n = a->n_covered;
-  a->n_covered = 0;
-  answer_first (a, n, ok ? MM_KEPT_NO_JOB : MM_KEPT_MOVING);
+  mm_absence *barrier = ctx;
+  guint n = barrier->n_covered;
+  barrier->n_covered = 0;
+  answer_first (barrier, n, ok ? MM_KEPT_NO_JOB : MM_KEPT_MOVING);
 }
 
 static void
-store_record (mm_absence *a, mm_time_ms now)
+store_record (mm_absence *barrier, mm_time_ms now)
 {
-  if (a->n_covered || !a->requests->length
-      || now - a->record_sent_ms < MM_ABSENCE_PAUSE_MS)
+  if (barrier->n_covered || !barrier->requests->length
+      || now - barrier->record_sent_ms < MM_ABSENCE_PAUSE_MS)
     return;
-  const request *first = g_queue_peek_head (a->requests);
-  a->record_sent_ms = now;
-  a->n_covered = a->requests->length;
-  mm_job_log_put (a->log, first->job_id, NULL, on_stored, a);
+  const request *first = g_queue_peek_head (barrier->requests);
+  barrier->record_sent_ms = now;
+  barrier->n_covered = barrier->requests->length;
+  mm_job_log_put (barrier->log, first->job_id, NULL, on_stored, barrier);
 }
 
 void
-mm_absence_ask (mm_absence *a, const char *job_id, mm_kept_told answered,
+mm_absence_ask (mm_absence *barrier, const char *job_id, mm_kept_told answered,
                 void *ctx)
 {
   mm_time_ms now = mm_clock_now_ms ();
@@ -95,16 +95,16 @@
                   .answered = answered,
                   .ctx = ctx,
                   .expires_ms = now + MM_KEPT_ACCEPT_MS };
-  g_queue_push_tail (a->requests, r);
-  store_record (a, now);
+  g_queue_push_tail (barrier->requests, r);
+  store_record (barrier, now);
 }
 
 void
-mm_absence_tick (mm_absence *a)
+mm_absence_tick (mm_absence *barrier)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  for (GList *l = a->requests->head; l; l = l->next)
+  for (GList *l = barrier->requests->head; l; l = l->next)
     if (now >= ((request *)l->data)->expires_ms)
       answer (l->data, MM_KEPT_BUSY);
-  store_record (a, now);
+  store_record (barrier, now);
 }
--- a/src/mm_absence.h
+++ b/src/mm_absence.h
@@ -19,11 +19,13 @@
 
 /* @log must outlive the returned object's use.  */
 mm_absence *mm_absence_create (mm_job_log *log);
-void mm_absence_destroy (mm_absence *a); /* call after closing the log */
+/* Must be called after the log is closed.  */
+void mm_absence_destroy (mm_absence *barrier);
 /* Calls @answered once: with NO_JOB, with MOVING when this instance is not
    the home any more, or with BUSY when the store does not answer in time.  */
-void mm_absence_ask (mm_absence *a, const char *job_id, mm_kept_told answered,
-                     void *ctx);
-void mm_absence_tick (mm_absence *a); /* call every MM_EXEC_TICK_MS */
+void mm_absence_ask (mm_absence *barrier, const char *job_id,
+                     mm_kept_told answered, void *ctx);
+/* Must be called every MM_EXEC_TICK_MS.  */
+void mm_absence_tick (mm_absence *barrier);
 
 #endif /* MM_ABSENCE_H */
--- a/src/mm_fleet.h
+++ b/src/mm_fleet.h
@@ -1,7 +1,7 @@
 /* mm_fleet: dispatches tasks to owners of upstreams.
 
-   The owners are the instances, this one included, that alone may start
-   tasks on the upstreams they own.  */
+   Each upstream has one owner, the instance that alone may start tasks there.
+   This instance is one of the owners.  */
 #ifndef MM_FLEET_H
 #define MM_FLEET_H
 
@@ -17,6 +17,8 @@
 /* Sets the record of tasks that may crash upstreams; @s must outlive the
    fleet.  */
 void mm_fleet_set_suspects (mm_fleet *f, mm_suspects *s);
+/* Returns what to do with a task that may be a poison task: a task that
+   crashes upstreams.  */
 mm_suspect_action mm_fleet_decide (const mm_fleet *f, const mm_task_id *task);
 /* Counts and logs a task that is given up as a poison task, which makes its
    job fail; the log lists the upstreams that crashed.  */
--- a/src/mm_holdings.h
+++ b/src/mm_holdings.h
@@ -1,9 +1,9 @@
 /* mm_holdings: the data centres whose upstreams this instance owns a part of.
 
-   These are its own data centre, always, and those that it is standby for: a
-   data centre of which no own instance is left.  Without standbys, instances
-   that are all killed, stopped or being replaced would leave a quarter of all
-   upstreams idle.  */
+   These are its own data centre, always, and those that it is standby for.  A
+   data centre needs a standby while none of its own instances is left: when
+   all of them are killed, stopped or being replaced, a quarter of all
+   upstreams would otherwise be idle.  */
 #ifndef MM_HOLDINGS_H
 #define MM_HOLDINGS_H
 
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -182,12 +182,12 @@
 
 static void
 on_update (void *ctx, const char *peer, const void *data, size_t len,
-           mm_time_ms held_up_ms)
+           mm_time_ms queue_delay_ms)
 {
   mm_list_update update;
   if (mm_list_update_read (data, len, &update))
     {
-      update.age_ms += held_up_ms;
+      update.age_ms += queue_delay_ms;
       apply_update (ctx, peer, &update);
     }
   else
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -29,8 +29,8 @@
   char *own; /* own data centre */
   datacentre *dcs;
   size_t n;
-  size_t next; /* index of the data centre to poll next */
-  mm_time_ms due_ms;
+  size_t next;       /* index of the data centre to poll next */
+  mm_time_ms due_ms; /* when the next poll is due */
   mm_members_changed changed;
   void *changed_ctx;
   uint32_t n_polls; /* polls so far, MM_MEMBERS_FIRST_POLLS at most */
--- a/src/mm_ownership.h
+++ b/src/mm_ownership.h
@@ -17,11 +17,12 @@
 /* Tells which partitions this instance owns.  */
 typedef struct
 {
-  /* State and fencing token of the partition of an upstream.  */
+  /* Returns the state of the upstream's partition and sets @fence to its
+     fencing token.  */
   mm_share_state (*of) (void *ctx, const mm_upstream_info *u, uint64_t *fence);
   /* Renews the fencing token of that partition.  */
   void (*retake) (void *ctx, const mm_upstream_info *u);
-  /* A number that rises with each change of a state or token.  */
+  /* Returns a number that rises with each change of a state or token.  */
   uint64_t (*changes) (void *ctx);
   /* Returns whether this instance owns any partition.  */
   bool (*any) (void *ctx);
@@ -31,7 +32,8 @@
 mm_ownership *mm_ownership_create (mm_catalog *catalog, mm_owner *owner,
                                    const mm_ownership_shares *partitions);
 void mm_ownership_destroy (mm_ownership *w);
-/* @list_fresh: the list has been read since partitions were assigned to this
+/* Opens and closes sessions as the list and the partitions require.
+   @list_fresh: the list has been read since partitions were assigned to this
    instance.  */
 void mm_ownership_tick (mm_ownership *w, bool list_fresh);
 /* Returns whether nothing runs on the upstreams of a data centre whose
--- a/src/mm_shares.c
+++ b/src/mm_shares.c
@@ -36,15 +36,15 @@
   uint32_t n;
   uint64_t listed_generation;    /* generation in the last answer */
   uint64_t confirmed_generation; /* generation that the next join confirms */
-  mm_time_ms releasing_since_ms;
+  mm_time_ms releasing_since_ms; /* 0: no partition is being released */
   bool in_flight;
   bool in_contact;
   mm_time_ms call_sent_ms; /* when the last call was sent */
   mm_time_ms confirmed_ms; /* when the last join that succeeded was sent */
   bool quitting;           /* leaving the group */
   bool has_left;
-  mm_time_ms due_ms;
-  uint64_t changes; /* of any partition */
+  mm_time_ms due_ms; /* when the next call is due */
+  uint64_t changes;  /* of any partition */
   mm_time_ms created_ms;
   uint64_t sent_generation; /* generation that the call in flight confirms */
   bool release_pending;     /* the next join hands over partitions */
--- a/src/mm_shares.h
+++ b/src/mm_shares.h
@@ -1,8 +1,8 @@
 /* mm_shares: which partitions of one group are assigned to this instance.
 
    The upstreams of a data centre are hashed to numbered partitions, which the
-   store assigns to the members of the data centre's group.  The
-   partitions of kept (durable) jobs are assigned in the same way.  */
+   store assigns to the members of the data centre's group.  The partitions of
+   kept (durable) jobs are assigned in the same way.  */
 #ifndef MM_SHARES_H
 #define MM_SHARES_H
 
@@ -30,12 +30,15 @@
   void *ctx;
 } mm_shares_events;
 
-void mm_shares_on (mm_shares *set, const mm_shares_events *ev); /* copied */
-void mm_shares_hurry (mm_shares *set); /* calls the store at the next tick */
+/* Sets the callbacks; @ev is copied.  */
+void mm_shares_on (mm_shares *set, const mm_shares_events *ev);
+/* Makes the next tick call the store.  */
+void mm_shares_hurry (mm_shares *set);
 void mm_shares_tick (mm_shares *set);
 /* Releases all partitions and leaves the group.  */
 void mm_shares_leave (mm_shares *set);
-bool mm_shares_left (const mm_shares *set); /* the group has been left */
+/* Returns whether the group has been left.  */
+bool mm_shares_left (const mm_shares *set);
 /* Returns the state of an upstream's partition, or of partition @index.  Sets
    @fence to its fencing token, 0 when this instance doesn't own it.  */
 mm_share_state mm_shares_of (const mm_shares *set, const char *upstream,
@@ -53,8 +56,10 @@
 /* Hands over the partitions being released; call this once nothing runs there
    any more.  */
 void mm_shares_release (mm_shares *set);
-bool mm_shares_releasing (const mm_shares *set); /* any is being released */
-bool mm_shares_any (const mm_shares *set);       /* any partition is owned */
+/* Returns whether any partition is being released.  */
+bool mm_shares_releasing (const mm_shares *set);
+/* Returns whether any partition is owned.  */
+bool mm_shares_any (const mm_shares *set);
 /* Rises whenever the state or token of a partition may have changed.  */
 uint64_t mm_shares_changes (const mm_shares *set);
 /* Generation of the group in the last answer of the store.  */
