--- a/src/config.h
+++ b/src/config.h
@@ -180,7 +180,7 @@
 #define MM_MESH_NEEDED_MS 10000    /* a link that was asked for is kept */
 #define MM_NEIGHBOURS_CHECK_MS 500 /* chosen anew at least this often */
 
-#define MM_TRANSIT_WINDOW_MS 30000 /* what is usual on a link */
+#define MM_QUEUE_DELAY_WINDOW_MS 30000 /* what is usual on a link */
 
 /* Jobs and admission (mm_jobs, mm_admission, mm_fleet).  */
 #define MM_MAX_JOB_TASKS 1024u /* the design asks for 290 */
@@ -197,12 +197,14 @@
 /* A task out of sight has ended by then: its lease takes 1,000 ms, on a clock
    2 % slow, the rest is for its owner to notice that we are gone.  */
 #define MM_IN_DOUBT_MS MM_RESEND_MS
-#define MM_OWNER_WAIT_MS 40    /* in one owner's queue, then spread anew */
-#define MM_GUESS_TASK_MS 250   /* a task's run time, until some have ended */
+#define MM_OWNER_WAIT_MS 40 /* in one owner's queue, then spread anew */
+#define MM_TASK_ESTIMATE_MS                                                   \
+  250                          /* a task's run time, until some have ended    \
+                                */
 #define MM_MEAN_TASK_GAIN 0.02 /* weight of one run in the mean */
 #define MM_FLEET_MAX 128       /* instances that a task is spread over */
 
-/* The platform's store (mm_stream, mm_shares, mm_members, mm_node).  */
+/* The platform's store (mm_stream, mm_partitions, mm_members, mm_node).  */
 #define MM_STORE_TIMEOUT_MS 1500 /* a call; a slow store takes 0.4 s */
 #define MM_STORE_RETRY_MS 250    /* after a call that failed */
 /* Reads of a stream are cut into answers that hold up our link for so long,
@@ -220,15 +222,15 @@
 #define MM_CONFIG_WAIT_MS 1800
 /* Upstreams write to their list all the time, so no read waits there.  A
    leaving one must get no start 2 s after it said so: the list is read each
-   MM_LIST_POLL_MS, and MM_LIST_PLACES_MAX places later if the instances
+   MM_LIST_POLL_MS, and MM_LIST_RANK_MAX places later if the instances
    before fail.  */
 #define MM_LIST_POLL_MS 800
-#define MM_LIST_PLACE_MS 60 /* an update takes less */
-#define MM_LIST_PLACES_MAX 5u
+#define MM_LIST_RANK_DELAY_MS 60 /* an update takes less */
+#define MM_LIST_RANK_MAX 5u
 #define MM_LIST_LOG_MAX 64u   /* changes that are passed on */
 #define MM_LIST_NOTIFY_MS 200 /* between views that bring no change */
 /* After all of the list was read: upstreams write to it more often.  */
-#define MM_LIST_OWN_MS 5000
+#define MM_LIST_OWN_READS_MS 5000
 #define MM_STREAM_TOUCH_MS 1500 /* known so lately: in touch */
 #define MM_LIST_BEHIND_MS 3000  /* without reading it to its end: logged */
 #define MM_LIST_DROP_MS 2500    /* missing entries come back within 2 s */
@@ -237,8 +239,8 @@
 /* Between the joins of a newcomer that has no partition yet: ten store calls
    of 4 ms, and some ticks.  Past a TTL there is none that it could wait for.
  */
-#define MM_GROUP_EAGER_MS 40
-#define MM_GROUP_EAGER_FOR_MS (MM_GROUP_TTL_MS + MM_GROUP_BEAT_MS)
+#define MM_GROUP_FAST_POLL_MS 40
+#define MM_GROUP_FAST_POLL_FOR_MS (MM_GROUP_TTL_MS + MM_GROUP_BEAT_MS)
 /* A newcomer joins once it knows whether an earlier life of its own is in the
    group: with the shares dealt anew, the store may not name that one.  No
    longer than this: a call takes 4 ms, and 0.2 to 0.4 s when it is slow.  */
@@ -249,7 +251,7 @@
 #define MM_MEMBERS_POLL_MS 3000      /* who the other instances are */
 #define MM_MEMBERS_FIRST_POLLS 4u    /* at a start, these are ... */
 #define MM_MEMBERS_FIRST_POLL_MS 100 /* so far apart */
-#define MM_MEMBERS_FAR_POLL 4u       /* data centres asked about each time */
+#define MM_MEMBERS_FAR_PER_POLL 4u   /* data centres asked about each time */
 /* Upstreams to be handed over may finish what they run for so long.  */
 #define MM_HANDOVER_MS 2500
 /* The next owner of an upstream asks the others whose runs it found there, and
@@ -315,7 +317,7 @@
       */
 /* Then its caller is told to come back, which costs it a second.  */
 #define MM_KEPT_FIND_HOME_TIMEOUT_MS 400
-#define MM_ABSENCE_PAUSE_MS 50 /* between records that prove it */
+#define MM_READ_BARRIER_PAUSE_MS 50 /* between records that prove it */
 /* Ends that nobody has taken note of are held for so long: longer than cuts
    of a data centre usually last.  */
 #define MM_KEPT_END_MS 15000
@@ -359,9 +361,9 @@
 #define MM_STREAM_SERVER_TICK_MS 5
 #define MM_STREAM_PAGE 100 /* newest records in one answer */
 
-/* Standing in for a data centre without instances (mm_holdings).  */
+/* Standing in for a data centre without instances (mm_datacentres).  */
 #define MM_STANDBY_COUNT 2u        /* instances that do, the others do not */
-#define MM_STANDBY_LOOK_MS 50      /* each look goes through all instances */
+#define MM_STANDBY_CHECK_MS 50     /* each look goes through all instances */
 #define MM_STANDBY_AFTER_MS 100    /* a link that was only reset is back */
 #define MM_STANDBY_FORGET_MS 20000 /* restarted or replaced by then */
 
--- a/src/mm_catalog.c
+++ b/src/mm_catalog.c
@@ -100,7 +100,7 @@
 }
 
 bool
-mm_catalog_missing (mm_catalog *c, const char *name)
+mm_catalog_set_missing (mm_catalog *c, const char *name)
 {
   entry *e = g_hash_table_lookup (c->by_name, name);
   if (!e || e->missing_since_ms)
@@ -118,7 +118,7 @@
   g_hash_table_iter_init (&it, c->by_name);
   while (g_hash_table_iter_next (&it, &k, NULL))
     if (!g_hash_table_contains (names, k))
-      mm_catalog_missing (c, k);
+      mm_catalog_set_missing (c, k);
 }
 
 void
--- a/src/mm_catalog.h
+++ b/src/mm_catalog.h
@@ -24,7 +24,7 @@
    Return: whether this changed the catalog.  */
 bool mm_catalog_put (mm_catalog *c, const mm_upstream_info *u,
                      const mm_catalog_origin *from);
-bool mm_catalog_missing (mm_catalog *c, const char *name);
+bool mm_catalog_set_missing (mm_catalog *c, const char *name);
 /* Records every upstream outside @names, the complete list, as missing.  */
 void mm_catalog_keep_only (mm_catalog *c, GHashTable *names);
 /* Drops upstreams that have been missing for MM_LIST_DROP_MS; time without
--- a/src/mm_holdings.c
+++ b/src/mm_datacentres.c
@@ -1,11 +1,11 @@
-/* mm_holdings: partitions of the own data centre, and of others as standby.
+/* mm_datacentres: partitions of the own data centre, and of others as standby.
 
    An instance becomes standby only for a data centre whose last instance
    closed its links, not for one whose links became unresponsive: an instance
    behind a network partition goes on serving its upstreams, and a higher
    fencing token would stop the runs there once the network is whole again.
    Of all instances in contact, MM_STANDBY_COUNT become standby.  */
-#include "mm_holdings.h"
+#include "mm_datacentres.h"
 
 #include "config.h"
 #include "mm_event.h"
@@ -20,19 +20,19 @@
   char *datacentre;
   char *group;
   bool own;
-  mm_shares *partitions; /* NULL: not a member */
-  bool retiring;         /* leaves the group once its upstreams are idle */
+  mm_partitions *partitions; /* NULL: not a member */
+  bool retiring;             /* leaves the group once its upstreams are idle */
   mm_time_ms retiring_since_ms;
   mm_time_ms orphaned_since_ms; /* 0: an instance stays there */
 } membership;
 
-struct mm_holdings
+struct mm_datacentres
 {
   mm_store_port port;
   mm_mesh *mesh;
   char *member;
   uint32_t n_partitions;
-  mm_holdings_events ev;
+  mm_datacentres_events ev;
   membership *memberships;
   size_t n;
   uint64_t changes; /* without those that the memberships count themselves */
@@ -45,34 +45,34 @@
 static void
 on_released (void *ctx, const char *group)
 {
-  mm_mesh_tell_handed (((mm_holdings *)ctx)->mesh, group);
+  mm_mesh_tell_handed (((mm_datacentres *)ctx)->mesh, group);
 }
 
 static void
 on_changed (void *ctx)
 {
-  mm_holdings *dcs = ctx;
+  mm_datacentres *dcs = ctx;
   dcs->ev.changed (dcs->ev.ctx);
 }
 
 static void
-join_group (mm_holdings *dcs, membership *m)
+join_group (mm_datacentres *dcs, membership *m)
 {
-  m->partitions = mm_shares_create (&dcs->port, m->group, dcs->member,
-                                    dcs->n_partitions);
-  mm_shares_events ev
+  m->partitions = mm_partitions_create (&dcs->port, m->group, dcs->member,
+                                        dcs->n_partitions);
+  mm_partitions_events ev
       = { .handed = on_released, .changed = on_changed, .ctx = dcs };
-  mm_shares_on (m->partitions, &ev);
+  mm_partitions_set_events (m->partitions, &ev);
   m->retiring = false;
 }
 
-mm_holdings *
-mm_holdings_create (const mm_store_port *port, mm_mesh *mesh,
-                    char *const *datacentres, const char *own,
-                    const char *member, uint32_t n_partitions,
-                    const mm_holdings_events *ev)
+mm_datacentres *
+mm_datacentres_create (const mm_store_port *port, mm_mesh *mesh,
+                       char *const *datacentres, const char *own,
+                       const char *member, uint32_t n_partitions,
+                       const mm_datacentres_events *ev)
 {
-  mm_holdings *dcs = g_new0 (mm_holdings, 1);
+  mm_datacentres *dcs = g_new0 (mm_datacentres, 1);
   dcs->port = *port;
   dcs->mesh = mesh;
   dcs->member = g_strdup (member);
@@ -93,13 +93,13 @@
 }
 
 void
-mm_holdings_destroy (mm_holdings *dcs)
+mm_datacentres_destroy (mm_datacentres *dcs)
 {
   if (!dcs)
     return;
   for (size_t i = 0; i < dcs->n; i++)
     {
-      mm_shares_destroy (dcs->memberships[i].partitions);
+      mm_partitions_destroy (dcs->memberships[i].partitions);
       g_free (dcs->memberships[i].datacentre);
       g_free (dcs->memberships[i].group);
     }
@@ -109,7 +109,7 @@
 }
 
 static void
-retire (mm_holdings *dcs, membership *m)
+retire (mm_datacentres *dcs, membership *m)
 {
   if (!m->partitions || m->retiring)
     return;
@@ -128,7 +128,7 @@
 /* Returns whether this instance is one of the MM_STANDBY_COUNT instances that
    are standby for the data centre.  */
 static bool
-is_chosen_standby (const mm_holdings *dcs, const membership *m)
+is_chosen_standby (const mm_datacentres *dcs, const membership *m)
 {
   mm_mesh_place peers[MM_FLEET_MAX];
   size_t n = mm_mesh_places (dcs->mesh, "", peers, MM_FLEET_MAX);
@@ -140,7 +140,7 @@
 }
 
 static void
-update_standby (mm_holdings *dcs, membership *m, mm_time_ms now)
+update_standby (mm_datacentres *dcs, membership *m, mm_time_ms now)
 {
   mm_mesh_presence presence = mm_mesh_presence_in (dcs->mesh, m->datacentre);
   /* This instance has links to only some instances of the data centre; when
@@ -170,20 +170,20 @@
 }
 
 static void
-tick_membership (mm_holdings *dcs, membership *m, mm_time_ms now)
+tick_membership (mm_datacentres *dcs, membership *m, mm_time_ms now)
 {
-  mm_shares_tick (m->partitions);
-  bool releasing = mm_shares_releasing (m->partitions);
+  mm_partitions_tick (m->partitions);
+  bool releasing = mm_partitions_releasing (m->partitions);
   bool idle = (releasing || m->retiring)
               && dcs->ev.quiet (dcs->ev.ctx, m->datacentre);
   if (releasing && idle)
-    mm_shares_release (m->partitions);
+    mm_partitions_release (m->partitions);
   if (m->retiring && (idle || now - m->retiring_since_ms > MM_HANDOVER_MS))
-    mm_shares_leave (m->partitions);
-  if (!mm_shares_left (m->partitions) || m->own)
+    mm_partitions_leave (m->partitions);
+  if (!mm_partitions_has_left (m->partitions) || m->own)
     return;
-  dcs->changes += 1 + mm_shares_changes (m->partitions);
-  mm_shares_destroy (m->partitions);
+  dcs->changes += 1 + mm_partitions_changes (m->partitions);
+  mm_partitions_destroy (m->partitions);
   m->partitions = NULL;
 }
 
@@ -192,7 +192,7 @@
    restart of all instances, upstreams would have no owner for seconds if each
    instance released its partitions at once.  */
 static void
-update_leaving (mm_holdings *dcs, membership *m, mm_time_ms now)
+update_leaving (mm_datacentres *dcs, membership *m, mm_time_ms now)
 {
   if (!m->partitions || m->retiring)
     return;
@@ -205,11 +205,11 @@
 }
 
 void
-mm_holdings_tick (mm_holdings *dcs)
+mm_datacentres_tick (mm_datacentres *dcs)
 {
   mm_time_ms now = mm_clock_now_ms ();
   bool check_standby
-      = MM_WITH_STANDBY && now - dcs->checked_ms >= MM_STANDBY_LOOK_MS;
+      = MM_WITH_STANDBY && now - dcs->checked_ms >= MM_STANDBY_CHECK_MS;
   if (check_standby)
     dcs->checked_ms = now;
   for (size_t i = 0; i < dcs->n; i++)
@@ -225,7 +225,7 @@
 }
 
 static membership *
-membership_of (const mm_holdings *dcs, const mm_upstream_info *u)
+membership_of (const mm_datacentres *dcs, const mm_upstream_info *u)
 {
   for (size_t i = 0; i < dcs->n; i++)
     if (strcmp (dcs->memberships[i].datacentre, u->datacentre) == 0)
@@ -233,29 +233,31 @@
   return NULL;
 }
 
-mm_share_state
-mm_holdings_of (const mm_holdings *dcs, const mm_upstream_info *u,
-                uint64_t *fence)
+mm_partition_state
+mm_datacentres_upstream_state (const mm_datacentres *dcs,
+                               const mm_upstream_info *u, uint64_t *fence)
 {
   *fence = 0;
   const membership *m = membership_of (dcs, u);
   if (!m)
-    return MM_SHARE_OTHERS;
-  mm_share_state state = mm_shares_of (m->partitions, u->name, fence);
-  return state == MM_SHARE_OURS && m->retiring ? MM_SHARE_LEAVING : state;
+    return MM_PARTITION_ELSEWHERE;
+  mm_partition_state state
+      = mm_partitions_upstream_state (m->partitions, u->name, fence);
+  return state == MM_PARTITION_OWNED && m->retiring ? MM_PARTITION_RELEASING
+                                                    : state;
 }
 
 void
-mm_holdings_retake (mm_holdings *dcs, const mm_upstream_info *u)
+mm_datacentres_renew_fence (mm_datacentres *dcs, const mm_upstream_info *u)
 {
   membership *m = membership_of (dcs, u);
   if (m)
-    mm_shares_retake (m->partitions, u->name);
+    mm_partitions_renew_upstream_fence (m->partitions, u->name);
 }
 
 void
-mm_holdings_leave (mm_holdings *dcs, mm_time_ms alone_after_ms,
-                   mm_time_ms release_by_ms)
+mm_datacentres_leave (mm_datacentres *dcs, mm_time_ms alone_after_ms,
+                      mm_time_ms release_by_ms)
 {
   dcs->leaving = true;
   dcs->alone_after_ms = alone_after_ms;
@@ -263,61 +265,62 @@
 }
 
 void
-mm_holdings_hurry (mm_holdings *dcs, const char *group)
+mm_datacentres_poll_now (mm_datacentres *dcs, const char *group)
 {
   for (size_t i = 0; i < dcs->n; i++)
     if (dcs->memberships[i].partitions
         && strcmp (dcs->memberships[i].group, group) == 0)
-      mm_shares_hurry (dcs->memberships[i].partitions);
+      mm_partitions_poll_now (dcs->memberships[i].partitions);
 }
 
 bool
-mm_holdings_left (const mm_holdings *dcs)
+mm_datacentres_has_left (const mm_datacentres *dcs)
 {
   for (size_t i = 0; i < dcs->n; i++)
     if (dcs->memberships[i].partitions
-        && !mm_shares_left (dcs->memberships[i].partitions))
+        && !mm_partitions_has_left (dcs->memberships[i].partitions))
       return false;
   return true;
 }
 
 bool
-mm_holdings_any (const mm_holdings *dcs)
+mm_datacentres_owns_any (const mm_datacentres *dcs)
 {
   for (size_t i = 0; i < dcs->n; i++)
     if (dcs->memberships[i].partitions
-        && mm_shares_any (dcs->memberships[i].partitions))
+        && mm_partitions_owns_any (dcs->memberships[i].partitions))
       return true;
   return false;
 }
 
 bool
-mm_holdings_sure (const mm_holdings *dcs)
+mm_datacentres_confirmed (const mm_datacentres *dcs)
 {
   mm_time_ms oldest_ms = mm_clock_now_ms () - MM_GROUP_SURE_MS;
   for (size_t i = 0; i < dcs->n; i++)
     if (dcs->memberships[i].partitions
-        && mm_shares_sure_ms (dcs->memberships[i].partitions) < oldest_ms)
+        && mm_partitions_confirmed_ms (dcs->memberships[i].partitions)
+               < oldest_ms)
       return false;
   return true;
 }
 
 uint64_t
-mm_holdings_changes (const mm_holdings *dcs)
+mm_datacentres_changes (const mm_datacentres *dcs)
 {
   uint64_t sum = dcs->changes;
   for (size_t i = 0; i < dcs->n; i++)
     if (dcs->memberships[i].partitions)
-      sum += mm_shares_changes (dcs->memberships[i].partitions);
+      sum += mm_partitions_changes (dcs->memberships[i].partitions);
   return sum;
 }
 
 uint64_t
-mm_holdings_generation (const mm_holdings *dcs)
+mm_datacentres_generation (const mm_datacentres *dcs)
 {
   uint64_t sum = 0;
   for (size_t i = 0; i < dcs->n; i++)
     if (dcs->memberships[i].partitions)
-      sum += mm_shares_generation (dcs->memberships[i].partitions);
+      sum += mm_partitions_generation (dcs->memberships[i].partitions);
   return sum;
 }
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -35,7 +35,7 @@
   f->owner = owner;
   f->mesh = mesh;
   f->datacentre = g_strdup (datacentre);
-  f->mean_task_ms = MM_GUESS_TASK_MS;
+  f->mean_task_ms = MM_TASK_ESTIMATE_MS;
   return f;
 }
 
@@ -61,7 +61,7 @@
 }
 
 void
-mm_fleet_note_given_up (const mm_fleet *f, const mm_task_id *task)
+mm_fleet_record_given_up (const mm_fleet *f, const mm_task_id *task)
 {
   char *upstreams = mm_suspects_crashed_names (f->suspects, task);
   mm_metrics_count (MM_CT_TASKS_GIVEN_UP);
--- a/src/mm_fleet.h
+++ b/src/mm_fleet.h
@@ -22,7 +22,7 @@
 mm_suspect_action mm_fleet_decide (const mm_fleet *f, const mm_task_id *task);
 /* Counts and logs a task that is given up as a poison task, which makes its
    job fail; the log lists the upstreams that crashed.  */
-void mm_fleet_note_given_up (const mm_fleet *f, const mm_task_id *task);
+void mm_fleet_record_given_up (const mm_fleet *f, const mm_task_id *task);
 /* Returns the load of all owners for a service, as seen by a job of this
    priority.  */
 mm_load mm_fleet_load (const mm_fleet *f, const char *service,
--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -8,7 +8,7 @@
 #include "mm_home.h"
 
 #include "config.h"
-#include "mm_absence.h"
+#include "mm_read_barrier.h"
 #include "mm_event.h"
 #include "mm_job_log.h"
 #include "mm_metrics.h"
@@ -47,10 +47,11 @@
   bool loaded;    /* all stored jobs have been read */
   bool may_start; /* whether tasks may be started, as of the last tick */
   bool fenced;
-  GHashTable *jobs;         /* id -> job */
-  GHashTable *unfinished;   /* set of the jobs whose outcome is not stored */
-  GQueue *ended;            /* the other jobs, oldest outcome first */
-  mm_absence *read_barrier; /* requests about jobs that are not known here */
+  GHashTable *jobs;       /* id -> job */
+  GHashTable *unfinished; /* set of the jobs whose outcome is not stored */
+  GQueue *ended;          /* the other jobs, oldest outcome first */
+  mm_read_barrier
+      *read_barrier; /* requests about jobs that are not known here */
   uint32_t n_open_jobs;
 };
 
@@ -291,7 +292,7 @@
     .record = on_record, .opened = on_opened, .fenced = on_fenced, .ctx = h
   };
   h->log = mm_job_log_open (store, partition, epoch, &log);
-  h->read_barrier = mm_absence_create (h->log);
+  h->read_barrier = mm_read_barrier_create (h->log);
   return h;
 }
 
@@ -304,7 +305,7 @@
                 MM_INT (h->n_open_jobs));
   h->fenced = true; /* callbacks of pending writes must not use the jobs */
   mm_job_log_close (h->log);
-  mm_absence_destroy (h->read_barrier);
+  mm_read_barrier_destroy (h->read_barrier);
   g_hash_table_destroy (h->unfinished);
   g_queue_free (h->ended);
   g_hash_table_destroy (h->jobs);
@@ -440,7 +441,7 @@
     {
       if (mm_job_log_in_contact (h->log))
         {
-          mm_absence_ask (h->read_barrier, job_id, answered, ctx);
+          mm_read_barrier_request (h->read_barrier, job_id, answered, ctx);
           return;
         }
       a.status = MM_KEPT_BUSY;
@@ -529,7 +530,7 @@
   g_list_free (jobs);
   if (!h->fenced)
     drop_expired_outcomes (h, now);
-  mm_absence_tick (h->read_barrier);
+  mm_read_barrier_tick (h->read_barrier);
 }
 
 bool
--- a/src/mm_home_directory.c
+++ b/src/mm_home_directory.c
@@ -83,7 +83,7 @@
 add_peer (mm_home_directory *h, const char *member)
 {
   mm_peer_info p;
-  if (strcmp (member, h->self) == 0 || !mm_members_read_name (member, &p))
+  if (strcmp (member, h->self) == 0 || !mm_members_parse_name (member, &p))
     return;
   mm_mesh_add_peer (h->mesh, &p);
   mm_peer_info_clear (&p);
@@ -100,7 +100,7 @@
   mm_metrics_count (res->ok ? MM_CT_MEMBERS_OK : MM_CT_MEMBERS_FAILED);
   if (!h->closed && res->ok)
     {
-      mm_predecessors_note (h->predecessors, MM_JOBS_GROUP, res);
+      mm_predecessors_check (h->predecessors, MM_JOBS_GROUP, res);
       h->loaded = true;
       for (uint32_t i = 0; i < h->n_partitions; i++)
         g_clear_pointer (&h->home[i], g_free);
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -402,7 +402,7 @@
   const task *t = find_poison_task (b);
   if (!t)
     return false;
-  mm_fleet_note_given_up (b->jobs->fleet, &t->id);
+  mm_fleet_record_given_up (b->jobs->fleet, &t->id);
   answer (b, MM_ANSWER_FAILED, "a task crashes its upstreams", 0);
   return true;
 }
--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -79,14 +79,15 @@
       if (k->home[i] && k->superseded[i])
         {
           close_home (k, i);
-          mm_shares_retake_part (k->partitions, i);
+          mm_partitions_renew_fence (k->partitions, i);
         }
       uint64_t epoch = 0;
-      mm_share_state state = mm_shares_of_part (k->partitions, i, &epoch);
+      mm_partition_state state
+          = mm_partitions_state (k->partitions, i, &epoch);
       bool changed = k->home[i] && mm_home_epoch (k->home[i]) != epoch;
-      if (k->home[i] && (state == MM_SHARE_OTHERS || changed))
+      if (k->home[i] && (state == MM_PARTITION_ELSEWHERE || changed))
         close_home (k, i);
-      if (!k->home[i] && state == MM_SHARE_OURS && !k->leaving)
+      if (!k->home[i] && state == MM_PARTITION_OWNED && !k->leaving)
         open_home (k, i, epoch);
     }
 }
@@ -99,8 +100,8 @@
       uint64_t epoch;
       if (k->home[i]
           && (k->leaving
-              || mm_shares_of_part (k->partitions, i, &epoch)
-                     == MM_SHARE_LEAVING)
+              || mm_partitions_state (k->partitions, i, &epoch)
+                     == MM_PARTITION_RELEASING)
           && !mm_home_idle (k->home[i]))
         return false;
     }
@@ -111,23 +112,24 @@
 release_partitions (mm_kept *k, mm_time_ms now)
 {
   bool idle = releasing_homes_idle (k);
-  if (mm_shares_releasing (k->partitions) && idle)
-    mm_shares_release (k->partitions);
+  if (mm_partitions_releasing (k->partitions) && idle)
+    mm_partitions_release (k->partitions);
   if (!k->leaving || (!idle && now - k->leaving_ms < MM_HANDOVER_MS))
     return;
   for (uint32_t i = 0; i < k->deps.parts; i++)
     close_home (k, i);
-  mm_shares_leave (k->partitions);
+  mm_partitions_leave (k->partitions);
 }
 
 bool
 mm_kept_home_confirmed (const mm_kept *k, uint32_t partition)
 {
   uint64_t epoch;
-  mm_time_ms age_ms = mm_clock_now_ms () - mm_shares_sure_ms (k->partitions);
+  mm_time_ms age_ms
+      = mm_clock_now_ms () - mm_partitions_confirmed_ms (k->partitions);
   return age_ms < MM_GROUP_SURE_MS
-         && mm_shares_of_part (k->partitions, partition, &epoch)
-                == MM_SHARE_OURS;
+         && mm_partitions_state (k->partitions, partition, &epoch)
+                == MM_PARTITION_OWNED;
 }
 
 /* A home that may have been superseded starts no task: the next home may have
@@ -230,8 +232,8 @@
   k->superseded = g_new0 (bool, p->parts);
   k->foreign_pending
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  k->partitions
-      = mm_shares_create (&p->store, MM_JOBS_GROUP, k->deps.member, p->parts);
+  k->partitions = mm_partitions_create (&p->store, MM_JOBS_GROUP,
+                                        k->deps.member, p->parts);
   k->directory = mm_home_directory_create (&p->store, p->mesh, k->deps.member,
                                            p->parts, p->predecessors);
   mm_task_search_events ev
@@ -253,7 +255,7 @@
     close_home (k, i);
   mm_task_search_destroy (k->search);
   mm_home_directory_destroy (k->directory);
-  mm_shares_destroy (k->partitions);
+  mm_partitions_destroy (k->partitions);
   mm_kept_unref (k);
 }
 
@@ -265,8 +267,8 @@
   mm_home_directory_tick (k->directory);
   if (mm_home_directory_loaded (k->directory)
       || now - k->created_ms >= MM_PREDECESSORS_WAIT_MS)
-    mm_shares_tick (k->partitions);
-  if (mm_shares_left (k->partitions))
+    mm_partitions_tick (k->partitions);
+  if (mm_partitions_has_left (k->partitions))
     return;
   sync_homes (k);
   for (uint32_t i = 0; i < k->deps.parts; i++)
@@ -289,7 +291,7 @@
 bool
 mm_kept_left (const mm_kept *k)
 {
-  return mm_shares_left (k->partitions);
+  return mm_partitions_has_left (k->partitions);
 }
 
 uint32_t
--- a/src/mm_kept_priv.h
+++ b/src/mm_kept_priv.h
@@ -5,7 +5,7 @@
 #include "mm_home.h"
 #include "mm_home_directory.h"
 #include "mm_task_search.h"
-#include "mm_shares.h"
+#include "mm_partitions.h"
 
 /* A request of a caller at this instance.  */
 typedef struct mm_kept_request mm_kept_request;
@@ -16,7 +16,7 @@
   bool closed;
   mm_kept_deps deps;
   mm_time_ms created_ms;
-  mm_shares *partitions;        /* those assigned to this instance */
+  mm_partitions *partitions;    /* those assigned to this instance */
   mm_home_directory *directory; /* the homes of all partitions */
   GList *waiting;   /* mm_kept_request whose home is not known or reachable */
   mm_home **home;   /* of each partition, NULL: at another instance */
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_run.c
@@ -315,7 +315,7 @@
       mm_suspect_action action = mm_fleet_decide (r->fleet, &t->id);
       if (action == MM_SUSPECT_GIVE_UP)
         {
-          mm_fleet_note_given_up (r->fleet, &t->id);
+          mm_fleet_record_given_up (r->fleet, &t->id);
           finish (r, MM_JOB_FAILED);
           return false;
         }
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -34,13 +34,13 @@
 }
 
 uint32_t
-mm_list_place (const char *self, GList *peers, uint64_t round)
+mm_list_read_rank (const char *self, GList *peers, uint64_t round)
 {
   uint64_t own = rank_of (self, round);
   uint32_t n_before = 0;
   for (GList *i = peers; i; i = i->next)
     n_before += rank_of (i->data, round) < own;
-  return MIN (n_before, MM_LIST_PLACES_MAX);
+  return MIN (n_before, MM_LIST_RANK_MAX);
 }
 
 static mm_time_ms
@@ -48,9 +48,9 @@
 {
   const mm_list_share *l = ctx;
   GList *peers = mm_mesh_linked (l->mesh);
-  uint32_t rank = mm_list_place (l->self, peers, l->round);
+  uint32_t rank = mm_list_read_rank (l->self, peers, l->round);
   g_list_free (peers);
-  return MM_LIST_POLL_MS + rank * MM_LIST_PLACE_MS;
+  return MM_LIST_POLL_MS + rank * MM_LIST_RANK_DELAY_MS;
 }
 
 /* ---- updates sent ----------------------------------------------------- */
@@ -83,7 +83,7 @@
        const mm_catalog_origin *from)
 {
   return u ? mm_catalog_put (l->catalog, u, from)
-           : mm_catalog_missing (l->catalog, name);
+           : mm_catalog_set_missing (l->catalog, name);
 }
 
 static void
@@ -100,10 +100,10 @@
 }
 
 /* A full read of the list replaces the catalog, and updates of peers are
-   ignored for MM_LIST_OWN_MS.  Peers may have seen an upstream leave that this
-   instance never saw join, or the reverse, so their changes are not all of
-   this instance's changes.  Within that time every live upstream writes to
-   the list again.  */
+   ignored for MM_LIST_OWN_READS_MS.  Peers may have seen an upstream leave
+   that this instance never saw join, or the reverse, so their changes are not
+   all of this instance's changes.  Within that time every live upstream writes
+   to the list again.  */
 static void
 on_full_read (void *ctx, GHashTable *keys)
 {
@@ -112,7 +112,7 @@
   g_array_set_size (l->changes_read, 0);
   mm_list_log_reset (l->log, mm_stream_next (l->stream));
   mm_time_ms now = mm_clock_now_ms ();
-  l->own_reads_until_ms = now + MM_LIST_OWN_MS;
+  l->own_reads_until_ms = now + MM_LIST_OWN_READS_MS;
   if (!l->contact_since_ms)
     l->contact_since_ms = now;
   l->changed (l->ctx);
--- a/src/mm_list_share.h
+++ b/src/mm_list_share.h
@@ -7,11 +7,11 @@
    reads at a time and sends the changes to the others over the mesh.
 
    The order in which linked instances read follows from their names and the
-   number of the round; each waits MM_LIST_PLACE_MS longer than the one before.
-   If the first instance is gone, disconnected, or refused by the store, the
-   next one reads.  So no instance's view is older than MM_LIST_POLL_MS and
-   MM_LIST_PLACES_MAX such waits, whichever instance dies: an upstream that is
-   draining gets no start later than that.  */
+   number of the round; each waits MM_LIST_RANK_DELAY_MS longer than the one
+   before. If the first instance is gone, disconnected, or refused by the
+   store, the next one reads.  So no instance's view is older than
+   MM_LIST_POLL_MS and MM_LIST_RANK_MAX such waits, whichever instance dies: an
+   upstream that is draining gets no start later than that.  */
 #ifndef MM_LIST_SHARE_H
 #define MM_LIST_SHARE_H
 
@@ -39,7 +39,7 @@
 bool mm_list_share_complete (const mm_list_share *l);
 
 /* Returns how many of @peers, the linked instances, read before @self in this
-   round, MM_LIST_PLACES_MAX at most.  */
-uint32_t mm_list_place (const char *self, GList *peers, uint64_t round);
+   round, MM_LIST_RANK_MAX at most.  */
+uint32_t mm_list_read_rank (const char *self, GList *peers, uint64_t round);
 
 #endif /* MM_LIST_SHARE_H */
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -68,7 +68,7 @@
 
 /* A member name is INSTANCE@ADDRESS/DATACENTRE.  */
 bool
-mm_members_read_name (const char *name, mm_peer_info *out)
+mm_members_parse_name (const char *name, mm_peer_info *out)
 {
   const char *at = strchr (name, NAME_SEPARATOR);
   const char *slash = at ? strchr (at, DATACENTRE_SEPARATOR) : NULL;
@@ -81,7 +81,7 @@
   out->name = g_strdup (name);
   out->addr = g_strndup (at + 1, (gsize)(slash - at - 1));
   out->datacentre = g_strdup (slash + 1);
-  out->stands_in = false;
+  out->is_standby = false;
   return true;
 }
 
@@ -93,7 +93,7 @@
 {
   mm_members *m = ctx;
   mm_peer_info p;
-  if (strcmp (name, m->self) == 0 || !mm_members_read_name (name, &p))
+  if (strcmp (name, m->self) == 0 || !mm_members_parse_name (name, &p))
     return;
   mm_mesh_add_peer (m->mesh, &p);
   if (m->changed)
@@ -149,9 +149,9 @@
       {
         mm_peer_info p;
         if (strcmp (*member, m->self) == 0
-            || !mm_members_read_name (*member, &p))
+            || !mm_members_parse_name (*member, &p))
           continue;
-        p.stands_in = strcmp (p.datacentre, m->dcs[i].name) != 0;
+        p.is_standby = strcmp (p.datacentre, m->dcs[i].name) != 0;
         g_array_append_val (peers, p);
       }
   mm_mesh_set_peers (m->mesh, (mm_peer_info *)(void *)peers->data, peers->len);
@@ -167,7 +167,7 @@
   mm_metrics_count (res->ok ? MM_CT_MEMBERS_OK : MM_CT_MEMBERS_FAILED);
   if (!m->closed && res->ok)
     {
-      mm_predecessors_note (m->predecessors, dc->group, res);
+      mm_predecessors_check (m->predecessors, dc->group, res);
       g_strfreev (dc->member_names);
       dc->member_names = g_new0 (char *, res->n_members + 1);
       for (size_t i = 0; i < res->n_members; i++)
@@ -199,7 +199,7 @@
 }
 
 bool
-mm_members_heard (const mm_members *m)
+mm_members_loaded (const mm_members *m)
 {
   for (size_t i = 0; i < m->n; i++)
     if (strcmp (m->dcs[i].name, m->own) == 0)
@@ -224,7 +224,7 @@
   m->due_ms = now
               + (m->n_polls < MM_MEMBERS_FIRST_POLLS ? MM_MEMBERS_FIRST_POLL_MS
                                                      : MM_MEMBERS_POLL_MS);
-  size_t n_far = first ? m->n : MIN (m->n, MM_MEMBERS_FAR_POLL);
+  size_t n_far = first ? m->n : MIN (m->n, MM_MEMBERS_FAR_PER_POLL);
   for (size_t i = 0; i < n_far; i++, m->next++)
     request_members (&m->dcs[m->next % m->n]);
   for (size_t i = 0; i < m->n; i++)
--- a/src/mm_members.h
+++ b/src/mm_members.h
@@ -13,7 +13,7 @@
                        const char *datacentre);
 /* Parses a member name; free @out with mm_peer_info_clear().  Returns false
    when @name was not made by mm_members_name().  */
-bool mm_members_read_name (const char *name, mm_peer_info *out);
+bool mm_members_parse_name (const char *name, mm_peer_info *out);
 /* Returns the name of a data centre's group.  */
 char *mm_members_group (const char *datacentre);
 
@@ -29,7 +29,7 @@
                             void *ctx);
 /* Returns whether the members of the own data centre have been read at least
    once.  */
-bool mm_members_heard (const mm_members *m);
+bool mm_members_loaded (const mm_members *m);
 void mm_members_tick (mm_members *m);
 
 #endif /* MM_MEMBERS_H */
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -311,7 +311,7 @@
       = { .object = on_peer_object, .closed = on_peer_closed, .ctx = p };
   GError *error = NULL;
   p->next_no = p->seen_no = p->known_upto = 0;
-  p->transit = (mm_transit){ 0 };
+  p->transit = (mm_queue_delay){ 0 };
   p->link = mm_link_connect (p->mesh->loop, p->info.addr, &ev, &error);
   if (!p->link)
     {
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -15,7 +15,7 @@
   char *name;       /* of this incarnation */
   char *addr;       /* "ip:port" of its mesh socket */
   char *datacentre; /* where it stands */
-  bool stands_in;   /* holds upstreams of another one */
+  bool is_standby;  /* holds upstreams of another one */
 } mm_peer_info;
 
 void mm_peer_info_clear (gpointer info); /* frees what it holds */
--- a/src/mm_mesh_peers.c
+++ b/src/mm_mesh_peers.c
@@ -32,7 +32,7 @@
   g_hash_table_iter_init (&it, m->peers);
   while (g_hash_table_iter_next (&it, &k, &v))
     {
-      ((mm_mesh_peer *)v)->info.stands_in = false;
+      ((mm_mesh_peer *)v)->info.is_standby = false;
       ((mm_mesh_peer *)v)->listed = is_listed (k, peers, n);
       if (!((mm_mesh_peer *)v)->connected && !((mm_mesh_peer *)v)->listed)
         g_hash_table_iter_remove (&it);
@@ -48,7 +48,7 @@
   mm_mesh_peer *p = g_hash_table_lookup (m->peers, info->name);
   if (p)
     {
-      p->info.stands_in = p->info.stands_in || info->stands_in;
+      p->info.is_standby = p->info.is_standby || info->is_standby;
       return;
     }
   m->choose_again = true;
@@ -57,7 +57,7 @@
   p->info.name = g_strdup (info->name);
   p->info.addr = g_strdup (info->addr);
   p->info.datacentre = g_strdup (info->datacentre);
-  p->info.stands_in = info->stands_in;
+  p->info.is_standby = info->is_standby;
   p->known_ms = mm_clock_now_ms ();
   p->remote = g_hash_table_new (g_int64_hash, g_int64_equal);
   p->questions = mm_requests_create ();
@@ -170,7 +170,7 @@
         continue;
       c[i] = (mm_neighbour){ .name = at[i]->info.name,
                              .datacentre = at[i]->info.datacentre,
-                             .stands_in = at[i]->info.stands_in,
+                             .is_standby = at[i]->info.is_standby,
                              .lost_ms = at[i]->lost_ms };
       i++;
     }
--- a/src/mm_mesh_priv.h
+++ b/src/mm_mesh_priv.h
@@ -5,7 +5,7 @@
 #include "mm_link.h"
 #include "mm_mesh.h"
 #include "mm_mesh_msg.h"
-#include "mm_transit.h"
+#include "mm_queue_delay.h"
 
 /* Another instance that is known, and the link to it.  */
 typedef struct
@@ -28,9 +28,9 @@
   GHashTable *remote; /* no -> mm_remote */
   mm_mesh_room *rooms;
   size_t n_rooms;
-  mm_time_ms report_ms; /* when they came */
-  uint64_t known_upto;  /* updates sent over this link */
-  mm_transit transit;   /* of updates that come over it */
+  mm_time_ms report_ms;   /* when they came */
+  uint64_t known_upto;    /* updates sent over this link */
+  mm_queue_delay transit; /* of updates that come over it */
 } mm_mesh_peer;
 
 struct mm_remote
@@ -52,8 +52,8 @@
   uint64_t seen_no;
   mm_time_ms report_ms;
   GByteArray *last_report;
-  uint64_t known_upto; /* updates sent over this link */
-  mm_transit transit;  /* of updates that come over it */
+  uint64_t known_upto;    /* updates sent over this link */
+  mm_queue_delay transit; /* of updates that come over it */
 } mm_mesh_inbound_link;
 
 struct mm_mesh_reply
@@ -99,8 +99,8 @@
 void mm_mesh_take_ask (mm_mesh_inbound_link *in, const mm_mesh_msg *m);
 
 /* mm_mesh_update.c */
-void mm_mesh_take_update (mm_mesh *m, const char *peer, mm_transit *transit,
-                          const mm_mesh_msg *msg);
+void mm_mesh_take_update (mm_mesh *m, const char *peer,
+                          mm_queue_delay *transit, const mm_mesh_msg *msg);
 
 /* mm_mesh_loss.c */
 void mm_mesh_take_loss (mm_mesh *m, const mm_mesh_msg *msg);
--- a/src/mm_mesh_update.c
+++ b/src/mm_mesh_update.c
@@ -122,11 +122,11 @@
 }
 
 void
-mm_mesh_take_update (mm_mesh *m, const char *peer, mm_transit *transit,
+mm_mesh_take_update (mm_mesh *m, const char *peer, mm_queue_delay *transit,
                      const mm_mesh_msg *msg)
 {
   mm_time_ms held_up_ms
-      = mm_transit_held_up_ms (transit, msg->sent_ms, mm_clock_now_ms ());
+      = mm_queue_delay_record_ms (transit, msg->sent_ms, mm_clock_now_ms ());
   if (m->updated && peer)
     m->updated (m->update_ctx, peer, msg->data, msg->len, held_up_ms);
 }
--- a/src/mm_neighbours.c
+++ b/src/mm_neighbours.c
@@ -106,7 +106,7 @@
       bool own = strcmp (sorted[i].instance->datacentre, own_datacentre) == 0;
       chosen[sorted[i].index]
           = (own && sorted[i].position < MM_NEIGHBOURS_NEAR)
-            || sorted[i].instance->stands_in || !MM_WITH_BOUNDED_LINKS;
+            || sorted[i].instance->is_standby || !MM_WITH_BOUNDED_LINKS;
     }
   uint32_t far = MM_NEIGHBOURS_FAR;
   for (uint32_t position = 0; position < MM_NEIGHBOURS_FAR_EACH; position++)
--- a/src/mm_neighbours.h
+++ b/src/mm_neighbours.h
@@ -9,7 +9,7 @@
 {
   const char *name;
   const char *datacentre;
-  bool stands_in;     /* standby: owns upstreams of another data centre */
+  bool is_standby;    /* standby: owns upstreams of another data centre */
   mm_time_ms lost_ms; /* when a link to it was last lost, 0: never */
 } mm_neighbour;
 
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -4,7 +4,7 @@
 #include "config.h"
 #include "mm_catalog.h"
 #include "mm_event.h"
-#include "mm_holdings.h"
+#include "mm_datacentres.h"
 #include "mm_metrics.h"
 #include "mm_log_sink.h"
 #include "mm_kept.h"
@@ -30,7 +30,7 @@
   mm_stream *config;
   mm_list_share *list;
   mm_stream *upstreams; /* the list's */
-  mm_holdings *holdings;
+  mm_datacentres *holdings;
   mm_predecessors *predecessors;
   mm_members *members;
   mm_owner *owner;
@@ -131,31 +131,31 @@
 handover_quiet (void *ctx, const char *datacentre)
 {
   mm_node *n = ctx;
-  return mm_ownership_quiet (n->ownership, datacentre);
+  return mm_ownership_idle (n->ownership, datacentre);
 }
 
-static mm_share_state
+static mm_partition_state
 holdings_of (void *ctx, const mm_upstream_info *u, uint64_t *fence)
 {
-  return mm_holdings_of (((mm_node *)ctx)->holdings, u, fence);
+  return mm_datacentres_upstream_state (((mm_node *)ctx)->holdings, u, fence);
 }
 
 static void
 holdings_retake (void *ctx, const mm_upstream_info *u)
 {
-  mm_holdings_retake (((mm_node *)ctx)->holdings, u);
+  mm_datacentres_renew_fence (((mm_node *)ctx)->holdings, u);
 }
 
 static uint64_t
 holdings_changes (void *ctx)
 {
-  return mm_holdings_changes (((mm_node *)ctx)->holdings);
+  return mm_datacentres_changes (((mm_node *)ctx)->holdings);
 }
 
 static bool
 holdings_any (void *ctx)
 {
-  return mm_holdings_any (((mm_node *)ctx)->holdings);
+  return mm_datacentres_owns_any (((mm_node *)ctx)->holdings);
 }
 
 /* How old our view of the upstreams is, counted only while we own some.  */
@@ -171,7 +171,7 @@
 static void
 watch_list (mm_node *n, mm_time_ms now)
 {
-  if (!mm_holdings_any (n->holdings))
+  if (!mm_datacentres_owns_any (n->holdings))
     n->list_since_ms = 0;
   else if (!n->list_since_ms)
     n->list_since_ms = now;
@@ -197,20 +197,21 @@
   /* Only owners need the list.  After all of hundreds of instances started
      at once, reading it took all that the store can send for longer than a
      configuration may take to be in force.  */
-  if (mm_holdings_any (n->holdings) || mm_kept_needs_upstream_list (n->kept))
+  if (mm_datacentres_owns_any (n->holdings)
+      || mm_kept_needs_upstream_list (n->kept))
     mm_stream_tick (n->upstreams);
   else
     mm_stream_pause (n->upstreams);
   watch_list (n, now);
   mm_catalog_tick (n->catalog, mm_stream_in_touch (n->upstreams));
   mm_members_tick (n->members);
-  if (mm_members_heard (n->members)
+  if (mm_members_loaded (n->members)
       || now - n->started_ms >= MM_PREDECESSORS_WAIT_MS)
-    mm_holdings_tick (n->holdings);
+    mm_datacentres_tick (n->holdings);
   mm_ownership_tick (n->ownership, mm_stream_fresh (n->upstreams));
   mm_suspects_tick (n->suspects);
   mm_mesh_tick (n->mesh);
-  mm_owner_set_confirmed (n->owner, mm_holdings_sure (n->holdings));
+  mm_owner_set_confirmed (n->owner, mm_datacentres_confirmed (n->holdings));
   mm_owner_tick (n->owner);
   mm_jobs_tick (n->jobs);
   mm_list_share_tick (n->list);
@@ -282,7 +283,7 @@
 {
   mm_node *n = ctx;
   if (group)
-    mm_holdings_hurry (n->holdings, group);
+    mm_datacentres_poll_now (n->holdings, group);
   tick_soon (n);
 }
 
@@ -311,16 +312,16 @@
   n->upstreams = mm_list_share_stream (n->list);
   mm_exec_view view = { .known_ms = list_known_ms, .ctx = n };
   mm_owner_set_view (n->owner, &view);
-  mm_holdings_events ev
+  mm_datacentres_events ev
       = { .quiet = handover_quiet, .changed = tick_soon, .ctx = n };
   n->holdings
-      = mm_holdings_create (store, n->mesh, s->datacentres, s->datacentre,
-                            member, (uint32_t)s->partitions, &ev);
-  mm_ownership_shares shares = { .of = holdings_of,
-                                 .retake = holdings_retake,
-                                 .changes = holdings_changes,
-                                 .any = holdings_any,
-                                 .ctx = n };
+      = mm_datacentres_create (store, n->mesh, s->datacentres, s->datacentre,
+                               member, (uint32_t)s->partitions, &ev);
+  mm_ownership_partitions shares = { .of = holdings_of,
+                                     .retake = holdings_retake,
+                                     .changes = holdings_changes,
+                                     .any = holdings_any,
+                                     .ctx = n };
   n->ownership = mm_ownership_create (n->catalog, n->owner, &shares);
   n->predecessors = mm_predecessors_create (store, member);
   mm_mesh_on_handed (n->mesh, on_group_changed, n);
@@ -392,7 +393,7 @@
   mm_ownership_destroy (n->ownership);
   mm_owner_destroy (n->owner);
   mm_suspects_destroy (n->suspects);
-  mm_holdings_destroy (n->holdings);
+  mm_datacentres_destroy (n->holdings);
   mm_stream_destroy (n->config);
   mm_catalog_destroy (n->catalog);
   mm_routes_unref (n->routes);
@@ -453,9 +454,9 @@
     return;
   n->leaving_ms = mm_clock_now_ms ();
   mm_mesh_set_leaving (n->mesh);
-  mm_holdings_leave (n->holdings, n->leaving_ms + MM_LEAVE_DRAIN_MS,
-                     n->leaving_ms + n->s.grace_ms - MM_LEAVE_MARGIN_MS
-                         - MM_HANDOVER_MS - MM_LEAVE_CALL_MS);
+  mm_datacentres_leave (n->holdings, n->leaving_ms + MM_LEAVE_DRAIN_MS,
+                        n->leaving_ms + n->s.grace_ms - MM_LEAVE_MARGIN_MS
+                            - MM_HANDOVER_MS - MM_LEAVE_CALL_MS);
   mm_kept_leave (n->kept);
 }
 
@@ -467,7 +468,7 @@
   mm_time_ms since = mm_clock_now_ms () - n->leaving_ms;
   if (since >= n->s.grace_ms - MM_LEAVE_MARGIN_MS)
     return true;
-  return since >= MM_LEAVE_DRAIN_MS && mm_holdings_left (n->holdings)
+  return since >= MM_LEAVE_DRAIN_MS && mm_datacentres_has_left (n->holdings)
          && mm_kept_left (n->kept) && mm_jobs_count (n->jobs) == 0
          && open_connections == 0;
 }
@@ -491,7 +492,7 @@
   mm_metrics_set (MM_GG_CONFIG_VERSION,
                   n->routes ? (int64_t)n->routes->version : 0);
   mm_metrics_set (MM_GG_GENERATION,
-                  (int64_t)mm_holdings_generation (n->holdings));
+                  (int64_t)mm_datacentres_generation (n->holdings));
   mm_metrics_set (MM_GG_LIST_AGE, list_age_ms (n, mm_clock_now_ms ()));
   mm_metrics_set (MM_GG_UPSTREAMS_LOST,
                   (int64_t)mm_suspects_count (n->suspects));
@@ -510,7 +511,7 @@
   cJSON_AddNumberToObject (d, "config_version",
                            n->routes ? (double)n->routes->version : 0);
   cJSON_AddNumberToObject (d, "generation",
-                           (double)mm_holdings_generation (n->holdings));
+                           (double)mm_datacentres_generation (n->holdings));
   cJSON_AddNumberToObject (d, "list_age_ms",
                            (double)list_age_ms (n, mm_clock_now_ms ()));
   cJSON_AddNumberToObject (d, "peers", mm_mesh_connected (n->mesh));
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -9,7 +9,7 @@
 {
   mm_catalog *catalog; /* not owned */
   mm_owner *owner;     /* not owned */
-  mm_ownership_shares partitions;
+  mm_ownership_partitions partitions;
   uint64_t catalog_changes;   /* at the last full reconciliation */
   uint64_t partition_changes; /* at the last full reconciliation */
   mm_time_ms reconciled_ms;
@@ -32,7 +32,7 @@
  */
 mm_ownership *
 mm_ownership_create (mm_catalog *catalog, mm_owner *owner,
-                     const mm_ownership_shares *partitions)
+                     const mm_ownership_partitions *partitions)
 {
   mm_ownership *w = g_new0 (mm_ownership, 1);
   w->catalog = catalog;
@@ -51,7 +51,7 @@
   g_free (w);
 }
 
-static mm_share_state
+static mm_partition_state
 state_of (const mm_ownership *w, const mm_upstream_info *u, uint64_t *fence)
 {
   *fence = 0;
@@ -69,10 +69,11 @@
     {
       uint64_t fence;
       const mm_upstream_info *u = mm_catalog_find (w->catalog, l->data);
-      mm_share_state state = u ? state_of (w, u, &fence) : MM_SHARE_OTHERS;
-      if (state == MM_SHARE_OTHERS)
+      mm_partition_state state
+          = u ? state_of (w, u, &fence) : MM_PARTITION_ELSEWHERE;
+      if (state == MM_PARTITION_ELSEWHERE)
         mm_owner_remove_upstream (w->owner, l->data);
-      else if (state == MM_SHARE_LEAVING)
+      else if (state == MM_PARTITION_RELEASING)
         mm_owner_freeze_upstream (w->owner, l->data);
     }
   g_list_free (owned);
@@ -82,7 +83,7 @@
 own_if_assigned (mm_ownership *w, const mm_upstream_info *u)
 {
   uint64_t fence;
-  if (state_of (w, u, &fence) != MM_SHARE_OURS)
+  if (state_of (w, u, &fence) != MM_PARTITION_OWNED)
     return;
   if (mm_owner_fenced (w->owner, u->name))
     {
@@ -121,7 +122,7 @@
 }
 
 bool
-mm_ownership_quiet (const mm_ownership *w, const char *datacentre)
+mm_ownership_idle (const mm_ownership *w, const char *datacentre)
 {
   bool idle = true;
   GList *owned = mm_owner_upstream_names (w->owner);
@@ -130,7 +131,7 @@
       uint64_t fence;
       const mm_upstream_info *u = mm_catalog_find (w->catalog, l->data);
       if (u && strcmp (u->datacentre, datacentre) == 0
-          && state_of (w, u, &fence) == MM_SHARE_LEAVING
+          && state_of (w, u, &fence) == MM_PARTITION_RELEASING
           && !mm_owner_idle (w->owner, l->data))
         idle = false;
     }
--- a/src/mm_ownership.h
+++ b/src/mm_ownership.h
@@ -10,7 +10,7 @@
 
 #include "mm_catalog.h"
 #include "mm_owner.h"
-#include "mm_shares.h"
+#include "mm_partitions.h"
 
 typedef struct mm_ownership mm_ownership;
 
@@ -19,7 +19,8 @@
 {
   /* Returns the state of the upstream's partition and sets @fence to its
      fencing token.  */
-  mm_share_state (*of) (void *ctx, const mm_upstream_info *u, uint64_t *fence);
+  mm_partition_state (*of) (void *ctx, const mm_upstream_info *u,
+                            uint64_t *fence);
   /* Renews the fencing token of that partition.  */
   void (*retake) (void *ctx, const mm_upstream_info *u);
   /* Returns a number that rises with each change of a state or token.  */
@@ -27,10 +28,10 @@
   /* Returns whether this instance owns any partition.  */
   bool (*any) (void *ctx);
   void *ctx;
-} mm_ownership_shares;
+} mm_ownership_partitions;
 
 mm_ownership *mm_ownership_create (mm_catalog *catalog, mm_owner *owner,
-                                   const mm_ownership_shares *partitions);
+                                   const mm_ownership_partitions *partitions);
 void mm_ownership_destroy (mm_ownership *w);
 /* Opens and closes sessions as the list and the partitions require.
    @list_fresh: the list has been read since partitions were assigned to this
@@ -38,6 +39,6 @@
 void mm_ownership_tick (mm_ownership *w, bool list_fresh);
 /* Returns whether nothing runs on the upstreams of a data centre whose
    partitions are being released.  */
-bool mm_ownership_quiet (const mm_ownership *w, const char *datacentre);
+bool mm_ownership_idle (const mm_ownership *w, const char *datacentre);
 
 #endif /* MM_OWNERSHIP_H */
--- a/src/mm_shares.c
+++ b/src/mm_partitions.c
@@ -1,4 +1,4 @@
-/* mm_shares: membership in a group whose partitions the store assigns.
+/* mm_partitions: membership in a group whose partitions the store assigns.
 
    A partition is handed over in two steps: the store no longer lists it for
    this instance, and assigns it to another member once this instance joins
@@ -10,7 +10,7 @@
    While the store is unreachable, this instance keeps its partitions: if the
    store has assigned them to another member meanwhile, the new owner's higher
    token stops this instance at the upstreams.  */
-#include "mm_shares.h"
+#include "mm_partitions.h"
 
 #include "config.h"
 #include "mm_event.h"
@@ -25,7 +25,7 @@
   bool is_releasing; /* no longer assigned to this instance */
 } partition;
 
-struct mm_shares
+struct mm_partitions
 {
   int refs; /* one of the creator, one of the call in flight */
   bool closed;
@@ -48,11 +48,11 @@
   mm_time_ms created_ms;
   uint64_t sent_generation; /* generation that the call in flight confirms */
   bool release_pending;     /* the next join hands over partitions */
-  mm_shares_events ev;
+  mm_partitions_events ev;
 };
 
 static void
-shares_unref (mm_shares *set)
+partitions_unref (mm_partitions *set)
 {
   if (--set->refs > 0)
     return;
@@ -62,11 +62,11 @@
   g_free (set);
 }
 
-mm_shares *
-mm_shares_create (const mm_store_port *port, const char *group,
-                  const char *member, uint32_t n_partitions)
+mm_partitions *
+mm_partitions_create (const mm_store_port *port, const char *group,
+                      const char *member, uint32_t n_partitions)
 {
-  mm_shares *set = g_new0 (mm_shares, 1);
+  mm_partitions *set = g_new0 (mm_partitions, 1);
   set->refs = 1;
   set->port = *port;
   set->group = g_strdup (group);
@@ -78,12 +78,12 @@
 }
 
 void
-mm_shares_destroy (mm_shares *set)
+mm_partitions_destroy (mm_partitions *set)
 {
   if (!set)
     return;
   set->closed = true;
-  shares_unref (set);
+  partitions_unref (set);
 }
 
 static bool
@@ -96,7 +96,7 @@
 }
 
 static void
-apply_assignment (mm_shares *set, const mm_join_result *res)
+apply_assignment (mm_partitions *set, const mm_join_result *res)
 {
   uint32_t n_owned = 0, n_releasing = 0;
   set->changes++;
@@ -123,7 +123,7 @@
 }
 
 static void
-notify_released (const mm_shares *set)
+notify_released (const mm_partitions *set)
 {
   if (set->ev.handed && !set->closed)
     set->ev.handed (set->ev.ctx, set->group);
@@ -132,7 +132,7 @@
 static void
 on_joined (const mm_join_result *res, void *ctx)
 {
-  mm_shares *set = ctx;
+  mm_partitions *set = ctx;
   set->in_flight = false;
   mm_metrics_count (res->ok ? MM_CT_JOIN_OK : MM_CT_JOIN_FAILED);
   mm_metrics_time (MM_HG_JOIN_CALL, mm_clock_now_ms () - set->call_sent_ms);
@@ -152,18 +152,18 @@
       set->listed_generation = res->generation;
       apply_assignment (set, res);
     }
-  shares_unref (set);
+  partitions_unref (set);
 }
 
 static void
 on_left (const mm_join_result *res, void *ctx)
 {
-  mm_shares *set = ctx;
+  mm_partitions *set = ctx;
   set->in_flight = false;
   set->has_left = set->has_left || res->ok;
   if (res->ok)
     notify_released (set);
-  shares_unref (set);
+  partitions_unref (set);
 }
 
 /* Returns the time between joins.  A joining instance without a partition
@@ -171,20 +171,20 @@
    reassigned one call after its removal, and until then no instance can start
    tasks on their upstreams.  */
 static mm_time_ms
-join_interval_ms (const mm_shares *set, mm_time_ms now)
+join_interval_ms (const mm_partitions *set, mm_time_ms now)
 {
-  bool fast_poll
-      = !mm_shares_any (set) && now - set->created_ms < MM_GROUP_EAGER_FOR_MS;
-  return fast_poll ? MM_GROUP_EAGER_MS : MM_GROUP_BEAT_MS;
+  bool fast_poll = !mm_partitions_owns_any (set)
+                   && now - set->created_ms < MM_GROUP_FAST_POLL_FOR_MS;
+  return fast_poll ? MM_GROUP_FAST_POLL_MS : MM_GROUP_BEAT_MS;
 }
 
 void
-mm_shares_tick (mm_shares *set)
+mm_partitions_tick (mm_partitions *set)
 {
   mm_time_ms now = mm_clock_now_ms ();
   if (set->releasing_since_ms
       && now - set->releasing_since_ms > MM_HANDOVER_MS)
-    mm_shares_release (set);
+    mm_partitions_release (set);
   if (set->in_flight || set->has_left || now < set->due_ms)
     return;
   set->in_flight = true;
@@ -202,7 +202,7 @@
 }
 
 void
-mm_shares_leave (mm_shares *set)
+mm_partitions_leave (mm_partitions *set)
 {
   if (set->quitting)
     return;
@@ -213,58 +213,59 @@
 }
 
 void
-mm_shares_on (mm_shares *set, const mm_shares_events *ev)
+mm_partitions_set_events (mm_partitions *set, const mm_partitions_events *ev)
 {
   set->ev = *ev;
 }
 
 void
-mm_shares_hurry (mm_shares *set)
+mm_partitions_poll_now (mm_partitions *set)
 {
   set->due_ms = 0;
 }
 
 bool
-mm_shares_left (const mm_shares *set)
+mm_partitions_has_left (const mm_partitions *set)
 {
   return set->has_left;
 }
 
 static partition *
-partition_of (const mm_shares *set, const char *upstream)
+partition_of (const mm_partitions *set, const char *upstream)
 {
   return &set->partitions[XXH3_64bits (upstream, strlen (upstream)) % set->n];
 }
 
-static mm_share_state
+static mm_partition_state
 state_of (const partition *p, uint64_t *fence)
 {
   *fence = p->fence;
   if (!p->fence)
-    return MM_SHARE_OTHERS;
-  return p->is_releasing ? MM_SHARE_LEAVING : MM_SHARE_OURS;
+    return MM_PARTITION_ELSEWHERE;
+  return p->is_releasing ? MM_PARTITION_RELEASING : MM_PARTITION_OWNED;
 }
 
-mm_share_state
-mm_shares_of (const mm_shares *set, const char *upstream, uint64_t *fence)
+mm_partition_state
+mm_partitions_upstream_state (const mm_partitions *set, const char *upstream,
+                              uint64_t *fence)
 {
   return state_of (partition_of (set, upstream), fence);
 }
 
-mm_share_state
-mm_shares_of_part (const mm_shares *set, uint32_t index, uint64_t *fence)
+mm_partition_state
+mm_partitions_state (const mm_partitions *set, uint32_t index, uint64_t *fence)
 {
   return state_of (&set->partitions[index], fence);
 }
 
 mm_time_ms
-mm_shares_sure_ms (const mm_shares *set)
+mm_partitions_confirmed_ms (const mm_partitions *set)
 {
   return set->confirmed_ms;
 }
 
 static void
-renew_fence (mm_shares *set, partition *p)
+renew_fence (mm_partitions *set, partition *p)
 {
   if (p->fence && !p->is_releasing && p->fence < set->listed_generation)
     {
@@ -274,19 +275,19 @@
 }
 
 void
-mm_shares_retake (mm_shares *set, const char *upstream)
+mm_partitions_renew_upstream_fence (mm_partitions *set, const char *upstream)
 {
   renew_fence (set, partition_of (set, upstream));
 }
 
 void
-mm_shares_retake_part (mm_shares *set, uint32_t index)
+mm_partitions_renew_fence (mm_partitions *set, uint32_t index)
 {
   renew_fence (set, &set->partitions[index]);
 }
 
 void
-mm_shares_release (mm_shares *set)
+mm_partitions_release (mm_partitions *set)
 {
   for (uint32_t i = 0; i < set->n; i++)
     if (set->partitions[i].is_releasing)
@@ -299,13 +300,13 @@
 }
 
 bool
-mm_shares_releasing (const mm_shares *set)
+mm_partitions_releasing (const mm_partitions *set)
 {
   return set->releasing_since_ms != 0;
 }
 
 bool
-mm_shares_any (const mm_shares *set)
+mm_partitions_owns_any (const mm_partitions *set)
 {
   for (uint32_t i = 0; i < set->n; i++)
     if (set->partitions[i].fence)
@@ -314,13 +315,13 @@
 }
 
 uint64_t
-mm_shares_changes (const mm_shares *set)
+mm_partitions_changes (const mm_partitions *set)
 {
   return set->changes;
 }
 
 uint64_t
-mm_shares_generation (const mm_shares *set)
+mm_partitions_generation (const mm_partitions *set)
 {
   return set->listed_generation;
 }
--- a/src/mm_predecessors.c
+++ b/src/mm_predecessors.c
@@ -49,7 +49,7 @@
   p->leaving_members
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   mm_peer_info own;
-  if (mm_members_read_name (self, &own))
+  if (mm_members_parse_name (self, &own))
     {
       p->addr = g_strdup (own.addr);
       mm_peer_info_clear (&own);
@@ -80,7 +80,7 @@
 is_previous_incarnation (const mm_predecessors *p, const char *member)
 {
   mm_peer_info info;
-  if (strcmp (member, p->self) == 0 || !mm_members_read_name (member, &info))
+  if (strcmp (member, p->self) == 0 || !mm_members_parse_name (member, &info))
     return false;
   bool same_addr = g_strcmp0 (info.addr, p->addr) == 0;
   mm_peer_info_clear (&info);
@@ -106,8 +106,8 @@
 }
 
 void
-mm_predecessors_note (mm_predecessors *p, const char *group,
-                      const mm_members_result *res)
+mm_predecessors_check (mm_predecessors *p, const char *group,
+                       const mm_members_result *res)
 {
   if (!MM_WITH_PREDECESSORS)
     return;
--- a/src/mm_predecessors.h
+++ b/src/mm_predecessors.h
@@ -18,7 +18,7 @@
 void mm_predecessors_destroy (mm_predecessors *p);
 /* Checks the store's answer with the members of @group, and removes previous
    incarnations of this instance from the group.  */
-void mm_predecessors_note (mm_predecessors *p, const char *group,
-                           const mm_members_result *res);
+void mm_predecessors_check (mm_predecessors *p, const char *group,
+                            const mm_members_result *res);
 
 #endif /* MM_PREDECESSORS_H */
--- a/src/mm_transit.c
+++ b/src/mm_queue_delay.c
@@ -1,10 +1,11 @@
-/* mm_transit: estimates the queueing delay of messages.  */
-#include "mm_transit.h"
+/* mm_queue_delay: estimates the queueing delay of messages.  */
+#include "mm_queue_delay.h"
 
 #include "config.h"
 
 /**
- * mm_transit_held_up_ms() - records a message and returns its queueing delay.
+ * mm_queue_delay_record_ms() - records a message and returns its queueing
+ * delay.
  * @t: the state of the sender's link; zero-initialised.
  * @sent_ms: when the message was sent, by the sender's clock.
  * @now_ms: when the message was received, by this instance's clock.
@@ -12,14 +13,15 @@
  * Return: how much longer the message took than the fastest recent one.
  */
 mm_time_ms
-mm_transit_held_up_ms (mm_transit *t, mm_time_ms sent_ms, mm_time_ms now_ms)
+mm_queue_delay_record_ms (mm_queue_delay *t, mm_time_ms sent_ms,
+                          mm_time_ms now_ms)
 {
   mm_time_ms difference_ms = now_ms - sent_ms;
   if (!t->initialised)
-    *t = (mm_transit){ .initialised = true,
-                       .window_start_ms = now_ms,
-                       .min_ms = { difference_ms, difference_ms } };
-  else if (now_ms - t->window_start_ms >= MM_TRANSIT_WINDOW_MS)
+    *t = (mm_queue_delay){ .initialised = true,
+                           .window_start_ms = now_ms,
+                           .min_ms = { difference_ms, difference_ms } };
+  else if (now_ms - t->window_start_ms >= MM_QUEUE_DELAY_WINDOW_MS)
     {
       t->window_start_ms = now_ms;
       t->min_ms[1] = t->min_ms[0];
--- a/src/mm_transit.h
+++ b/src/mm_queue_delay.h
@@ -1,4 +1,5 @@
-/* mm_transit: estimates how long a message of a peer was delayed by queues.
+/* mm_queue_delay: estimates how long a message of a peer was delayed by
+   queues.
 
    The clocks of two instances differ by an unknown offset.  The smallest
    recent difference between the times of receipt and sending is taken for an
@@ -6,8 +7,8 @@
    After a peer has stalled, its messages seem delayed until the older
    differences leave the window, and its updates count as older than they
    are.  */
-#ifndef MM_TRANSIT_H
-#define MM_TRANSIT_H
+#ifndef MM_QUEUE_DELAY_H
+#define MM_QUEUE_DELAY_H
 
 #include "masticmill.h"
 
@@ -16,9 +17,9 @@
   bool initialised;
   mm_time_ms window_start_ms; /* start of the current window */
   mm_time_ms min_ms[2]; /* minimum of the current, of the previous window */
-} mm_transit;
+} mm_queue_delay;
 
-mm_time_ms mm_transit_held_up_ms (mm_transit *t, mm_time_ms sent_ms,
-                                  mm_time_ms now_ms);
+mm_time_ms mm_queue_delay_record_ms (mm_queue_delay *t, mm_time_ms sent_ms,
+                                     mm_time_ms now_ms);
 
-#endif /* MM_TRANSIT_H */
+#endif /* MM_QUEUE_DELAY_H */
--- a/src/mm_absence.c
+++ b/src/mm_read_barrier.c
@@ -1,9 +1,9 @@
-/* mm_absence: one stored record confirms all requests received before it.
+/* mm_read_barrier: one stored record confirms all requests received before it.
 
    The record is a tombstone for one of the requested ids.  However many
    requests arrive, at most one record is in flight, and records are sent at
-   least MM_ABSENCE_PAUSE_MS apart.  */
-#include "mm_absence.h"
+   least MM_READ_BARRIER_PAUSE_MS apart.  */
+#include "mm_read_barrier.h"
 
 #include "config.h"
 
@@ -15,7 +15,7 @@
   mm_time_ms expires_ms;
 } request;
 
-struct mm_absence
+struct mm_read_barrier
 {
   mm_job_log *log;
   GQueue *requests; /* in the order of arrival */
@@ -23,10 +23,10 @@
   mm_time_ms record_sent_ms;
 };
 
-mm_absence *
-mm_absence_create (mm_job_log *log)
+mm_read_barrier *
+mm_read_barrier_create (mm_job_log *log)
 {
-  mm_absence *barrier = g_new0 (mm_absence, 1);
+  mm_read_barrier *barrier = g_new0 (mm_read_barrier, 1);
   barrier->log = log;
   barrier->requests = g_queue_new ();
   return barrier;
@@ -43,7 +43,7 @@
 }
 
 static void
-answer_first (mm_absence *barrier, guint n, mm_kept_status status)
+answer_first (mm_read_barrier *barrier, guint n, mm_kept_status status)
 {
   for (guint i = 0; i < n; i++)
     {
@@ -55,7 +55,7 @@
 }
 
 void
-mm_absence_destroy (mm_absence *barrier)
+mm_read_barrier_destroy (mm_read_barrier *barrier)
 {
   if (!barrier)
     return;
@@ -67,17 +67,17 @@
 static void
 on_stored (void *ctx, bool ok)
 {
-  mm_absence *barrier = ctx;
+  mm_read_barrier *barrier = ctx;
   guint n = barrier->n_covered;
   barrier->n_covered = 0;
   answer_first (barrier, n, ok ? MM_KEPT_NO_JOB : MM_KEPT_MOVING);
 }
 
 static void
-store_record (mm_absence *barrier, mm_time_ms now)
+store_record (mm_read_barrier *barrier, mm_time_ms now)
 {
   if (barrier->n_covered || !barrier->requests->length
-      || now - barrier->record_sent_ms < MM_ABSENCE_PAUSE_MS)
+      || now - barrier->record_sent_ms < MM_READ_BARRIER_PAUSE_MS)
     return;
   const request *first = g_queue_peek_head (barrier->requests);
   barrier->record_sent_ms = now;
@@ -86,8 +86,8 @@
 }
 
 void
-mm_absence_ask (mm_absence *barrier, const char *job_id,
-                mm_kept_answered answered, void *ctx)
+mm_read_barrier_request (mm_read_barrier *barrier, const char *job_id,
+                         mm_kept_answered answered, void *ctx)
 {
   mm_time_ms now = mm_clock_now_ms ();
   request *r = g_new (request, 1);
@@ -100,7 +100,7 @@
 }
 
 void
-mm_absence_tick (mm_absence *barrier)
+mm_read_barrier_tick (mm_read_barrier *barrier)
 {
   mm_time_ms now = mm_clock_now_ms ();
   for (GList *l = barrier->requests->head; l; l = l->next)
--- a/src/mm_absence.h
+++ b/src/mm_read_barrier.h
@@ -1,4 +1,5 @@
-/* mm_absence: confirms with a stored record that a kept job does not exist.
+/* mm_read_barrier: confirms with a stored record that a kept job does not
+   exist.
 
    A kept job is a durable job: stored before its caller is told that it is
    accepted, and run to its end whatever instance dies.  The home of a
@@ -9,23 +10,23 @@
    refuses records of a former home.  So a job that the home does not know
    does not exist once the store has accepted a record that the home sent
    after the request arrived.  */
-#ifndef MM_ABSENCE_H
-#define MM_ABSENCE_H
+#ifndef MM_READ_BARRIER_H
+#define MM_READ_BARRIER_H
 
 #include "mm_job_log.h"
 #include "mm_kept.h"
 
-typedef struct mm_absence mm_absence;
+typedef struct mm_read_barrier mm_read_barrier;
 
 /* @log must outlive the returned object's use.  */
-mm_absence *mm_absence_create (mm_job_log *log);
+mm_read_barrier *mm_read_barrier_create (mm_job_log *log);
 /* Must be called after the log is closed.  */
-void mm_absence_destroy (mm_absence *barrier);
+void mm_read_barrier_destroy (mm_read_barrier *barrier);
 /* Calls @answered once: with NO_JOB, with MOVING when this instance is not
    the home any more, or with BUSY when the store does not answer in time.  */
-void mm_absence_ask (mm_absence *barrier, const char *job_id,
-                     mm_kept_answered answered, void *ctx);
+void mm_read_barrier_request (mm_read_barrier *barrier, const char *job_id,
+                              mm_kept_answered answered, void *ctx);
 /* Must be called every MM_EXEC_TICK_MS.  */
-void mm_absence_tick (mm_absence *barrier);
+void mm_read_barrier_tick (mm_read_barrier *barrier);
 
-#endif /* MM_ABSENCE_H */
+#endif /* MM_READ_BARRIER_H */
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -7,7 +7,7 @@
 #include "mm_routes.h"
 #include "mm_dispatch.h"
 #include "mm_submission.h"
-#include "mm_transit.h"
+#include "mm_queue_delay.h"
 #include "mm_breaker.h"
 #include "harness.h"
 
@@ -369,7 +369,7 @@
 START_TEST (queue_delay_is_found_despite_clock_offset_and_drift)
 {
   GRand *rnd = g_rand_new_with_seed ((guint32)_i);
-  mm_transit t = { 0 };
+  mm_queue_delay t = { 0 };
   mm_time_ms offset_ms = g_rand_int_range (rnd, -1000000, 1000000);
   mm_time_ms queue_ms = 0;
   for (mm_time_ms now = 10000000; now < 10600000; now += 200)
@@ -380,8 +380,8 @@
         queue_ms = 0;
       mm_time_ms drift_ms = (now - 10000000) / 10000;
       mm_time_ms sent_ms = now - queue_ms - 2 + offset_ms - drift_ms;
-      mm_time_ms delay_ms = mm_transit_held_up_ms (&t, sent_ms, now);
-      if (now < 10000000 + MM_TRANSIT_WINDOW_MS)
+      mm_time_ms delay_ms = mm_queue_delay_record_ms (&t, sent_ms, now);
+      if (now < 10000000 + MM_QUEUE_DELAY_WINDOW_MS)
         continue;
       ck_assert_int_ge (delay_ms, queue_ms - 10);
       ck_assert_int_le (delay_ms, queue_ms + 10);
@@ -392,16 +392,16 @@
 
 START_TEST (stalled_peer_counts_as_delayed_for_a_while_only)
 {
-  mm_transit t = { 0 };
+  mm_queue_delay t = { 0 };
   mm_time_ms now = 1000;
-  ck_assert_int_eq (mm_transit_held_up_ms (&t, now, now), 0);
-  ck_assert_int_eq (mm_transit_held_up_ms (&t, now - 3000, now), 3000);
+  ck_assert_int_eq (mm_queue_delay_record_ms (&t, now, now), 0);
+  ck_assert_int_eq (mm_queue_delay_record_ms (&t, now - 3000, now), 3000);
   for (int i = 0; i < 3; i++)
     {
-      now += MM_TRANSIT_WINDOW_MS;
-      mm_transit_held_up_ms (&t, now - 3000, now);
+      now += MM_QUEUE_DELAY_WINDOW_MS;
+      mm_queue_delay_record_ms (&t, now - 3000, now);
     }
-  ck_assert_int_eq (mm_transit_held_up_ms (&t, now - 3000, now), 0);
+  ck_assert_int_eq (mm_queue_delay_record_ms (&t, now - 3000, now), 0);
 }
 END_TEST
 
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -662,19 +662,19 @@
   slow_store s = { 0 };
   mm_home *h = open_home (&s, l.fleet);
   caller_counts c = { 0 };
-  now_ms += MM_ABSENCE_PAUSE_MS;
+  now_ms += MM_READ_BARRIER_PAUSE_MS;
   uint32_t before = s.appends;
   for (int i = 0; i < REQUESTS; i++)
     mm_home_confirm_state (h, "nobodys", on_answered, &c);
   ck_assert_int_eq (c.no_job, 0);
   answer_append (&s, MM_APPEND_OK, 0);
   ck_assert_int_eq (c.no_job, 1); /* the others came after this record */
-  now_ms += MM_ABSENCE_PAUSE_MS;
+  now_ms += MM_READ_BARRIER_PAUSE_MS;
   mm_home_tick (h, true);
   answer_append (&s, MM_APPEND_OK, 0);
   ck_assert_int_eq (c.no_job, REQUESTS);
   ck_assert_uint_eq (s.appends - before, 2);
-  now_ms += MM_ABSENCE_PAUSE_MS;
+  now_ms += MM_READ_BARRIER_PAUSE_MS;
   mm_home_cancel (h, "nobodys", on_answered, &c);
   answer_append (&s, MM_APPEND_FENCED, 0);
   ck_assert_int_eq (c.no_job, REQUESTS);
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -255,7 +255,7 @@
   ev_timer_start (fx->loop, &fx->heartbeat);
   /* Waits until each instance has read all of the list and accepts updates of
      peers.  */
-  run_for (fx, MM_LIST_OWN_MS + 2 * MM_LIST_POLL_MS);
+  run_for (fx, MM_LIST_OWN_READS_MS + 2 * MM_LIST_POLL_MS);
   return fx;
 }
 
@@ -311,7 +311,7 @@
   for (int i = 0; i < INSTANCES; i++)
     ck_assert_int_le (
         now - mm_stream_known_ms (mm_list_share_stream (fx->list_share[i])),
-        MM_LIST_POLL_MS + MM_LIST_PLACE_MS * MM_LIST_PLACES_MAX);
+        MM_LIST_POLL_MS + MM_LIST_RANK_DELAY_MS * MM_LIST_RANK_MAX);
   append_record (fx, 7, true);
   ck_assert_int_le (known_to_all_ms (fx, 7), DRAIN_BOUND_MS);
 }
@@ -353,7 +353,7 @@
 
 /* Delivers a peer's update without changes that was sent @sent_ago_ms ago.  */
 static void
-deliver_update (fixture *fx, mm_transit *delay, mm_time_ms sent_ago_ms)
+deliver_update (fixture *fx, mm_queue_delay *delay, mm_time_ms sent_ago_ms)
 {
   uint64_t next = mm_stream_next (mm_list_share_stream (fx->list_share[0]));
   mm_list_update n = { .from = next, .to = next, .age_ms = 5 };
@@ -377,7 +377,7 @@
   for (int i = 1; i < INSTANCES; i++)
     stop_instance (fx, i);
   fx->unanswered = 0;
-  mm_transit delay = { 0 };
+  mm_queue_delay delay = { 0 };
   mm_time_ms start_ms = mm_clock_now_ms ();
   deliver_update (fx, &delay, 0);
   mm_time_ms known_ms = mm_stream_known_ms (list);
@@ -400,7 +400,7 @@
     run_for (fx, MM_EXEC_TICK_MS);
   run_for (fx, after_ms);
   fx->unanswered = i;
-  run_for (fx, MM_LIST_POLL_MS + MM_LIST_PLACES_MAX * MM_LIST_PLACE_MS);
+  run_for (fx, MM_LIST_POLL_MS + MM_LIST_RANK_MAX * MM_LIST_RANK_DELAY_MS);
 }
 
 /* Guards against an instance that misses changes after a full read: it ignores
@@ -408,7 +408,7 @@
 START_TEST (instance_refused_after_a_full_read_is_updated_by_the_others)
 {
   fixture *fx = fixture_create ();
-  full_read_then_lose_store (fx, 0, MM_LIST_OWN_MS - MM_LIST_POLL_MS);
+  full_read_then_lose_store (fx, 0, MM_LIST_OWN_READS_MS - MM_LIST_POLL_MS);
   append_record (fx, 0, true);
   ck_assert_int_le (known_to_all_ms (fx, 0), DRAIN_BOUND_MS);
 }
@@ -455,7 +455,7 @@
           for (int k = 0; k < INSTANCES; k++)
             if (k != i)
               others = g_list_prepend (others, names[k]);
-          if (mm_list_place (names[i], others, round) == 0)
+          if (mm_list_read_rank (names[i], others, round) == 0)
             {
               firsts++;
               first[i] = true;
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -3,7 +3,7 @@
 #include "config.h"
 #include "mm_catalog.h"
 #include "mm_group_table.h"
-#include "mm_shares.h"
+#include "mm_partitions.h"
 #include "mm_stream.h"
 #include "harness.h"
 
@@ -120,7 +120,7 @@
   GList *calls;
   weather weather[NODES];
   node_store stores[NODES];
-  mm_shares *shares[NODES];
+  mm_partitions *shares[NODES];
 } world;
 
 static world *
@@ -143,7 +143,7 @@
       = { .join = store_join, .leave = store_leave, .ctx = &w->stores[i] };
   char name[16];
   snprintf (name, sizeof name, "node%d", i);
-  w->shares[i] = mm_shares_create (&port, "room", name, PARTS);
+  w->shares[i] = mm_partitions_create (&port, "room", name, PARTS);
 }
 
 static void
@@ -168,7 +168,7 @@
     }
   for (int i = 0; i < NODES; i++)
     if (w->shares[i] && now_ms % MM_EXEC_TICK_MS == 0)
-      mm_shares_tick (w->shares[i]);
+      mm_partitions_tick (w->shares[i]);
 }
 
 static void
@@ -182,7 +182,7 @@
 world_destroy (world *w)
 {
   for (int i = 0; i < NODES; i++)
-    mm_shares_destroy (w->shares[i]);
+    mm_partitions_destroy (w->shares[i]);
   for (GList *l = w->calls; l; l = l->next)
     {
       store_call *c = l->data;
@@ -216,7 +216,8 @@
     {
       uint64_t fence = 0;
       if (w->shares[i]
-          && mm_shares_of (w->shares[i], name, &fence) == MM_SHARE_OURS)
+          && mm_partitions_upstream_state (w->shares[i], name, &fence)
+                 == MM_PARTITION_OWNED)
         {
           n++;
           *highest = MAX (*highest, fence);
@@ -268,9 +269,9 @@
   world_join (w, 2);
   assert_never_two_owners (w, HANDOVERS_MS);
   assert_one_owner_each (w);
-  mm_shares_leave (w->shares[1]);
+  mm_partitions_leave (w->shares[1]);
   assert_never_two_owners (w, 2000);
-  ck_assert (mm_shares_left (w->shares[1]));
+  ck_assert (mm_partitions_has_left (w->shares[1]));
   assert_one_owner_each (w);
   world_destroy (w);
 }
@@ -282,7 +283,7 @@
   world *w = ctx;
   for (int i = 0; i < NODES; i++)
     if (w->shares[i])
-      mm_shares_hurry (w->shares[i]);
+      mm_partitions_poll_now (w->shares[i]);
 }
 
 /* Longest time for which some upstream had no owner, in @ms.  */
@@ -296,8 +297,8 @@
       gap = unowned (w) ? gap + 1 : 0;
       longest = MAX (longest, gap);
       for (int i = 0; i < NODES; i++)
-        if (w->shares[i] && mm_shares_releasing (w->shares[i]))
-          mm_shares_release (w->shares[i]);
+        if (w->shares[i] && mm_partitions_releasing (w->shares[i]))
+          mm_partitions_release (w->shares[i]);
     }
   return longest;
 }
@@ -310,15 +311,15 @@
 {
   world *w = world_create ();
   world_join (w, 0);
-  mm_shares_events ev = { .handed = tell_other, .ctx = w };
-  mm_shares_on (w->shares[0], &ev);
+  mm_partitions_events ev = { .handed = tell_other, .ctx = w };
+  mm_partitions_set_events (w->shares[0], &ev);
   world_run (w, 500);
   world_join (w, 1);
-  mm_shares_on (w->shares[1], &ev);
+  mm_partitions_set_events (w->shares[1], &ev);
   ck_assert_int_le (longest_gap (w, 3000),
                     2 * (CALL_MS + MM_EXEC_TICK_MS) + CALL_MS);
   assert_one_owner_each (w);
-  mm_shares_leave (w->shares[0]);
+  mm_partitions_leave (w->shares[0]);
   ck_assert_int_le (longest_gap (w, 3000),
                     2 * (CALL_MS + MM_EXEC_TICK_MS) + CALL_MS);
   assert_one_owner_each (w);
@@ -484,7 +485,7 @@
   mm_clock_set_source (test_clock, NULL);
   mm_catalog *c = mm_catalog_create ();
   mm_catalog_put (c, some_upstream ("a"), &(mm_catalog_origin){ 0 });
-  mm_catalog_missing (c, "a");
+  mm_catalog_set_missing (c, "a");
   for (int i = 0; i < 8000; i += 25)
     {
       now_ms += 25;
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -249,14 +249,14 @@
   size_t outsider = 0;
   while (before[outsider] || strcmp (c[outsider].datacentre, "east") != 0)
     outsider++;
-  c[outsider].stands_in = true;
+  c[outsider].is_standby = true;
   mm_neighbours_choose ("self", "north", c, N, 5000, after);
   for (size_t i = 0; i < N; i++)
     ck_assert (!(before[i] && after[i]));
   ck_assert (after[outsider]);
   ck_assert_uint_eq (chosen_in (c, after, N, "north"), MM_NEIGHBOURS_NEAR);
   /* Some time later they are tried again.  */
-  c[outsider].stands_in = false;
+  c[outsider].is_standby = false;
   mm_neighbours_choose ("self", "north", c, N, 4900 + MM_NEIGHBOUR_LOST_MS,
                         after);
   ck_assert_mem_eq (before, after, sizeof before);
--- a/tests/test_ownership_changes.c
+++ b/tests/test_ownership_changes.c
@@ -22,7 +22,7 @@
 
 typedef struct
 {
-  mm_share_state state;
+  mm_partition_state state;
   uint64_t fence;
 } partition;
 
@@ -46,7 +46,7 @@
   return &fx->partitions[u->name[1] - '0'];
 }
 
-static mm_share_state
+static mm_partition_state
 partition_state (void *ctx, const mm_upstream_info *u, uint64_t *fence)
 {
   const partition *p = partition_of (ctx, u);
@@ -71,7 +71,7 @@
 {
   const fixture *fx = ctx;
   for (int i = 0; i < UPSTREAMS; i++)
-    if (fx->partitions[i].state != MM_SHARE_OTHERS)
+    if (fx->partitions[i].state != MM_PARTITION_ELSEWHERE)
       return true;
   return false;
 }
@@ -84,9 +84,10 @@
 }
 
 static void
-assign (fixture *fx, int i, mm_share_state state)
+assign (fixture *fx, int i, mm_partition_state state)
 {
-  if (state == MM_SHARE_OURS && fx->partitions[i].state == MM_SHARE_OTHERS)
+  if (state == MM_PARTITION_OWNED
+      && fx->partitions[i].state == MM_PARTITION_ELSEWHERE)
     fx->partitions[i].fence = ++fx->last_fence;
   fx->partitions[i].state = state;
   fx->changes++;
@@ -110,11 +111,11 @@
   mm_exec_port port = fakes_port (fx->fake_upstreams);
   fx->owner = mm_owner_create (&port);
   fx->catalog = mm_catalog_create ();
-  mm_ownership_shares partitions = { .of = partition_state,
-                                     .retake = partition_renew_fence,
-                                     .changes = partition_changes,
-                                     .any = owns_any_partition,
-                                     .ctx = fx };
+  mm_ownership_partitions partitions = { .of = partition_state,
+                                         .retake = partition_renew_fence,
+                                         .changes = partition_changes,
+                                         .any = owns_any_partition,
+                                         .ctx = fx };
   fx->ownership = mm_ownership_create (fx->catalog, fx->owner, &partitions);
   fx->list_fresh = true;
   for (int i = 0; i < UPSTREAMS; i++)
@@ -123,7 +124,7 @@
       g_snprintf (name, sizeof name, "u%d", i);
       fx->upstreams[i] = fakes_add (fx->fake_upstreams, name, UPSTREAM_CPU);
       list_upstream (fx, i);
-      assign (fx, i, MM_SHARE_OURS);
+      assign (fx, i, MM_PARTITION_OWNED);
     }
   run_for (fx, 100);
   return fx;
@@ -215,7 +216,7 @@
   fixture *fx = fixture_create ();
   start_long_tasks (fx);
   for (int i = 0; i < UPSTREAMS; i++)
-    assign (fx, i, MM_SHARE_LEAVING);
+    assign (fx, i, MM_PARTITION_RELEASING);
   uint32_t starts = total_starts (fx);
   submit_short_tasks (fx, 200);
   ck_assert_uint_gt (total_starts (fx), starts);
@@ -270,7 +271,7 @@
   start_long_tasks (fx);
   for (int i = 0; i < UPSTREAMS; i++)
     {
-      assign (fx, i, MM_SHARE_LEAVING);
+      assign (fx, i, MM_PARTITION_RELEASING);
       fake_set_listed_cpu (fx->upstreams[i], 2 * TASK_CPU);
       list_upstream (fx, i);
     }
@@ -292,7 +293,7 @@
 {
   fixture *fx = fixture_create ();
   fx->list_fresh = false;
-  mm_catalog_missing (fx->catalog, "u0");
+  mm_catalog_set_missing (fx->catalog, "u0");
   for (mm_time_ms t = 0; t <= MM_LIST_DROP_MS; t += MM_EXEC_TICK_MS)
     {
       mm_catalog_tick (fx->catalog, true);
@@ -319,13 +320,13 @@
       break;
     case 1:
     case 2:
-      assign (fx, i, (mm_share_state)g_rand_int_range (rnd, 0, 3));
+      assign (fx, i, (mm_partition_state)g_rand_int_range (rnd, 0, 3));
       break;
     case 3:
       fx->list_fresh = g_rand_boolean (rnd);
       break;
     default:
-      mm_catalog_missing (fx->catalog, fake_info (fx->upstreams[i])->name);
+      mm_catalog_set_missing (fx->catalog, fake_info (fx->upstreams[i])->name);
       list_upstream (fx, i);
       break;
     }
