--- a/src/mm_link.c
+++ b/src/mm_link.c
@@ -1,5 +1,5 @@
 /* mm_link: a TCP connection that carries msgpack objects.  The link owns
-   its socket and buffers; whoever made it is told when it closes.  */
+   its socket and buffers and notifies its creator when it closes.  */
 #define _GNU_SOURCE
 #include "mm_link.h"
 
@@ -23,100 +23,103 @@
   msgpack_unpacker in;
   GByteArray *out;
   mm_link_events ev;
-  mm_time_ms heard_ms;
-  bool busy; /* inside a callback: free later */
+  mm_time_ms received_ms; /* when bytes were last received */
+  bool in_callback;       /* read_cb frees the link after the callback */
   bool closing;
 };
 
 static void
-link_free (mm_link *l)
+link_free (mm_link *link)
 {
-  msgpack_unpacker_destroy (&l->in);
-  g_byte_array_free (l->out, TRUE);
-  g_free (l);
+  msgpack_unpacker_destroy (&link->in);
+  g_byte_array_free (link->out, TRUE);
+  g_free (link);
 }
 
 void
-mm_link_close (mm_link *l, const char *why)
+mm_link_close (mm_link *link, const char *why)
 {
-  if (l->closing)
+  if (link->closing)
     return;
-  l->closing = true;
-  ev_io_stop (l->loop, &l->read_io);
-  ev_io_stop (l->loop, &l->write_io);
-  close (l->fd);
-  l->ev.closed (l->ev.ctx, why);
-  if (!l->busy)
-    link_free (l);
+  link->closing = true;
+  ev_io_stop (link->loop, &link->read_io);
+  ev_io_stop (link->loop, &link->write_io);
+  close (link->fd);
+  link->ev.closed (link->ev.ctx, why);
+  if (!link->in_callback)
+    link_free (link);
 }
 
-/* Hand over every whole object.  Return: false when the link closed.  */
+/* Delivers every complete object to the object event.  Returns false when the
+   link has closed.  */
 static bool
-drain_objects (mm_link *l)
+drain_objects (mm_link *link)
 {
   msgpack_unpacked msg;
   msgpack_unpacked_init (&msg);
   msgpack_unpack_return ret = MSGPACK_UNPACK_CONTINUE;
   bool ok = true;
-  while (ok && !l->closing
-         && (ret = msgpack_unpacker_next (&l->in, &msg))
+  while (ok && !link->closing
+         && (ret = msgpack_unpacker_next (&link->in, &msg))
                 == MSGPACK_UNPACK_SUCCESS)
-    ok = l->ev.object (l->ev.ctx, &msg.data);
+    ok = link->ev.object (link->ev.ctx, &msg.data);
   msgpack_unpacked_destroy (&msg);
   if (!ok || ret == MSGPACK_UNPACK_PARSE_ERROR)
-    mm_link_close (l, "malformed object");
-  else if (msgpack_unpacker_message_size (&l->in) > MM_LINK_MAX_BYTES)
-    mm_link_close (l, "object too large");
-  return !l->closing;
+    mm_link_close (link, "malformed object");
+  else if (msgpack_unpacker_message_size (&link->in) > MM_LINK_MAX_BYTES)
+    mm_link_close (link, "object too large");
+  return !link->closing;
 }
 
 static void
 read_cb (struct ev_loop *loop, ev_io *w, int revents)
 {
-  mm_link *l = w->data;
-  if (!msgpack_unpacker_reserve_buffer (&l->in, READ_CHUNK_BYTES))
+  mm_link *link = w->data;
+  if (!msgpack_unpacker_reserve_buffer (&link->in, READ_CHUNK_BYTES))
     {
-      mm_link_close (l, "out of memory");
+      mm_link_close (link, "out of memory");
       return;
     }
-  ssize_t n = read (l->fd, msgpack_unpacker_buffer (&l->in), READ_CHUNK_BYTES);
+  ssize_t n
+      = read (link->fd, msgpack_unpacker_buffer (&link->in), READ_CHUNK_BYTES);
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
     return;
   if (n <= 0)
     {
-      mm_link_close (l, n == 0 ? "closed by the peer" : strerror (errno));
+      mm_link_close (link, n == 0 ? "closed by the peer" : strerror (errno));
       return;
     }
-  l->heard_ms = mm_clock_now_ms ();
-  msgpack_unpacker_buffer_consumed (&l->in, (size_t)n);
-  l->busy = true;
-  bool open = drain_objects (l);
-  l->busy = false;
+  link->received_ms = mm_clock_now_ms ();
+  msgpack_unpacker_buffer_consumed (&link->in, (size_t)n);
+  link->in_callback = true;
+  bool open = drain_objects (link);
+  link->in_callback = false;
   if (!open)
-    link_free (l);
+    link_free (link);
 }
 
 static void
-flush (mm_link *l)
+flush (mm_link *link)
 {
-  while (l->out->len)
+  while (link->out->len)
     {
-      ssize_t n = send (l->fd, l->out->data, l->out->len, MSG_NOSIGNAL);
+      ssize_t n
+          = send (link->fd, link->out->data, link->out->len, MSG_NOSIGNAL);
       if (n < 0 && (errno == EAGAIN || errno == EINTR || errno == ENOTCONN))
         break;
       if (n < 0)
         {
-          /* The read side reports the failure, from the loop.  */
-          shutdown (l->fd, SHUT_RDWR);
-          g_byte_array_set_size (l->out, 0);
+          /* read_cb() then closes the link, from the event loop.  */
+          shutdown (link->fd, SHUT_RDWR);
+          g_byte_array_set_size (link->out, 0);
           break;
         }
-      g_byte_array_remove_range (l->out, 0, (guint)n);
+      g_byte_array_remove_range (link->out, 0, (guint)n);
     }
-  if (l->out->len)
-    ev_io_start (l->loop, &l->write_io);
+  if (link->out->len)
+    ev_io_start (link->loop, &link->write_io);
   else
-    ev_io_stop (l->loop, &l->write_io);
+    ev_io_stop (link->loop, &link->write_io);
 }
 
 static void
@@ -126,30 +129,30 @@
 }
 
 /**
- * mm_link_adopt() - a link on a connected (or connecting) socket.
- * @loop: the loop that drives it.
- * @fd: non-blocking socket; the link's from now on.
- * @ev: what its maker is told.
+ * mm_link_adopt() - create a link on a connected or connecting socket.
+ * @loop: event loop that drives the link.
+ * @fd: non-blocking socket; the link takes ownership of it.
+ * @ev: callbacks; copied.
  *
- * Return: the link; it frees itself when it closes.
+ * Return: the link, which frees itself when it closes.
  */
 mm_link *
 mm_link_adopt (struct ev_loop *loop, int fd, const mm_link_events *ev)
 {
-  mm_link *l = g_new0 (mm_link, 1);
-  l->loop = loop;
-  l->fd = fd;
-  l->ev = *ev;
-  l->out = g_byte_array_new ();
-  l->heard_ms = mm_clock_now_ms ();
-  msgpack_unpacker_init (&l->in, READ_CHUNK_BYTES);
+  mm_link *link = g_new0 (mm_link, 1);
+  link->loop = loop;
+  link->fd = fd;
+  link->ev = *ev;
+  link->out = g_byte_array_new ();
+  link->received_ms = mm_clock_now_ms ();
+  msgpack_unpacker_init (&link->in, READ_CHUNK_BYTES);
   int one = 1;
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-  ev_io_init (&l->read_io, read_cb, fd, EV_READ);
-  ev_io_init (&l->write_io, write_cb, fd, EV_WRITE);
-  l->read_io.data = l->write_io.data = l;
-  ev_io_start (loop, &l->read_io);
-  return l;
+  ev_io_init (&link->read_io, read_cb, fd, EV_READ);
+  ev_io_init (&link->write_io, write_cb, fd, EV_WRITE);
+  link->read_io.data = link->write_io.data = link;
+  ev_io_start (loop, &link->read_io);
+  return link;
 }
 
 static bool
@@ -194,27 +197,27 @@
 }
 
 void
-mm_link_send (mm_link *l, const msgpack_sbuffer *objects)
+mm_link_send (mm_link *link, const msgpack_sbuffer *objects)
 {
-  if (l->closing)
+  if (link->closing)
     return;
-  g_byte_array_append (l->out, (const guint8 *)objects->data,
+  g_byte_array_append (link->out, (const guint8 *)objects->data,
                        (guint)objects->size);
-  if (l->out->len > MM_LINK_MAX_BYTES)
+  if (link->out->len > MM_LINK_MAX_BYTES)
     {
-      g_warning ("link: peer does not read, %u bytes unsent: cut",
-                 l->out->len);
-      shutdown (l->fd, SHUT_RDWR);
-      g_byte_array_set_size (l->out, 0);
+      g_warning ("link: closed, as the peer does not read: %u bytes unsent",
+                 link->out->len);
+      shutdown (link->fd, SHUT_RDWR);
+      g_byte_array_set_size (link->out, 0);
       return;
     }
-  flush (l);
+  flush (link);
 }
 
 mm_time_ms
-mm_link_heard_ms (const mm_link *l)
+mm_link_received_ms (const mm_link *link)
 {
-  return l->heard_ms;
+  return link->received_ms;
 }
 
 int
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -360,7 +360,7 @@
 static void
 peer_tick (mm_mesh_peer *p, mm_time_ms now)
 {
-  if (p->link && now - mm_link_heard_ms (p->link) > MM_MESH_SILENT_MS)
+  if (p->link && now - mm_link_received_ms (p->link) > MM_MESH_SILENT_MS)
     mm_link_close (p->link, silent);
   if (unneeded_now (p))
     mm_link_close (p->link, unneeded);
@@ -629,7 +629,7 @@
     {
       next = l->next;
       mm_mesh_inbound_link *in = l->data;
-      if (now - mm_link_heard_ms (in->link) > MM_MESH_SILENT_MS)
+      if (now - mm_link_received_ms (in->link) > MM_MESH_SILENT_MS)
         mm_link_close (in->link, silent);
       else
         send_report (in, rooms, n, now);
