--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -1,9 +1,10 @@
 /* mm_mesh: links to and from the other instances.
 
-   Each instance opens links to some others (mm_neighbours) and hands them
-   tasks over these.  A link that breaks or falls silent ends everything on it:
-   the owner stops the tasks that came over it, as their callers may send
-   the job again elsewhere; the sender reports them as out of sight.  */
+   Each instance opens links to some others (mm_neighbours) and dispatches
+   tasks over them.  When a link breaks or the peer is unresponsive, the tasks
+   on the link end: the owner stops those that it received over the link, as
+   their callers may send the job again elsewhere, and the sender reports them
+   as in doubt.  */
 #define _GNU_SOURCE
 #include "mm_mesh_priv.h"
 
@@ -15,90 +16,92 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A task taken in over a link.  */
+/* A task received over a link.  */
 typedef struct
 {
   mm_mesh_inbound_link *from;
-  uint64_t no;
+  uint64_t number;
   mm_work *work;
-} taken;
+} inbound_task;
 
-static const char silent[] = "silent"; /* why a link was given up */
-static const char unneeded[] = "not a neighbour any more";
+/* Reasons for closing a link, compared by address.  */
+static const char why_unresponsive[] = "silent";
+static const char why_unneeded[] = "not a neighbour any more";
 
-/* ---- the owner's side ------------------------------------------------- */
+/* ---- inbound links: the owner of upstreams ---------------------------- */
 
 static void
-on_taken_done (void *ctx, const mm_work_result *r)
+on_inbound_task_done (void *ctx, const mm_work_result *r)
 {
-  taken *t = ctx;
+  inbound_task *t = ctx;
   mm_mesh_inbound_link *in = t->from;
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
-  mm_mesh_pack_ended (&b, t->no, r);
+  mm_mesh_pack_ended (&b, t->number, r);
   mm_link_send (in->link, &b);
   msgpack_sbuffer_destroy (&b);
-  g_hash_table_remove (in->works, &t->no);
+  g_hash_table_remove (in->tasks, &t->number);
 }
 
 static void
-take_run (mm_mesh_inbound_link *in, const mm_mesh_msg *m)
+handle_run (mm_mesh_inbound_link *in, const mm_mesh_msg *msg)
 {
-  if (g_hash_table_contains (in->works, &m->no))
+  if (g_hash_table_contains (in->tasks, &msg->number))
     return;
-  taken *t = g_new0 (taken, 1);
+  inbound_task *t = g_new0 (inbound_task, 1);
   t->from = in;
-  t->no = m->no;
-  in->seen_no = MAX (in->seen_no, m->no);
-  g_hash_table_insert (in->works, &t->no, t);
-  t->work = mm_owner_submit (in->mesh->owner, &m->request, on_taken_done, t);
+  t->number = msg->number;
+  in->seen_number = MAX (in->seen_number, msg->number);
+  g_hash_table_insert (in->tasks, &t->number, t);
+  t->work = mm_owner_submit (in->mesh->owner, &msg->request,
+                             on_inbound_task_done, t);
 }
 
 static void
-take_cancel (mm_mesh_inbound_link *in, uint64_t no)
+handle_cancel (mm_mesh_inbound_link *in, uint64_t number)
 {
-  taken *t = g_hash_table_lookup (in->works, &no);
+  inbound_task *t = g_hash_table_lookup (in->tasks, &number);
   if (!t)
     return;
   mm_owner_cancel (in->mesh->owner, t->work);
-  g_hash_table_remove (in->works, &no);
+  g_hash_table_remove (in->tasks, &number);
 }
 
 static void
-take_hello (mm_mesh_inbound_link *in, const mm_mesh_msg *m)
+handle_hello (mm_mesh_inbound_link *in, const mm_mesh_msg *msg)
 {
   g_free (in->name);
-  in->name = g_strdup (m->name);
+  in->name = g_strdup (msg->name);
   mm_mesh_send_losses (in->mesh, in->link);
   if (in->mesh->hello)
-    in->mesh->hello (in->mesh->hello_ctx, m->name);
+    in->mesh->hello (in->mesh->hello_ctx, msg->name);
 }
 
 static bool
 on_inbound_object (void *ctx, const msgpack_object *o)
 {
   mm_mesh_inbound_link *in = ctx;
-  mm_mesh_msg m;
-  bool ok = mm_mesh_msg_read (o, &m);
-  if (ok && m.kind == MM_MESH_RUN)
-    take_run (in, &m);
-  else if (ok && m.kind == MM_MESH_CANCEL)
-    take_cancel (in, m.no);
-  else if (ok && m.kind == MM_MESH_ASK)
-    mm_mesh_take_ask (in, &m);
-  else if (ok && m.kind == MM_MESH_HANDED && in->mesh->handed)
-    in->mesh->handed (in->mesh->handed_ctx, m.name);
-  else if (ok && m.kind == MM_MESH_FOUND)
-    mm_mesh_take_found (in, &m);
-  else if (ok && m.kind == MM_MESH_UPDATE)
-    mm_mesh_take_update (in->mesh, in->name, &in->transit, &m);
-  else if (ok && m.kind == MM_MESH_LOSS)
-    mm_mesh_take_loss (in->mesh, &m);
-  else if (ok && m.kind == MM_MESH_HELLO)
-    take_hello (in, &m);
+  mm_mesh_msg msg;
+  bool ok = mm_mesh_msg_read (o, &msg);
+  if (ok && msg.kind == MM_MESH_RUN)
+    handle_run (in, &msg);
+  else if (ok && msg.kind == MM_MESH_CANCEL)
+    handle_cancel (in, msg.number);
+  else if (ok && msg.kind == MM_MESH_REQUEST)
+    mm_mesh_handle_request (in, &msg);
+  else if (ok && msg.kind == MM_MESH_RELEASED && in->mesh->released)
+    in->mesh->released (in->mesh->released_ctx, msg.name);
+  else if (ok && msg.kind == MM_MESH_FOUND)
+    mm_mesh_handle_found (in, &msg);
+  else if (ok && msg.kind == MM_MESH_UPDATE)
+    mm_mesh_take_update (in->mesh, in->name, &in->queue_delay, &msg);
+  else if (ok && msg.kind == MM_MESH_LOSS)
+    mm_mesh_handle_loss (in->mesh, &msg);
+  else if (ok && msg.kind == MM_MESH_HELLO)
+    handle_hello (in, &msg);
   else
-    ok = ok && (m.kind == MM_MESH_BEAT || m.kind == MM_MESH_HANDED);
-  mm_mesh_msg_clear (&m);
+    ok = ok && (msg.kind == MM_MESH_HEARTBEAT || msg.kind == MM_MESH_RELEASED);
+  mm_mesh_msg_clear (&msg);
   return ok;
 }
 
@@ -107,18 +110,18 @@
 {
   mm_mesh_inbound_link *in = ctx;
   mm_mesh *m = in->mesh;
-  guint n = g_hash_table_size (in->works);
+  guint n = g_hash_table_size (in->tasks);
   if (n)
     mm_log_event (MM_EV_SENDER_LOST, MM_TEXT (why), MM_INT (n));
   GHashTableIter it;
   gpointer v;
-  g_hash_table_iter_init (&it, in->works);
+  g_hash_table_iter_init (&it, in->tasks);
   while (g_hash_table_iter_next (&it, NULL, &v))
-    mm_owner_cancel (m->owner, ((taken *)v)->work);
-  g_hash_table_destroy (in->works);
-  for (GList *l = in->replies; l; l = l->next)
+    mm_owner_cancel (m->owner, ((inbound_task *)v)->work);
+  g_hash_table_destroy (in->tasks);
+  for (GList *l = in->requests; l; l = l->next)
     ((mm_mesh_reply *)l->data)->to = NULL;
-  g_list_free (in->replies);
+  g_list_free (in->requests);
   g_byte_array_free (in->last_report, TRUE);
   g_free (in->name);
   m->inbound = g_list_remove (m->inbound, in);
@@ -134,7 +137,7 @@
     return;
   mm_mesh_inbound_link *in = g_new0 (mm_mesh_inbound_link, 1);
   in->mesh = m;
-  in->works
+  in->tasks
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, g_free);
   in->last_report = g_byte_array_new ();
   mm_link_events ev = { .object = on_inbound_object,
@@ -145,7 +148,7 @@
 }
 
 static size_t
-rooms_of (mm_owner *o, mm_mesh_room *out)
+read_capacities (mm_owner *o, mm_mesh_room *out)
 {
   size_t n = 0;
   GList *services = mm_owner_services (o);
@@ -159,11 +162,12 @@
   return n;
 }
 
-/* Between reports over one of so many links.  The more there are, the fewer go
-   over each; but one that tells of no life for MM_MESH_SILENT_MS is given up
-   at its other end.  Whoever stands in for a data centre has a link from every
-   instance: with the pause unbounded it would lose all of them over and over,
-   and with each the tasks of their callers.  */
+/* The time between reports on each link grows with the number of links, which
+   bounds the reports per second of all links together.  The pause has an upper
+   bound, as the peer closes a link on which it received nothing for
+   MM_MESH_SILENT_MS.  A standby instance has a link from every instance:
+   without the bound it would lose all of them again and again, and with each
+   link the tasks of the callers there.  */
 mm_time_ms
 mm_mesh_report_pause_ms (uint32_t links)
 {
@@ -171,18 +175,19 @@
   return CLAMP (pause_ms, MM_MESH_REPORT_MS, MM_MESH_BEAT_MS);
 }
 
-/* Tell of our room when it changed, and now and then as a sign of life. */
+/* Sends a report of the capacity when it changed, and as a heartbeat each
+   MM_MESH_BEAT_MS.  */
 static void
-send_report (mm_mesh_inbound_link *in, const mm_mesh_room *rooms, size_t n,
-             mm_time_ms now)
+send_report (mm_mesh_inbound_link *in, const mm_mesh_room *capacities,
+             size_t n, mm_time_ms now)
 {
   uint32_t links = mm_mesh_inbound (in->mesh);
   if (now - in->report_ms < mm_mesh_report_pause_ms (links))
     return;
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
-  mm_mesh_pack_report (&b, in->seen_no, in->mesh->self, in->mesh->leaving,
-                       rooms, n);
+  mm_mesh_pack_report (&b, in->seen_number, in->mesh->self, in->mesh->leaving,
+                       capacities, n);
   bool same = b.size == in->last_report->len
               && memcmp (b.data, in->last_report->data, b.size) == 0;
   if (!same || now - in->report_ms >= MM_MESH_BEAT_MS)
@@ -196,38 +201,39 @@
   msgpack_sbuffer_destroy (&b);
 }
 
-/* ---- the sender's side ------------------------------------------------ */
+/* ---- outbound links: the sender of tasks ------------------------------ */
 
 static void
-take_ended (mm_mesh_peer *p, const mm_mesh_msg *m)
+handle_ended (mm_mesh_peer *p, const mm_mesh_msg *msg)
 {
-  mm_remote *r = g_hash_table_lookup (p->remote, &m->no);
+  mm_remote *r = g_hash_table_lookup (p->remote_tasks, &msg->number);
   if (!r)
-    return; /* cancelled meanwhile */
-  g_hash_table_steal (p->remote, &m->no);
-  mm_work_result result = m->result;
+    return; /* was cancelled */
+  g_hash_table_steal (p->remote_tasks, &msg->number);
+  mm_work_result result = msg->result;
   result.owner = p->info.name;
   r->done (r->ctx, &result);
   g_free (r);
 }
 
-/* After a restart the list names the dead incarnation for a while, and the
-   new one answers at its address: under both names its room would count
-   twice.  Return: false for another instance than the one meant.  */
+/* Returns false when the report is of another instance than this peer.  After
+   a restart the member list still names the previous incarnation for a while,
+   and the new one answers at its address: its capacity would count twice,
+   under both names.  */
 static bool
-take_report (mm_mesh_peer *p, mm_mesh_msg *m)
+handle_report (mm_mesh_peer *p, mm_mesh_msg *msg)
 {
-  if (strcmp (m->name, p->info.name) != 0)
+  if (strcmp (msg->name, p->info.name) != 0)
     return false;
   if (!p->connected)
     mm_log_event (MM_EV_PEER_REACHED, MM_TEXT (p->info.name),
                   MM_TEXT (p->info.addr));
   p->connected = true;
-  p->leaving = m->leaving;
-  p->seen_no = m->no;
-  g_free (p->rooms);
-  p->rooms = g_steal_pointer (&m->rooms);
-  p->n_rooms = m->n_rooms;
+  p->leaving = msg->leaving;
+  p->seen_number = msg->number;
+  g_free (p->capacities);
+  p->capacities = g_steal_pointer (&msg->capacities);
+  p->n_capacities = msg->n_capacities;
   p->report_ms = mm_clock_now_ms ();
   return true;
 }
@@ -236,33 +242,34 @@
 on_peer_object (void *ctx, const msgpack_object *o)
 {
   mm_mesh_peer *p = ctx;
-  mm_mesh_msg m;
-  bool ok = mm_mesh_msg_read (o, &m);
-  if (ok && m.kind == MM_MESH_ENDED)
-    take_ended (p, &m);
-  else if (ok && m.kind == MM_MESH_TOLD)
-    mm_questions_answer (p->questions, m.no, m.data, m.len);
-  else if (ok && m.kind == MM_MESH_REPORT)
-    ok = take_report (p, &m);
-  else if (ok && m.kind == MM_MESH_UPDATE)
-    mm_mesh_take_update (p->mesh, p->info.name, &p->transit, &m);
-  else if (ok && m.kind == MM_MESH_LOSS)
-    mm_mesh_take_loss (p->mesh, &m);
+  mm_mesh_msg msg;
+  bool ok = mm_mesh_msg_read (o, &msg);
+  if (ok && msg.kind == MM_MESH_ENDED)
+    handle_ended (p, &msg);
+  else if (ok && msg.kind == MM_MESH_ANSWER)
+    mm_questions_answer (p->requests, msg.number, msg.data, msg.len);
+  else if (ok && msg.kind == MM_MESH_REPORT)
+    ok = handle_report (p, &msg);
+  else if (ok && msg.kind == MM_MESH_UPDATE)
+    mm_mesh_take_update (p->mesh, p->info.name, &p->queue_delay, &msg);
+  else if (ok && msg.kind == MM_MESH_LOSS)
+    mm_mesh_handle_loss (p->mesh, &msg);
   else
     ok = false;
-  mm_mesh_msg_clear (&m);
+  mm_mesh_msg_clear (&msg);
   return ok;
 }
 
 static const mm_work_result out_of_contact
     = { .how = MM_END_UNKNOWN, .why = "owner out of contact" };
 
-/* A process that ends closes its links; one that is cut off, frozen or
-   without power leaves them silent.  */
+/* Records when the peer itself closed its link.  A process that ends closes
+   its links; one that is disconnected, frozen or without power leaves them
+   open and unresponsive, so these do not count.  */
 static void
-note_closed (mm_mesh_peer *p, const char *why)
+record_closed (mm_mesh_peer *p, const char *why)
 {
-  if (why == silent || why == unneeded)
+  if (why == why_unresponsive || why == why_unneeded)
     return;
   mm_time_ms *now = g_new (mm_time_ms, 1);
   *now = mm_clock_now_ms ();
@@ -276,21 +283,22 @@
   mm_mesh_peer *p = ctx;
   if (p->connected)
     {
-      note_closed (p, why);
+      record_closed (p, why);
       mm_metrics_count (MM_CT_PEERS_LOST);
       mm_log_event (MM_EV_PEER_LOST, MM_TEXT (p->info.name), MM_TEXT (why),
-                    MM_INT (g_hash_table_size (p->remote)));
+                    MM_INT (g_hash_table_size (p->remote_tasks)));
     }
   p->link = NULL;
   p->connected = false;
-  p->n_rooms = 0;
-  if (why != unneeded)
+  p->n_capacities = 0;
+  if (why != why_unneeded)
     p->lost_ms = mm_clock_now_ms ();
-  p->mesh->choose_again = true;
-  /* One at a time: an answer given meanwhile cancels its job's others.  */
+  p->mesh->neighbours_stale = true;
+  /* The iterator restarts after each task: the callback may answer the job
+     and so cancel its other tasks, which changes the table.  */
   GHashTableIter it;
   gpointer v;
-  while (g_hash_table_iter_init (&it, p->remote),
+  while (g_hash_table_iter_init (&it, p->remote_tasks),
          g_hash_table_iter_next (&it, NULL, &v))
     {
       mm_remote *r = v;
@@ -298,20 +306,20 @@
       r->done (r->ctx, &out_of_contact);
       g_free (r);
     }
-  mm_questions_fail_all (p->questions);
+  mm_questions_fail_all (p->requests);
 }
 
 static void
 peer_connect (mm_mesh_peer *p, mm_time_ms now)
 {
-  if (now - p->tried_ms < MM_MESH_RECONNECT_MS)
+  if (now - p->connect_tried_ms < MM_MESH_RECONNECT_MS)
     return;
-  p->tried_ms = now;
+  p->connect_tried_ms = now;
   mm_link_events ev
       = { .object = on_peer_object, .closed = on_peer_closed, .ctx = p };
   GError *error = NULL;
-  p->next_no = p->seen_no = p->known_upto = 0;
-  p->transit = (mm_transit){ 0 };
+  p->last_number = p->seen_number = p->known_upto = 0;
+  p->queue_delay = (mm_transit){ 0 };
   p->link = mm_link_connect (p->mesh->loop, p->info.addr, &ev, &error);
   if (!p->link)
     {
@@ -341,37 +349,38 @@
   mm_mesh_peer *p = v;
   if (p->link)
     mm_link_close (p->link, "peer not listed any more");
-  g_hash_table_destroy (p->remote);
-  mm_questions_destroy (p->questions);
-  g_free (p->rooms);
+  g_hash_table_destroy (p->remote_tasks);
+  mm_questions_destroy (p->requests);
+  g_free (p->capacities);
   mm_peer_info_clear (&p->info);
   g_free (p);
 }
 
-/* A link that is not needed any more is kept until all chosen ones are up:
-   one that replaces it may be to an instance that is gone.  */
+/* Returns whether the link can be closed.  A link that is no longer wanted is
+   kept until all wanted ones are connected, as its replacement may lead to an
+   instance that is gone.  */
 static bool
-unneeded_now (const mm_mesh_peer *p)
+can_close (const mm_mesh_peer *p)
 {
-  return p->link && !p->chosen && p->mesh->chosen_up
-         && g_hash_table_size (p->remote) == 0;
+  return p->link && !p->wanted && p->mesh->wanted_connected
+         && g_hash_table_size (p->remote_tasks) == 0;
 }
 
 static void
 peer_tick (mm_mesh_peer *p, mm_time_ms now)
 {
   if (p->link && now - mm_link_received_ms (p->link) > MM_MESH_SILENT_MS)
-    mm_link_close (p->link, silent);
-  if (unneeded_now (p))
-    mm_link_close (p->link, unneeded);
-  if (!p->link && p->chosen)
+    mm_link_close (p->link, why_unresponsive);
+  if (can_close (p))
+    mm_link_close (p->link, why_unneeded);
+  if (!p->link && p->wanted)
     peer_connect (p, now);
   if (!p->link)
     return;
-  mm_questions_expire (p->questions, now);
-  if (now - p->beat_ms < MM_MESH_BEAT_MS)
+  mm_questions_expire (p->requests, now);
+  if (now - p->heartbeat_sent_ms < MM_MESH_BEAT_MS)
     return;
-  p->beat_ms = now;
+  p->heartbeat_sent_ms = now;
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_mesh_pack_beat (&b);
@@ -379,16 +388,16 @@
   msgpack_sbuffer_destroy (&b);
 }
 
-/* ---- both ------------------------------------------------------------- */
+/* ---- both directions -------------------------------------------------- */
 
 /**
- * mm_mesh_create() - listen for other instances.
- * @loop: the loop.
- * @self: our name as a peer.
- * @datacentre: where we stand.
- * @host: our address.
- * @port: our port for them.
- * @owner: runs what they hand in.
+ * mm_mesh_create() - create the mesh and listen for other instances.
+ * @loop: event loop.
+ * @self: member name of this instance.
+ * @datacentre: data centre of this instance.
+ * @host: IP address to listen on.
+ * @port: port to listen on.
+ * @owner: runs the tasks that peers dispatch to this instance.
  * @error: MM_ERROR_IO when the port cannot be bound.
  *
  * Return: the mesh, or NULL; free with mm_mesh_destroy().
@@ -413,7 +422,7 @@
   ev_io_init (&m->accept_io, accept_cb, fd, EV_READ);
   m->accept_io.data = m;
   ev_io_start (loop, &m->accept_io);
-  mm_mesh_link_owner (m);
+  mm_mesh_attach_owner (m);
   return m;
 }
 
@@ -435,9 +444,9 @@
 }
 
 /**
- * mm_mesh_on_hello() - learn of instances that link to us.
+ * mm_mesh_on_hello() - set the callback for links opened by other instances.
  * @m: the mesh.
- * @hello: called with the name of each.
+ * @hello: called with the name of each instance that opens a link.
  * @ctx: for @hello.
  */
 void
@@ -448,10 +457,10 @@
 }
 
 void
-mm_mesh_on_handed (mm_mesh *m, mm_mesh_handed handed, void *ctx)
+mm_mesh_on_released (mm_mesh *m, mm_mesh_released released, void *ctx)
 {
-  m->handed = handed;
-  m->handed_ctx = ctx;
+  m->released = released;
+  m->released_ctx = ctx;
 }
 
 void
@@ -466,12 +475,13 @@
 }
 
 /**
- * mm_mesh_tell_handed() - tell the peers that partitions can be taken.
+ * mm_mesh_tell_handed() - notify the peers of released partitions.
  * @m: the mesh.
- * @group: whose.
+ * @group: group of the partitions.
  *
- * Whoever gets them learns of it with its next call to the store, 300 ms
- * apart; told, it calls at once.
+ * Without the notification, the next owner learns of its partitions with its
+ * next call to the store, and these calls are 300 ms apart.  Notified, it
+ * calls the store at once.
  */
 void
 mm_mesh_tell_handed (mm_mesh *m, const char *group)
@@ -492,16 +502,17 @@
 }
 
 static mm_room_report
-room_at (const mm_mesh_peer *p, const char *service)
+capacity_of_peer (const mm_mesh_peer *p, const char *service)
 {
   mm_room_report r = { 0 };
-  for (size_t i = 0; i < p->n_rooms; i++)
-    if (strcmp (p->rooms[i].service, service) == 0)
-      r = p->rooms[i].room;
-  uint64_t unseen = p->next_no - p->seen_no;
+  for (size_t i = 0; i < p->n_capacities; i++)
+    if (strcmp (p->capacities[i].service, service) == 0)
+      r = p->capacities[i].room;
+  uint64_t unseen = p->last_number - p->seen_number;
   uint32_t used = (uint32_t)MIN (unseen, r.free);
   r.free -= used;
-  /* Of unknown priority: they count for everybody.  */
+  /* Their priority is not known: at level 0 they count as waiting ahead of
+     tasks of every priority.  */
   r.waiting += (uint32_t)(unseen - used);
   r.waiting_at[0] += (uint32_t)(unseen - used);
   return r;
@@ -523,7 +534,7 @@
         continue;
       out[n].name = p->info.name;
       out[n].datacentre = p->info.datacentre;
-      out[n].room = room_at (p, service);
+      out[n].room = capacity_of_peer (p, service);
       out[n].age_ms = now - p->report_ms;
       n++;
     }
@@ -531,14 +542,15 @@
 }
 
 /**
- * mm_mesh_submit() - hand a task to a peer.
+ * mm_mesh_submit() - dispatch a task to a peer.
  * @m: the mesh.
- * @peer_name: a connected one.
+ * @peer_name: name of a connected peer.
  * @t: the task.
- * @done: called once, later, unless it is cancelled before.
+ * @done: called once, after the return, unless the task is cancelled before.
  * @ctx: for @done.
  *
- * Return: a handle valid until @done, or NULL when there is no link.
+ * Return: a handle valid until @done is called or the task is cancelled, or
+ * NULL when the peer is not connected.
  */
 mm_remote *
 mm_mesh_submit (mm_mesh *m, const char *peer_name, const mm_task_request *t,
@@ -549,13 +561,13 @@
     return NULL;
   mm_remote *r = g_new0 (mm_remote, 1);
   r->peer = p;
-  r->no = ++p->next_no;
+  r->number = ++p->last_number;
   r->done = done;
   r->ctx = ctx;
-  g_hash_table_insert (p->remote, &r->no, r);
+  g_hash_table_insert (p->remote_tasks, &r->number, r);
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
-  mm_mesh_pack_run (&b, r->no, t);
+  mm_mesh_pack_run (&b, r->number, t);
   mm_owner_note_sent (m->owner, b.size);
   mm_link_send (p->link, &b);
   msgpack_sbuffer_destroy (&b);
@@ -566,12 +578,12 @@
 mm_mesh_cancel (mm_mesh *m, mm_remote *r)
 {
   mm_mesh_peer *p = r->peer;
-  g_hash_table_remove (p->remote, &r->no);
+  g_hash_table_remove (p->remote_tasks, &r->number);
   if (p->link)
     {
       msgpack_sbuffer b;
       msgpack_sbuffer_init (&b);
-      mm_mesh_pack_cancel (&b, r->no);
+      mm_mesh_pack_cancel (&b, r->number);
       mm_link_send (p->link, &b);
       msgpack_sbuffer_destroy (&b);
     }
@@ -579,29 +591,29 @@
 }
 
 void
-mm_mesh_woke (mm_mesh *m)
+mm_mesh_close_links (mm_mesh *m)
 {
   while (m->inbound)
     mm_link_close (((mm_mesh_inbound_link *)m->inbound->data)->link,
-                   "we stood still");
+                   "this instance stood still");
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init (&it, m->peers);
   while (g_hash_table_iter_next (&it, NULL, &v))
     if (((mm_mesh_peer *)v)->link)
-      mm_link_close (((mm_mesh_peer *)v)->link, "we stood still");
+      mm_link_close (((mm_mesh_peer *)v)->link, "this instance stood still");
 }
 
-/* Of hundreds that are known.  */
+/* Returns the peers that a tick has work for: a few of the hundreds known.  */
 static GList *
-linked_or_chosen (const mm_mesh *m)
+linked_or_wanted (const mm_mesh *m)
 {
   GList *peers = NULL;
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init (&it, m->peers);
   while (g_hash_table_iter_next (&it, NULL, &v))
-    if (((mm_mesh_peer *)v)->link || ((mm_mesh_peer *)v)->chosen)
+    if (((mm_mesh_peer *)v)->link || ((mm_mesh_peer *)v)->wanted)
       peers = g_list_prepend (peers, v);
   return peers;
 }
@@ -610,28 +622,30 @@
 mm_mesh_tick (mm_mesh *m)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  if (m->choose_again || now - m->chosen_ms >= MM_NEIGHBOURS_CHECK_MS)
+  if (m->neighbours_stale
+      || now - m->neighbours_chosen_ms >= MM_NEIGHBOURS_CHECK_MS)
     mm_mesh_choose_neighbours (m, now);
-  GList *peers = linked_or_chosen (m);
-  m->chosen_up = true;
+  GList *peers = linked_or_wanted (m);
+  m->wanted_connected = true;
   for (GList *l = peers; l; l = l->next)
     {
       const mm_mesh_peer *p = l->data;
-      m->chosen_up = m->chosen_up && (p->connected || !p->chosen);
+      m->wanted_connected
+          = m->wanted_connected && (p->connected || !p->wanted);
     }
   for (GList *l = peers; l; l = l->next)
     peer_tick (l->data, now);
   g_list_free (peers);
-  mm_mesh_room rooms[MM_MESH_MAX_SERVICES];
-  size_t n = rooms_of (m->owner, rooms);
+  mm_mesh_room capacities[MM_MESH_MAX_SERVICES];
+  size_t n = read_capacities (m->owner, capacities);
   GList *next;
   for (GList *l = m->inbound; l; l = next)
     {
       next = l->next;
       mm_mesh_inbound_link *in = l->data;
       if (now - mm_link_received_ms (in->link) > MM_MESH_SILENT_MS)
-        mm_link_close (in->link, silent);
+        mm_link_close (in->link, why_unresponsive);
       else
-        send_report (in, rooms, n, now);
+        send_report (in, capacities, n, now);
     }
 }
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -1,4 +1,7 @@
-/* mm_mesh: the other instances, as places to run tasks.  */
+/* mm_mesh: links to the other instances.
+
+   Over them an instance dispatches tasks to the owners of upstreams, sends
+   requests and updates, and receives reports of free capacity.  */
 #ifndef MM_MESH_H
 #define MM_MESH_H
 
@@ -8,101 +11,108 @@
 #include <msgpack.h>
 
 typedef struct mm_mesh mm_mesh;
-typedef struct mm_remote mm_remote; /* a task handed to a peer */
+typedef struct mm_remote mm_remote; /* a task dispatched to a peer */
 
 typedef struct
 {
-  char *name;       /* of this incarnation */
+  char *name;       /* member name, of this incarnation */
   char *addr;       /* "ip:port" of its mesh socket */
-  char *datacentre; /* where it stands */
-  bool stands_in;   /* holds upstreams of another one */
+  char *datacentre; /* its own data centre */
+  bool stands_in;   /* standby: owns upstreams of another data centre */
 } mm_peer_info;
 
-void mm_peer_info_clear (gpointer info); /* frees what it holds */
+void mm_peer_info_clear (gpointer info); /* frees the strings */
 
-/* Another instance, and the room it last told of.  */
+/* A connected instance and the capacity for a service in its last report.  */
 typedef struct
 {
   const char *name;
   const char *datacentre;
-  mm_room_report room; /* less what was sent there since */
-  mm_time_ms age_ms;   /* of the report */
+  mm_room_report room; /* less the tasks dispatched to it since the report */
+  mm_time_ms age_ms;   /* age of the report */
 } mm_mesh_place;
 
 mm_mesh *mm_mesh_create (struct ev_loop *loop, const char *self,
                          const char *datacentre, const char *host,
-                         uint16_t port, mm_owner *owner,
-                         GError **error); /* listen */
+                         uint16_t port, mm_owner *owner, GError **error);
 void mm_mesh_destroy (mm_mesh *m);
 typedef void (*mm_mesh_hello) (void *ctx, const char *name);
 void mm_mesh_on_hello (mm_mesh *m, mm_mesh_hello hello,
-                       void *ctx); /* an instance has linked to us */
-/* The holder of partitions of a group has let go of them.  */
-typedef void (*mm_mesh_handed) (void *ctx, const char *group);
-void mm_mesh_on_handed (mm_mesh *m, mm_mesh_handed handed, void *ctx);
-void mm_mesh_tell_handed (mm_mesh *m, const char *group); /* all peers */
-/* Upstreams that were lost are passed on; @s must outlive it.  */
+                       void *ctx); /* called when an instance opens a link */
+/* The instance that owned partitions of a group has released them.  */
+typedef void (*mm_mesh_released) (void *ctx, const char *group);
+void mm_mesh_on_released (mm_mesh *m, mm_mesh_released released, void *ctx);
+void mm_mesh_tell_handed (mm_mesh *m,
+                          const char *group); /* notifies all peers */
+/* Exchanges lost upstreams with the peers; @s must outlive the mesh.  */
 void mm_mesh_set_suspects (mm_mesh *m, mm_suspects *s);
-void mm_mesh_set_leaving (mm_mesh *m); /* tell them that we shut down */
+void mm_mesh_set_leaving (mm_mesh *m); /* reports the shutdown to peers */
 void mm_mesh_add_peer (mm_mesh *m, const mm_peer_info *p); /* copied */
 void mm_mesh_set_peers (mm_mesh *m, const mm_peer_info *peers, size_t n);
 size_t mm_mesh_places (const mm_mesh *m, const char *service,
-                       mm_mesh_place *out, size_t cap); /* connected ones */
+                       mm_mesh_place *out,
+                       size_t cap); /* of connected peers */
 mm_remote *mm_mesh_submit (mm_mesh *m, const char *peer,
                            const mm_task_request *t, mm_work_done done,
                            void *ctx);          /* NULL: not connected */
 void mm_mesh_cancel (mm_mesh *m, mm_remote *r); /* @done is not called */
-/* Ask a peer, or tell it something when @told is NULL.  @told is called
-   once; at once when there is no link.  */
+/* Sends a request to a peer, or a notification when @answered is NULL.
+   @answered is called once; at once when there is no link.  */
 void mm_mesh_ask (mm_mesh *m, const char *peer, uint32_t verb,
                   const void *data, size_t len, mm_time_ms timeout_ms,
-                  mm_told told, void *ctx);
-/* A question of a peer, or what it tells (@reply NULL).  The reply is
-   answered once, now or later.  */
+                  mm_told answered, void *ctx);
+/* A request of a peer that has no answer yet.  */
 typedef struct mm_mesh_reply mm_mesh_reply;
-typedef void (*mm_mesh_asked) (void *ctx, uint32_t verb, const void *data,
-                               size_t len, mm_mesh_reply *reply);
-void mm_mesh_on_asked (mm_mesh *m, mm_mesh_asked asked, void *ctx);
-void mm_mesh_answer (mm_mesh_reply *reply, const void *data, size_t len);
-/* An update for all instances in touch.  @make writes the one for an instance
-   that knows all up to an offset (0: nothing), and returns up to where it then
-   knows it.  */
-typedef uint64_t (*mm_mesh_update_for) (void *ctx, uint64_t known_upto,
-                                        msgpack_sbuffer *out);
-void mm_mesh_notify (mm_mesh *m, mm_mesh_update_for make, void *ctx,
-                     const char *but_not); /* to all but one, or NULL */
+/* A request was received, or a notification (@request NULL).  A request must
+   be answered exactly once with mm_mesh_answer(), during the call or later.
+ */
+typedef void (*mm_mesh_request_received) (void *ctx, uint32_t verb,
+                                          const void *data, size_t len,
+                                          mm_mesh_reply *request);
+void mm_mesh_on_asked (mm_mesh *m, mm_mesh_request_received received,
+                       void *ctx);
+void mm_mesh_answer (mm_mesh_reply *request, const void *data, size_t len);
+/* Writes the update for an instance that knows the list up to offset
+   @known_upto (0: it knows nothing).  Returns the offset up to which that
+   instance knows the list with this update.  */
+typedef uint64_t (*mm_mesh_build_update) (void *ctx, uint64_t known_upto,
+                                          msgpack_sbuffer *out);
+void mm_mesh_notify (mm_mesh *m, mm_mesh_build_update build, void *ctx,
+                     const char *except); /* NULL: to all */
 void mm_mesh_notify_peer (mm_mesh *m, const char *peer,
-                          mm_mesh_update_for make, void *ctx);
-/* It knows the list up to @upto, whatever was sent to it.  */
+                          mm_mesh_build_update build, void *ctx);
+/* The peer knows the list up to @upto, whatever was sent to it before.  */
 void mm_mesh_set_known (mm_mesh *m, const char *peer, uint64_t upto);
-/* @held_up_ms: how long it was on its way beyond what is usual.  */
+/* @queue_delay_ms: how much longer than usual the update took to arrive.  */
 typedef void (*mm_mesh_updated) (void *ctx, const char *peer, const void *data,
-                                 size_t len, mm_time_ms held_up_ms);
+                                 size_t len, mm_time_ms queue_delay_ms);
 void mm_mesh_on_update (mm_mesh *m, mm_mesh_updated updated, void *ctx);
-/* Names of the instances in touch over links of either direction; free the
+/* Names of the instances connected over a link of either direction; free the
    list, not the names.  */
 GList *mm_mesh_linked (const mm_mesh *m);
-/* Keep a link to this instance for a while, neighbour or not; every known
-   one with NULL.  */
+/* Keeps a link to this instance for MM_MESH_NEEDED_MS, whether or not it is a
+   neighbour; NULL: to every known instance.  */
 void mm_mesh_need (mm_mesh *m, const char *peer);
 bool mm_mesh_is_connected (const mm_mesh *m, const char *peer);
-/* Names of the peers in touch; free the list, not the names.  */
+/* Names of the connected peers; free the list, not the names.  */
 GList *mm_mesh_peers (const mm_mesh *m);
-/* Instances of a data centre, as seen over the links to them.  */
+/* The instances of a data centre, as seen over the links to them.  */
 typedef struct
 {
   uint32_t connected;
-  uint32_t staying;     /* of these, not shutting down */
-  uint32_t untried;     /* known, and no link to it was lost lately */
-  mm_time_ms closed_ms; /* when one last closed its link, 0: never */
+  uint32_t staying;     /* connected and not shutting down */
+  uint32_t untried;     /* known, and no link to it was lost recently */
+  mm_time_ms closed_ms; /* when a peer there last closed its link, 0: never */
 } mm_mesh_presence;
 
 mm_mesh_presence mm_mesh_presence_in (const mm_mesh *m,
                                       const char *datacentre);
-uint32_t mm_mesh_connected (const mm_mesh *m);       /* peers in touch */
-uint32_t mm_mesh_inbound (const mm_mesh *m);         /* links from others */
-mm_time_ms mm_mesh_report_pause_ms (uint32_t links); /* on each of these */
-void mm_mesh_woke (mm_mesh *m); /* we stood still: every link is cut */
-void mm_mesh_tick (mm_mesh *m); /* each MM_EXEC_TICK_MS */
+uint32_t mm_mesh_connected (const mm_mesh *m); /* number of connected peers */
+uint32_t
+mm_mesh_inbound (const mm_mesh *m); /* number of links from other instances */
+/* Least time between reports on each of so many inbound links.  */
+mm_time_ms mm_mesh_report_pause_ms (uint32_t links);
+void mm_mesh_close_links (mm_mesh *m); /* closes all links, after a stall */
+void mm_mesh_tick (mm_mesh *m);        /* call each MM_EXEC_TICK_MS */
 
 #endif /* MM_MESH_H */
--- a/src/mm_mesh_adopt.c
+++ b/src/mm_mesh_adopt.c
@@ -1,7 +1,8 @@
-/* mm_mesh_adopt: ask the other instances whose runs were found, and answer.
+/* mm_mesh_adopt: passes runs found at an upstream to its new owner.
 
-   The question goes out to all that are linked; the one whose task it is hands
-   that task to the sender, as running already.  */
+   An owner that finds a run started by an earlier owner notifies all connected
+   peers.  The instance that has the task then dispatches it to the sender of
+   the notification, marked as already running.  */
 #include "mm_mesh_priv.h"
 
 #include "config.h"
@@ -23,7 +24,7 @@
 }
 
 void
-mm_mesh_link_owner (mm_mesh *m)
+mm_mesh_attach_owner (mm_mesh *m)
 {
   if (!MM_WITH_ADOPTION)
     return;
@@ -32,13 +33,13 @@
 }
 
 void
-mm_mesh_take_found (mm_mesh_inbound_link *in, const mm_mesh_msg *q)
+mm_mesh_handle_found (mm_mesh_inbound_link *in, const mm_mesh_msg *msg)
 {
   mm_mesh *m = in->mesh;
   mm_task_request t;
   if (!in->name || !mm_mesh_is_connected (m, in->name))
     return;
-  mm_work *w = mm_owner_claim (m->owner, &q->found, &t);
+  mm_work *w = mm_owner_claim (m->owner, &msg->found, &t);
   if (w)
     mm_owner_pass_on (
         m->owner, w, mm_mesh_submit (m, in->name, &t, mm_owner_passed_end, w));
--- a/src/mm_mesh_ask.c
+++ b/src/mm_mesh_ask.c
@@ -1,63 +1,65 @@
-/* mm_mesh_ask: questions to and from other instances over the links.  */
+/* mm_mesh_ask: requests to and from other instances, and their answers.  */
 #include "mm_mesh_priv.h"
 
 void
-mm_mesh_take_ask (mm_mesh_inbound_link *in, const mm_mesh_msg *m)
+mm_mesh_handle_request (mm_mesh_inbound_link *in, const mm_mesh_msg *msg)
 {
   mm_mesh *mesh = in->mesh;
-  mm_mesh_reply *r = NULL;
-  if (!mesh->asked)
+  mm_mesh_reply *request = NULL;
+  if (!mesh->request_received)
     return;
-  if (m->no)
+  if (msg->number)
     {
-      r = g_new (mm_mesh_reply, 1);
-      *r = (mm_mesh_reply){ .to = in, .no = m->no };
-      in->replies = g_list_prepend (in->replies, r);
+      request = g_new (mm_mesh_reply, 1);
+      *request = (mm_mesh_reply){ .to = in, .number = msg->number };
+      in->requests = g_list_prepend (in->requests, request);
     }
-  mesh->asked (mesh->asked_ctx, m->verb, m->data, m->len, r);
+  mesh->request_received (mesh->request_ctx, msg->verb, msg->data, msg->len,
+                          request);
 }
 
 void
-mm_mesh_on_asked (mm_mesh *m, mm_mesh_asked asked, void *ctx)
+mm_mesh_on_asked (mm_mesh *m, mm_mesh_request_received received, void *ctx)
 {
-  m->asked = asked;
-  m->asked_ctx = ctx;
+  m->request_received = received;
+  m->request_ctx = ctx;
 }
 
 void
-mm_mesh_answer (mm_mesh_reply *reply, const void *data, size_t len)
+mm_mesh_answer (mm_mesh_reply *request, const void *data, size_t len)
 {
-  mm_mesh_inbound_link *in = reply->to;
+  mm_mesh_inbound_link *in = request->to;
   if (in)
     {
-      in->replies = g_list_remove (in->replies, reply);
+      in->requests = g_list_remove (in->requests, request);
       msgpack_sbuffer b;
       msgpack_sbuffer_init (&b);
-      mm_mesh_pack_told (&b, reply->no, data, len);
+      mm_mesh_pack_told (&b, request->number, data, len);
       mm_link_send (in->link, &b);
       msgpack_sbuffer_destroy (&b);
     }
-  g_free (reply);
+  g_free (request);
 }
 
 void
 mm_mesh_ask (mm_mesh *m, const char *peer_name, uint32_t verb,
-             const void *data, size_t len, mm_time_ms timeout_ms, mm_told told,
-             void *ctx)
+             const void *data, size_t len, mm_time_ms timeout_ms,
+             mm_told answered, void *ctx)
 {
   mm_mesh_peer *p = g_hash_table_lookup (m->peers, peer_name);
   if (!p || !p->connected)
     {
-      if (told)
-        told (ctx, false, NULL, 0);
+      if (answered)
+        answered (ctx, false, NULL, 0);
       return;
     }
-  mm_time_ms until_ms = mm_clock_now_ms () + timeout_ms;
-  uint64_t no
-      = told ? mm_questions_add (p->questions, until_ms, told, ctx) : 0;
+  mm_time_ms expires_ms = mm_clock_now_ms () + timeout_ms;
+  uint64_t number
+      = answered ? mm_questions_add (p->requests, expires_ms, answered, ctx)
+                 : 0;
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
-  mm_mesh_pack_ask (&b, no, verb, data, len);
+  mm_mesh_pack_ask (&b, number, verb, data, len);
   mm_link_send (p->link, &b);
   msgpack_sbuffer_destroy (&b);
 }
--- a/src/mm_mesh_loss.c
+++ b/src/mm_mesh_loss.c
@@ -1,13 +1,13 @@
-/* mm_mesh_loss: instances pass upstreams that were lost on to each other.
+/* mm_mesh_loss: instances notify each other of lost upstreams.
 
-   Each passes on what is new to it over all its links, and to whoever links to
-   it all that it knows, so that an instance that has just started knows which
-   tasks have crashed upstreams.  */
+   An instance forwards each loss that is new to it over all its links.  To an
+   instance that opens a link it sends all losses that it knows, so that an
+   instance that has just started knows which tasks have crashed upstreams.  */
 #include "mm_mesh_priv.h"
 
-/* Over links of both directions: an instance that hears of a task's end over
-   its own link to us must hear of the loss first, or it runs the task again.
- */
+/* Sends a loss over the links of both directions.  An instance that receives a
+   task's end over its own link to this instance must receive the loss before
+   it, or it runs the task again.  */
 static void
 on_changed (void *ctx, const mm_loss *l)
 {
@@ -29,7 +29,7 @@
 }
 
 void
-mm_mesh_take_loss (mm_mesh *m, const mm_mesh_msg *msg)
+mm_mesh_handle_loss (mm_mesh *m, const mm_mesh_msg *msg)
 {
   if (m->suspects)
     mm_suspects_note (m->suspects, &msg->loss);
--- a/src/mm_mesh_msg.c
+++ b/src/mm_mesh_msg.c
@@ -1,4 +1,4 @@
-/* mm_mesh_msg: pack and read the messages between instances.  */
+/* mm_mesh_msg: packs and reads the messages between instances.  */
 #include "mm_mesh_msg.h"
 
 #include "config.h"
@@ -10,19 +10,19 @@
 {
   RUN_FIELDS = 22,
   ENDED_FIELDS = 7,
-  ASK_FIELDS = 4,
-  TOLD_FIELDS = 3,
+  REQUEST_FIELDS = 4,
+  ANSWER_FIELDS = 3,
   REPORT_FIELDS = 5,
-  HANDED_FIELDS = 2,
+  RELEASED_FIELDS = 2,
   FOUND_FIELDS = 7,
   UPDATE_FIELDS = 3,
   LOSS_FIELDS = 6,
-  ROOM_FIELDS = 6
+  CAPACITY_FIELDS = 6
 };
 
 static void
-begin (msgpack_packer *pk, msgpack_sbuffer *b, size_t fields,
-       mm_mesh_kind kind)
+pack_header (msgpack_packer *pk, msgpack_sbuffer *b, size_t fields,
+             mm_mesh_kind kind)
 {
   msgpack_packer_init (pk, b, msgpack_sbuffer_write);
   msgpack_pack_array (pk, fields);
@@ -30,11 +30,12 @@
 }
 
 void
-mm_mesh_pack_run (msgpack_sbuffer *b, uint64_t no, const mm_task_request *t)
+mm_mesh_pack_run (msgpack_sbuffer *b, uint64_t number,
+                  const mm_task_request *t)
 {
   msgpack_packer pk;
-  begin (&pk, b, RUN_FIELDS, MM_MESH_RUN);
-  msgpack_pack_uint64 (&pk, no);
+  pack_header (&pk, b, RUN_FIELDS, MM_MESH_RUN);
+  msgpack_pack_uint64 (&pk, number);
   mm_mp_pack_task (&pk, &t->id);
   mm_mp_pack_text (&pk, t->service);
   mm_mp_pack_text (&pk, t->payload);
@@ -56,18 +57,18 @@
 }
 
 void
-mm_mesh_pack_cancel (msgpack_sbuffer *b, uint64_t no)
+mm_mesh_pack_cancel (msgpack_sbuffer *b, uint64_t number)
 {
   msgpack_packer pk;
-  begin (&pk, b, 2, MM_MESH_CANCEL);
-  msgpack_pack_uint64 (&pk, no);
+  pack_header (&pk, b, 2, MM_MESH_CANCEL);
+  msgpack_pack_uint64 (&pk, number);
 }
 
 void
 mm_mesh_pack_hello (msgpack_sbuffer *b, const char *name)
 {
   msgpack_packer pk;
-  begin (&pk, b, 2, MM_MESH_HELLO);
+  pack_header (&pk, b, 2, MM_MESH_HELLO);
   mm_mp_pack_text (&pk, name);
 }
 
@@ -75,15 +76,16 @@
 mm_mesh_pack_beat (msgpack_sbuffer *b)
 {
   msgpack_packer pk;
-  begin (&pk, b, 1, MM_MESH_BEAT);
+  pack_header (&pk, b, 1, MM_MESH_HEARTBEAT);
 }
 
 void
-mm_mesh_pack_ended (msgpack_sbuffer *b, uint64_t no, const mm_work_result *r)
+mm_mesh_pack_ended (msgpack_sbuffer *b, uint64_t number,
+                    const mm_work_result *r)
 {
   msgpack_packer pk;
-  begin (&pk, b, ENDED_FIELDS, MM_MESH_ENDED);
-  msgpack_pack_uint64 (&pk, no);
+  pack_header (&pk, b, ENDED_FIELDS, MM_MESH_ENDED);
+  msgpack_pack_uint64 (&pk, number);
   msgpack_pack_int (&pk, r->how);
   mm_mp_pack_text (&pk, r->upstream);
   msgpack_pack_int64 (&pk, r->ran_ms);
@@ -92,23 +94,23 @@
 }
 
 void
-mm_mesh_pack_ask (msgpack_sbuffer *b, uint64_t no, uint32_t verb,
+mm_mesh_pack_ask (msgpack_sbuffer *b, uint64_t number, uint32_t verb,
                   const void *data, size_t len)
 {
   msgpack_packer pk;
-  begin (&pk, b, ASK_FIELDS, MM_MESH_ASK);
-  msgpack_pack_uint64 (&pk, no);
+  pack_header (&pk, b, REQUEST_FIELDS, MM_MESH_REQUEST);
+  msgpack_pack_uint64 (&pk, number);
   msgpack_pack_uint32 (&pk, verb);
   mm_mp_pack_bytes (&pk, data, len);
 }
 
 void
-mm_mesh_pack_told (msgpack_sbuffer *b, uint64_t no, const void *data,
+mm_mesh_pack_told (msgpack_sbuffer *b, uint64_t number, const void *data,
                    size_t len)
 {
   msgpack_packer pk;
-  begin (&pk, b, TOLD_FIELDS, MM_MESH_TOLD);
-  msgpack_pack_uint64 (&pk, no);
+  pack_header (&pk, b, ANSWER_FIELDS, MM_MESH_ANSWER);
+  msgpack_pack_uint64 (&pk, number);
   mm_mp_pack_bytes (&pk, data, len);
 }
 
@@ -117,32 +119,33 @@
                      size_t len)
 {
   msgpack_packer pk;
-  begin (&pk, b, UPDATE_FIELDS, MM_MESH_UPDATE);
+  pack_header (&pk, b, UPDATE_FIELDS, MM_MESH_UPDATE);
   msgpack_pack_int64 (&pk, sent_ms);
   mm_mp_pack_bytes (&pk, data, len);
 }
 
 void
-mm_mesh_pack_report (msgpack_sbuffer *b, uint64_t seen_no, const char *name,
-                     bool leaving, const mm_mesh_room *rooms, size_t n)
+mm_mesh_pack_report (msgpack_sbuffer *b, uint64_t seen_number,
+                     const char *name, bool leaving,
+                     const mm_mesh_room *capacities, size_t n)
 {
   msgpack_packer pk;
-  begin (&pk, b, REPORT_FIELDS, MM_MESH_REPORT);
-  msgpack_pack_uint64 (&pk, seen_no);
+  pack_header (&pk, b, REPORT_FIELDS, MM_MESH_REPORT);
+  msgpack_pack_uint64 (&pk, seen_number);
   mm_mp_pack_text (&pk, name);
   mm_mp_pack_bool (&pk, leaving);
   msgpack_pack_array (&pk, n);
   for (size_t i = 0; i < n; i++)
     {
-      msgpack_pack_array (&pk, ROOM_FIELDS);
-      mm_mp_pack_text (&pk, rooms[i].service);
-      msgpack_pack_uint32 (&pk, rooms[i].room.places);
-      msgpack_pack_uint32 (&pk, rooms[i].room.free);
-      msgpack_pack_uint32 (&pk, rooms[i].room.waiting);
-      msgpack_pack_uint32 (&pk, rooms[i].room.task_ms);
+      msgpack_pack_array (&pk, CAPACITY_FIELDS);
+      mm_mp_pack_text (&pk, capacities[i].service);
+      msgpack_pack_uint32 (&pk, capacities[i].room.places);
+      msgpack_pack_uint32 (&pk, capacities[i].room.free);
+      msgpack_pack_uint32 (&pk, capacities[i].room.waiting);
+      msgpack_pack_uint32 (&pk, capacities[i].room.task_ms);
       msgpack_pack_array (&pk, MM_PRIORITY_LEVELS);
       for (size_t k = 0; k < MM_PRIORITY_LEVELS; k++)
-        msgpack_pack_uint32 (&pk, rooms[i].room.waiting_at[k]);
+        msgpack_pack_uint32 (&pk, capacities[i].room.waiting_at[k]);
     }
 }
 
@@ -150,7 +153,7 @@
 mm_mesh_pack_handed (msgpack_sbuffer *b, const char *group)
 {
   msgpack_packer pk;
-  begin (&pk, b, HANDED_FIELDS, MM_MESH_HANDED);
+  pack_header (&pk, b, RELEASED_FIELDS, MM_MESH_RELEASED);
   mm_mp_pack_text (&pk, group);
 }
 
@@ -158,7 +161,7 @@
 mm_mesh_pack_found (msgpack_sbuffer *b, const mm_found_run *r)
 {
   msgpack_packer pk;
-  begin (&pk, b, FOUND_FIELDS, MM_MESH_FOUND);
+  pack_header (&pk, b, FOUND_FIELDS, MM_MESH_FOUND);
   mm_mp_pack_text (&pk, r->upstream);
   msgpack_pack_uint32 (&pk, r->run);
   mm_mp_pack_task (&pk, &r->task);
@@ -169,7 +172,7 @@
 mm_mesh_pack_loss (msgpack_sbuffer *b, const mm_loss *l)
 {
   msgpack_packer pk;
-  begin (&pk, b, LOSS_FIELDS, MM_MESH_LOSS);
+  pack_header (&pk, b, LOSS_FIELDS, MM_MESH_LOSS);
   mm_mp_pack_text (&pk, l->upstream);
   mm_mp_pack_text (&pk, l->addr);
   msgpack_pack_int (&pk, l->verdict);
@@ -183,7 +186,7 @@
 read_run (const msgpack_object *f, mm_mesh_msg *m)
 {
   mm_task_request *t = &m->request;
-  return mm_mp_read_u64 (&f[1], &m->no) && mm_mp_read_task (&f[2], &t->id)
+  return mm_mp_read_u64 (&f[1], &m->number) && mm_mp_read_task (&f[2], &t->id)
          && mm_mp_read_text (&f[5], false, (char **)&t->service)
          && mm_mp_read_text (&f[6], false, (char **)&t->payload)
          && mm_mp_read_text (&f[7], true, (char **)&t->label)
@@ -209,7 +212,7 @@
 {
   uint32_t how;
   mm_work_result *r = &m->result;
-  if (!mm_mp_read_u64 (&f[1], &m->no) || !mm_mp_read_u32 (&f[2], &how)
+  if (!mm_mp_read_u64 (&f[1], &m->number) || !mm_mp_read_u32 (&f[2], &how)
       || how >= MM_END_COUNT
       || !mm_mp_read_text (&f[3], true, (char **)&r->upstream)
       || !mm_mp_read_i64 (&f[4], &r->ran_ms)
@@ -231,16 +234,16 @@
 }
 
 static bool
-read_marks (const msgpack_object *o, mm_loss *l)
+read_task_hashes (const msgpack_object *o, mm_loss *l)
 {
   if (o->type != MSGPACK_OBJECT_ARRAY
       || o->via.array.size > MM_SUSPECTS_TASKS_MAX)
     return false;
   l->n_tasks = o->via.array.size;
-  uint64_t *marks = g_new0 (uint64_t, l->n_tasks + 1);
-  l->tasks = marks;
+  uint64_t *hashes = g_new0 (uint64_t, l->n_tasks + 1);
+  l->tasks = hashes;
   for (size_t i = 0; i < l->n_tasks; i++)
-    if (!mm_mp_read_u64 (&o->via.array.ptr[i], &marks[i]))
+    if (!mm_mp_read_u64 (&o->via.array.ptr[i], &hashes[i]))
       return false;
   return true;
 }
@@ -253,7 +256,8 @@
   if (!mm_mp_read_text (&f[1], false, (char **)&l->upstream)
       || !mm_mp_read_text (&f[2], false, (char **)&l->addr)
       || !mm_mp_read_u32 (&f[3], &verdict) || verdict >= MM_LOSS_VERDICT_COUNT
-      || !mm_mp_read_i64 (&f[4], &silent_for_ms) || !read_marks (&f[5], l))
+      || !mm_mp_read_i64 (&f[4], &silent_for_ms)
+      || !read_task_hashes (&f[5], l))
     return false;
   l->verdict = (mm_loss_verdict)verdict;
   l->silent_ms = mm_clock_now_ms () - silent_for_ms;
@@ -261,7 +265,7 @@
 }
 
 static bool
-read_levels (const msgpack_object *o, uint32_t waiting_at[])
+read_priority_levels (const msgpack_object *o, uint32_t waiting_at[])
 {
   if (o->type != MSGPACK_OBJECT_ARRAY
       || o->via.array.size != MM_PRIORITY_LEVELS)
@@ -275,39 +279,39 @@
 static bool
 read_report (const msgpack_object *f, mm_mesh_msg *m)
 {
-  if (!mm_mp_read_u64 (&f[1], &m->no)
+  if (!mm_mp_read_u64 (&f[1], &m->number)
       || !mm_mp_read_text (&f[2], false, (char **)&m->name)
       || !mm_mp_read_bool (&f[3], &m->leaving)
       || f[4].type != MSGPACK_OBJECT_ARRAY
       || f[4].via.array.size > MM_MESH_MAX_SERVICES)
     return false;
-  m->rooms = g_new0 (mm_mesh_room, f[4].via.array.size + 1);
+  m->capacities = g_new0 (mm_mesh_room, f[4].via.array.size + 1);
   for (uint32_t i = 0; i < f[4].via.array.size; i++)
     {
       const msgpack_object *row = &f[4].via.array.ptr[i];
       if (row->type != MSGPACK_OBJECT_ARRAY
-          || row->via.array.size != ROOM_FIELDS)
+          || row->via.array.size != CAPACITY_FIELDS)
         return false;
       const msgpack_object *r = row->via.array.ptr;
-      mm_mesh_room *out = &m->rooms[m->n_rooms];
+      mm_mesh_room *out = &m->capacities[m->n_capacities];
       if (!mm_mp_read_fixed (&r[0], out->service, sizeof out->service)
           || !mm_mp_read_u32 (&r[1], &out->room.places)
           || !mm_mp_read_u32 (&r[2], &out->room.free)
           || !mm_mp_read_u32 (&r[3], &out->room.waiting)
           || !mm_mp_read_u32 (&r[4], &out->room.task_ms)
-          || !read_levels (&r[5], out->room.waiting_at))
+          || !read_priority_levels (&r[5], out->room.waiting_at))
         return false;
-      m->n_rooms++;
+      m->n_capacities++;
     }
   return true;
 }
 
 /**
  * mm_mesh_msg_read() - decode a message.
- * @o: what came.
- * @out: filled; clear it with mm_mesh_msg_clear() in any case.
+ * @o: object received.
+ * @out: filled; clear it with mm_mesh_msg_clear(), also after a failure.
  *
- * Return: false when it is no message of ours.
+ * Return: false when @o is not a valid message.
  */
 bool
 mm_mesh_msg_read (const msgpack_object *o, mm_mesh_msg *out)
@@ -326,18 +330,18 @@
     case MM_MESH_RUN:
       return n == RUN_FIELDS && read_run (f, out);
     case MM_MESH_CANCEL:
-      return n == 2 && mm_mp_read_u64 (&f[1], &out->no);
-    case MM_MESH_BEAT:
+      return n == 2 && mm_mp_read_u64 (&f[1], &out->number);
+    case MM_MESH_HEARTBEAT:
       return n == 1;
     case MM_MESH_ENDED:
       return n == ENDED_FIELDS && read_ended (f, out);
     case MM_MESH_HELLO:
       return n == 2 && mm_mp_read_text (&f[1], false, (char **)&out->name);
-    case MM_MESH_ASK:
-      return n == ASK_FIELDS && mm_mp_read_u64 (&f[1], &out->no)
+    case MM_MESH_REQUEST:
+      return n == REQUEST_FIELDS && mm_mp_read_u64 (&f[1], &out->number)
              && mm_mp_read_u32 (&f[2], &out->verb) && read_bytes (&f[3], out);
-    case MM_MESH_TOLD:
-      return n == TOLD_FIELDS && mm_mp_read_u64 (&f[1], &out->no)
+    case MM_MESH_ANSWER:
+      return n == ANSWER_FIELDS && mm_mp_read_u64 (&f[1], &out->number)
              && read_bytes (&f[2], out);
     case MM_MESH_REPORT:
       return n == REPORT_FIELDS && read_report (f, out);
@@ -352,8 +356,8 @@
              && read_bytes (&f[2], out);
     case MM_MESH_LOSS:
       return n == LOSS_FIELDS && read_loss (f, &out->loss);
-    case MM_MESH_HANDED:
-      return n == HANDED_FIELDS
+    case MM_MESH_RELEASED:
+      return n == RELEASED_FIELDS
              && mm_mp_read_text (&f[1], false, (char **)&out->name);
     }
   return false;
@@ -375,5 +379,5 @@
   g_free ((char *)m->loss.addr);
   g_free ((uint64_t *)m->loss.tasks);
   g_free (m->name);
-  g_free (m->rooms);
+  g_free (m->capacities);
 }
--- a/src/mm_mesh_peers.c
+++ b/src/mm_mesh_peers.c
@@ -1,4 +1,4 @@
-/* mm_mesh_peers: who the other instances are, and which are linked to.  */
+/* mm_mesh_peers: the known instances, and which of them get a link.  */
 #include "mm_mesh_priv.h"
 
 #include "config.h"
@@ -16,13 +16,13 @@
 }
 
 /**
- * mm_mesh_set_peers() - who the other instances are.
+ * mm_mesh_set_peers() - set the list of the other instances.
  * @m: the mesh.
- * @peers: without ourselves; copied.
- * @n: their number.
+ * @peers: all instances but this one; copied.
+ * @n: number of @peers.
  *
- * A peer not listed any more is kept while its link lives: the list lags,
- * and what runs there goes on.
+ * A peer that is not listed any more is kept while it is connected: the list
+ * lags, and the tasks dispatched to the peer go on running.
  */
 void
 mm_mesh_set_peers (mm_mesh *m, const mm_peer_info *peers, size_t n)
@@ -37,7 +37,7 @@
       if (!((mm_mesh_peer *)v)->connected && !((mm_mesh_peer *)v)->listed)
         g_hash_table_iter_remove (&it);
     }
-  m->choose_again = true;
+  m->neighbours_stale = true;
   for (size_t i = 0; i < n; i++)
     mm_mesh_add_peer (m, &peers[i]);
 }
@@ -51,7 +51,7 @@
       p->info.stands_in = p->info.stands_in || info->stands_in;
       return;
     }
-  m->choose_again = true;
+  m->neighbours_stale = true;
   p = g_new0 (mm_mesh_peer, 1);
   p->mesh = m;
   p->info.name = g_strdup (info->name);
@@ -59,15 +59,16 @@
   p->info.datacentre = g_strdup (info->datacentre);
   p->info.stands_in = info->stands_in;
   p->known_ms = mm_clock_now_ms ();
-  p->remote = g_hash_table_new (g_int64_hash, g_int64_equal);
-  p->questions = mm_questions_create ();
+  p->remote_tasks = g_hash_table_new (g_int64_hash, g_int64_equal);
+  p->requests = mm_questions_create ();
   g_hash_table_insert (m->peers, p->info.name, p);
 }
 
-/* One that holds no upstreams has no room to offer.  A newcomer may hold
-   some that the list does not show yet.  */
+/* Returns whether the peer may have capacity.  An instance that owns no
+   upstreams has none.  A joining instance may own some before the list names
+   it.  */
 static bool
-may_have_room (const mm_mesh_peer *p, mm_time_ms now)
+may_have_capacity (const mm_mesh_peer *p, mm_time_ms now)
 {
   return p->listed || now - p->known_ms < MM_NEIGHBOUR_NEW_MS;
 }
@@ -88,7 +89,7 @@
       r.connected += p->connected;
       r.staying += p->connected && !p->leaving;
       r.untried
-          += may_have_room (p, now)
+          += may_have_capacity (p, now)
              && (!p->lost_ms || now - p->lost_ms >= MM_NEIGHBOUR_LOST_MS);
     }
   const mm_time_ms *closed = g_hash_table_lookup (m->closed_ms, datacentre);
@@ -108,8 +109,8 @@
       mm_mesh_peer *p = v;
       if (peer_name && strcmp (p->info.name, peer_name) != 0)
         continue;
-      m->choose_again = m->choose_again || !p->chosen;
-      p->needed_ms = until_ms;
+      m->neighbours_stale = m->neighbours_stale || !p->wanted;
+      p->wanted_until_ms = until_ms;
     }
 }
 
@@ -155,8 +156,8 @@
 mm_mesh_choose_neighbours (mm_mesh *m, mm_time_ms now)
 {
   guint n = g_hash_table_size (m->peers);
-  mm_neighbour *c = g_new0 (mm_neighbour, n + 1);
-  mm_mesh_peer **at = g_new0 (mm_mesh_peer *, n + 1);
+  mm_neighbour *candidates = g_new0 (mm_neighbour, n + 1);
+  mm_mesh_peer **considered = g_new0 (mm_mesh_peer *, n + 1);
   bool *chosen = g_new0 (bool, n + 1);
   GHashTableIter it;
   gpointer v;
@@ -164,22 +165,23 @@
   g_hash_table_iter_init (&it, m->peers);
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
-      at[i] = v;
-      at[i]->chosen = at[i]->needed_ms > now;
-      if (!may_have_room (at[i], now))
+      considered[i] = v;
+      considered[i]->wanted = considered[i]->wanted_until_ms > now;
+      if (!may_have_capacity (considered[i], now))
         continue;
-      c[i] = (mm_neighbour){ .name = at[i]->info.name,
-                             .datacentre = at[i]->info.datacentre,
-                             .stands_in = at[i]->info.stands_in,
-                             .lost_ms = at[i]->lost_ms };
+      candidates[i]
+          = (mm_neighbour){ .name = considered[i]->info.name,
+                            .datacentre = considered[i]->info.datacentre,
+                            .stands_in = considered[i]->info.stands_in,
+                            .lost_ms = considered[i]->lost_ms };
       i++;
     }
-  mm_neighbours_choose (m->self, m->datacentre, c, i, now, chosen);
+  mm_neighbours_choose (m->self, m->datacentre, candidates, i, now, chosen);
   for (n = i, i = 0; i < n; i++)
-    at[i]->chosen = at[i]->chosen || chosen[i];
-  m->choose_again = false;
-  m->chosen_ms = now;
+    considered[i]->wanted = considered[i]->wanted || chosen[i];
+  m->neighbours_stale = false;
+  m->neighbours_chosen_ms = now;
   g_free (chosen);
-  g_free (at);
-  g_free (c);
+  g_free (considered);
+  g_free (candidates);
 }
--- a/src/mm_mesh_priv.h
+++ b/src/mm_mesh_priv.h
@@ -1,4 +1,4 @@
-/* mm_mesh_priv: what the parts of mm_mesh share.  Internal to it.  */
+/* mm_mesh_priv: declarations shared by the sources of mm_mesh.  */
 #ifndef MM_MESH_PRIV_H
 #define MM_MESH_PRIV_H
 
@@ -7,59 +7,59 @@
 #include "mm_mesh_msg.h"
 #include "mm_transit.h"
 
-/* Another instance that is known, and the link to it.  */
+/* A known instance and the outbound link to it.  */
 typedef struct
 {
   mm_mesh *mesh;
   mm_peer_info info;
-  mm_link *link;
-  bool listed;          /* as a holder of upstreams */
-  mm_time_ms known_ms;  /* since when it is known */
-  bool chosen;          /* a neighbour: to be linked to */
-  bool connected;       /* a report has come over this link */
-  bool leaving;         /* it is shutting down */
-  mm_time_ms lost_ms;   /* when a link to it was last lost, 0: never */
-  mm_time_ms needed_ms; /* until then it is linked to in any case */
-  mm_questions *questions;
-  mm_time_ms tried_ms;
-  mm_time_ms beat_ms;
-  uint64_t next_no;
-  uint64_t seen_no;   /* highest task that its report counts */
-  GHashTable *remote; /* no -> mm_remote */
-  mm_mesh_room *rooms;
-  size_t n_rooms;
-  mm_time_ms report_ms; /* when they came */
-  uint64_t known_upto;  /* updates sent over this link */
-  mm_transit transit;   /* of updates that come over it */
+  mm_link *link;               /* NULL: none */
+  bool listed;                 /* the member list names it as an owner */
+  mm_time_ms known_ms;         /* when it was added */
+  bool wanted;                 /* a link to it is wanted */
+  bool connected;              /* a report was received over this link */
+  bool leaving;                /* it reported that it is shutting down */
+  mm_time_ms lost_ms;          /* when a link to it was last lost, 0: never */
+  mm_time_ms wanted_until_ms;  /* a link to it is wanted until then */
+  mm_questions *requests;      /* requests sent to it, without an answer yet */
+  mm_time_ms connect_tried_ms; /* when connecting was last tried */
+  mm_time_ms heartbeat_sent_ms; /* when the last heartbeat was sent */
+  uint64_t last_number;     /* number of the last task sent over this link */
+  uint64_t seen_number;     /* highest task number that its report counts */
+  GHashTable *remote_tasks; /* task number -> mm_remote */
+  mm_mesh_room *capacities; /* its last report, one entry per service */
+  size_t n_capacities;
+  mm_time_ms report_ms;   /* when the last report was received */
+  uint64_t known_upto;    /* list offset up to which it was sent updates */
+  mm_transit queue_delay; /* queueing delay of the updates received over it */
 } mm_mesh_peer;
 
 struct mm_remote
 {
   mm_mesh_peer *peer;
-  uint64_t no;
+  uint64_t number;
   mm_work_done done;
   void *ctx;
 };
 
-/* A link from another instance.  */
+/* A link opened by another instance.  */
 typedef struct
 {
   mm_mesh *mesh;
   mm_link *link;
-  GHashTable *works; /* no -> taken */
-  GList *replies;    /* mm_mesh_reply that are owed */
-  char *name;        /* of the sender, NULL: not told yet */
-  uint64_t seen_no;
-  mm_time_ms report_ms;
-  GByteArray *last_report;
-  uint64_t known_upto; /* updates sent over this link */
-  mm_transit transit;  /* of updates that come over it */
+  GHashTable *tasks;       /* task number -> inbound_task */
+  GList *requests;         /* mm_mesh_reply: requests to be answered */
+  char *name;              /* of the sender, NULL until its HELLO */
+  uint64_t seen_number;    /* highest task number received */
+  mm_time_ms report_ms;    /* when the last report was sent */
+  GByteArray *last_report; /* the bytes of that report */
+  uint64_t known_upto;     /* list offset up to which it was sent updates */
+  mm_transit queue_delay;  /* queueing delay of the updates received over it */
 } mm_mesh_inbound_link;
 
 struct mm_mesh_reply
 {
-  mm_mesh_inbound_link *to; /* NULL once its link is closed */
-  uint64_t no;
+  mm_mesh_inbound_link *to; /* link of the sender, NULL once it is closed */
+  uint64_t number;          /* request number */
 };
 
 struct mm_mesh
@@ -70,41 +70,41 @@
   char *datacentre;
   int listen_fd;
   ev_io accept_io;
-  GHashTable *peers; /* name -> peer */
-  GList *inbound;
+  GHashTable *peers; /* name -> mm_mesh_peer */
+  GList *inbound;    /* mm_mesh_inbound_link */
   mm_mesh_hello hello;
   void *hello_ctx;
-  mm_mesh_handed handed;
-  void *handed_ctx;
+  mm_mesh_released released;
+  void *released_ctx;
   mm_mesh_updated updated;
   void *update_ctx;
-  bool leaving;          /* told to the others */
-  mm_suspects *suspects; /* NULL: not followed */
-  mm_mesh_asked asked;
-  void *asked_ctx;
-  GHashTable *closed_ms; /* data centre -> when a link was closed */
-  bool choose_again;     /* a peer came, went, or lost its link */
-  mm_time_ms chosen_ms;  /* when neighbours were last chosen */
-  bool chosen_up;        /* links to all of them are connected */
+  bool leaving;          /* reported to peers: this instance shuts down */
+  mm_suspects *suspects; /* NULL: losses of upstreams are not exchanged */
+  mm_mesh_request_received request_received;
+  void *request_ctx;
+  GHashTable *closed_ms; /* data centre -> when a peer last closed a link */
+  bool neighbours_stale; /* peers or links changed: choose neighbours again */
+  mm_time_ms neighbours_chosen_ms; /* when neighbours were last chosen */
+  bool wanted_connected;           /* all wanted links are connected */
 };
 
 /* mm_mesh.c */
 void mm_mesh_send_all (mm_mesh *m, const msgpack_sbuffer *b);
 
 /* mm_mesh_adopt.c */
-void mm_mesh_link_owner (mm_mesh *m);
-void mm_mesh_take_found (mm_mesh_inbound_link *in, const mm_mesh_msg *q);
+void mm_mesh_attach_owner (mm_mesh *m);
+void mm_mesh_handle_found (mm_mesh_inbound_link *in, const mm_mesh_msg *msg);
 
 /* mm_mesh_ask.c */
-void mm_mesh_take_ask (mm_mesh_inbound_link *in, const mm_mesh_msg *m);
+void mm_mesh_handle_request (mm_mesh_inbound_link *in, const mm_mesh_msg *msg);
 
 /* mm_mesh_update.c */
-void mm_mesh_take_update (mm_mesh *m, const char *peer, mm_transit *transit,
-                          const mm_mesh_msg *msg);
+void mm_mesh_take_update (mm_mesh *m, const char *peer,
+                          mm_transit *queue_delay, const mm_mesh_msg *msg);
 
 /* mm_mesh_loss.c */
-void mm_mesh_take_loss (mm_mesh *m, const mm_mesh_msg *msg);
-void mm_mesh_send_losses (mm_mesh *m, mm_link *link); /* all that is known */
+void mm_mesh_handle_loss (mm_mesh *m, const mm_mesh_msg *msg);
+void mm_mesh_send_losses (mm_mesh *m, mm_link *link); /* all known losses */
 
 /* mm_mesh_peers.c */
 void mm_mesh_choose_neighbours (mm_mesh *m, mm_time_ms now);
--- a/src/mm_mesh_update.c
+++ b/src/mm_mesh_update.c
@@ -1,12 +1,13 @@
-/* mm_mesh_update: updates for all instances in touch, over links of either
-   direction.  */
+/* mm_mesh_update: sends updates to all connected instances, over links of
+   either direction.  */
 #include "mm_mesh_priv.h"
 
 #include <string.h>
 
-/* Notified once, over our own link to it.  */
+/* Returns whether the sender must be skipped on its inbound link: it has not
+   sent its name yet, or it gets its updates over the outbound link to it.  */
 static bool
-linked_both_ways (const mm_mesh_inbound_link *in)
+skips_inbound (const mm_mesh_inbound_link *in)
 {
   return !in->name || mm_mesh_is_connected (in->mesh, in->name);
 }
@@ -16,31 +17,32 @@
 {
   GList *names = mm_mesh_peers (m);
   for (GList *l = m->inbound; l; l = l->next)
-    if (!linked_both_ways (l->data))
+    if (!skips_inbound (l->data))
       names = g_list_prepend (names, ((mm_mesh_inbound_link *)l->data)->name);
   return names;
 }
 
 static void
-send_update (mm_link *link, uint64_t *known_upto, mm_mesh_update_for make,
+send_update (mm_link *link, uint64_t *known_upto, mm_mesh_build_update build,
              void *ctx)
 {
   msgpack_sbuffer update, b;
   msgpack_sbuffer_init (&update);
   msgpack_sbuffer_init (&b);
-  *known_upto = make (ctx, *known_upto, &update);
+  *known_upto = build (ctx, *known_upto, &update);
   mm_mesh_pack_update (&b, mm_clock_now_ms (), update.data, update.size);
   mm_link_send (link, &b);
   msgpack_sbuffer_destroy (&b);
   msgpack_sbuffer_destroy (&update);
 }
 
-/* Called for each link, with up to where its peer knows the list.  */
-typedef void (*update_link) (mm_link *link, const char *name,
-                             uint64_t *known_upto, void *ctx);
+/* Called for each link, with the offset up to which its peer knows the list.
+ */
+typedef void (*link_visitor) (mm_link *link, const char *name,
+                              uint64_t *known_upto, void *ctx);
 
 static void
-for_each_link (mm_mesh *m, update_link fn, void *ctx)
+for_each_link (mm_mesh *m, link_visitor fn, void *ctx)
 {
   GHashTableIter it;
   gpointer v;
@@ -54,17 +56,17 @@
   for (GList *l = m->inbound; l; l = l->next)
     {
       mm_mesh_inbound_link *in = l->data;
-      if (!linked_both_ways (in))
+      if (!skips_inbound (in))
         fn (in->link, in->name, &in->known_upto, ctx);
     }
 }
 
 typedef struct
 {
-  mm_mesh_update_for make;
+  mm_mesh_build_update build;
   void *ctx;
-  const char *only;    /* NULL: all ... */
-  const char *but_not; /* ... but this one */
+  const char *only;   /* the one peer to notify, NULL: all */
+  const char *except; /* a peer to leave out when all are notified, or NULL */
 } recipients;
 
 static void
@@ -72,24 +74,24 @@
 {
   const recipients *to = ctx;
   bool wanted = to->only ? strcmp (name, to->only) == 0
-                         : g_strcmp0 (name, to->but_not) != 0;
+                         : g_strcmp0 (name, to->except) != 0;
   if (wanted)
-    send_update (link, known_upto, to->make, to->ctx);
+    send_update (link, known_upto, to->build, to->ctx);
 }
 
 void
-mm_mesh_notify (mm_mesh *m, mm_mesh_update_for make, void *ctx,
-                const char *but_not)
+mm_mesh_notify (mm_mesh *m, mm_mesh_build_update build, void *ctx,
+                const char *except)
 {
-  recipients to = { .make = make, .ctx = ctx, .but_not = but_not };
+  recipients to = { .build = build, .ctx = ctx, .except = except };
   for_each_link (m, notify_link, &to);
 }
 
 void
-mm_mesh_notify_peer (mm_mesh *m, const char *peer, mm_mesh_update_for make,
+mm_mesh_notify_peer (mm_mesh *m, const char *peer, mm_mesh_build_update build,
                      void *ctx)
 {
-  recipients to = { .make = make, .ctx = ctx, .only = peer };
+  recipients to = { .build = build, .ctx = ctx, .only = peer };
   for_each_link (m, notify_link, &to);
 }
 
@@ -102,16 +104,16 @@
 static void
 set_known (mm_link *link, const char *name, uint64_t *known_upto, void *ctx)
 {
-  const peer_offset *o = ctx;
-  if (strcmp (name, o->peer) == 0)
-    *known_upto = o->upto;
+  const peer_offset *offset = ctx;
+  if (strcmp (name, offset->peer) == 0)
+    *known_upto = offset->upto;
 }
 
 void
 mm_mesh_set_known (mm_mesh *m, const char *peer, uint64_t upto)
 {
-  peer_offset o = { .peer = peer, .upto = upto };
-  for_each_link (m, set_known, &o);
+  peer_offset offset = { .peer = peer, .upto = upto };
+  for_each_link (m, set_known, &offset);
 }
 
 void
@@ -122,11 +124,11 @@
 }
 
 void
-mm_mesh_take_update (mm_mesh *m, const char *peer, mm_transit *transit,
+mm_mesh_take_update (mm_mesh *m, const char *peer, mm_transit *queue_delay,
                      const mm_mesh_msg *msg)
 {
-  mm_time_ms held_up_ms
-      = mm_transit_held_up_ms (transit, msg->sent_ms, mm_clock_now_ms ());
+  mm_time_ms queue_delay_ms
+      = mm_transit_held_up_ms (queue_delay, msg->sent_ms, mm_clock_now_ms ());
   if (m->updated && peer)
-    m->updated (m->update_ctx, peer, msg->data, msg->len, held_up_ms);
+    m->updated (m->update_ctx, peer, msg->data, msg->len, queue_delay_ms);
 }
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -1,4 +1,4 @@
-/* mm_node: wire the parts of an instance together, and run its timers.  */
+/* mm_node: creates the modules of an instance and runs its timers.  */
 #include "mm_node.h"
 
 #include "config.h"
@@ -19,18 +19,18 @@
 struct mm_node
 {
   struct ev_loop *loop;
-  mm_node_settings s; /* strings are the caller's */
+  mm_node_settings settings; /* the strings belong to the caller */
   ev_timer tick;
   ev_check stall_check;
   ev_prepare log_prepare;
   mm_time_ms started_ms;
-  mm_time_ms alive_ms; /* when the loop last went round */
+  mm_time_ms last_loop_ms; /* when the event loop last iterated */
   mm_catalog *catalog;
   mm_routes *routes;
   mm_stream *config;
   mm_list_share *list;
-  mm_stream *upstreams; /* the list's */
-  mm_holdings *holdings;
+  mm_stream *upstreams; /* stream of the upstream list, owned by list */
+  mm_holdings *owned_datacentres;
   mm_predecessors *predecessors;
   mm_members *members;
   mm_owner *owner;
@@ -40,9 +40,11 @@
   mm_kept *kept;
   mm_ownership *ownership;
   mm_suspects *suspects;
-  mm_time_ms leaving_ms;     /* 0: not */
-  mm_time_ms list_since_ms;  /* when the list began to matter, 0: it doesn't */
-  mm_time_ms list_behind_ms; /* since when it is behind, 0: it is not */
+  mm_time_ms leaving_ms; /* when the shutdown began, 0: not yet */
+  mm_time_ms
+      list_needed_ms; /* when it began to own partitions, 0: owns none */
+  mm_time_ms
+      list_behind_since_ms; /* when the list went out of date, 0: current */
 };
 
 #define F(field) offsetof (mm_node_settings, field)
@@ -56,17 +58,18 @@
         { "node.datacentres", MM_SETTING_STRINGS, F (datacentres), 0, 0,
           "all data centres" },
         { "node.front", MM_SETTING_STRING, F (front), 0, 0,
-          "ip:port where callers hand in jobs" },
+          "ip:port where callers submit jobs" },
         { "node.ready", MM_SETTING_STRING, F (ready), 0, 0,
-          "ip:port where the balancer asks for readiness" },
+          "ip:port of the balancer's readiness check" },
         { "node.mesh_port", MM_SETTING_INT, F (mesh_port), 1, 65535,
           "port for the other instances" },
         { "node.mesh_advertise", MM_SETTING_STRING, F (mesh_advertise), 0, 0,
-          "ip:port told to the other instances, empty for our own" },
+          "ip:port that other instances connect to, empty for address and "
+          "mesh_port" },
         { "node.state_port", MM_SETTING_INT, F (state_port), 1, 65535,
           "port of the state dump" },
         { "node.interface", MM_SETTING_STRING, F (interface), 0, 0,
-          "whom it talks to: own (our stand-ins) or platform" },
+          "protocol to the platform: own (of the stand-ins) or platform" },
         { "node.grace_ms", MM_SETTING_INT, F (grace_ms), 1000, 600000,
           "ms from SIGTERM to the kill" },
         { "node.link_mbps", MM_SETTING_FLOAT, F (link_mbps), 0, 1000000,
@@ -98,11 +101,11 @@
   s->link_mbps = MM_DEFAULT_LINK_MBPS;
 }
 
-/* What follows from a change in the store must not wait for the next tick: an
-   instance that comes back takes several such steps until it owns upstreams.
- */
+/* Runs a tick in this iteration of the event loop.  What follows from a change
+   in the store must not wait for the next tick, as a restarted instance takes
+   several such steps until it owns upstreams.  */
 static void
-tick_soon (void *ctx)
+tick_now (void *ctx)
 {
   mm_node *n = ctx;
   ev_feed_event (n->loop, &n->tick, EV_TIMER);
@@ -128,63 +131,65 @@
 }
 
 static bool
-handover_quiet (void *ctx, const char *datacentre)
+handover_idle (void *ctx, const char *datacentre)
 {
   mm_node *n = ctx;
   return mm_ownership_quiet (n->ownership, datacentre);
 }
 
 static mm_share_state
-holdings_of (void *ctx, const mm_upstream_info *u, uint64_t *fence)
+partition_state_of (void *ctx, const mm_upstream_info *u, uint64_t *fence)
 {
-  return mm_holdings_of (((mm_node *)ctx)->holdings, u, fence);
+  return mm_holdings_of (((mm_node *)ctx)->owned_datacentres, u, fence);
 }
 
 static void
-holdings_retake (void *ctx, const mm_upstream_info *u)
+renew_fence (void *ctx, const mm_upstream_info *u)
 {
-  mm_holdings_retake (((mm_node *)ctx)->holdings, u);
+  mm_holdings_retake (((mm_node *)ctx)->owned_datacentres, u);
 }
 
 static uint64_t
-holdings_changes (void *ctx)
+partition_changes (void *ctx)
 {
-  return mm_holdings_changes (((mm_node *)ctx)->holdings);
+  return mm_holdings_changes (((mm_node *)ctx)->owned_datacentres);
 }
 
 static bool
-holdings_any (void *ctx)
+owns_partitions (void *ctx)
 {
-  return mm_holdings_any (((mm_node *)ctx)->holdings);
+  return mm_holdings_any (((mm_node *)ctx)->owned_datacentres);
 }
 
-/* How old our view of the upstreams is, counted only while we own some.  */
+/* Returns the age of the upstream list, counted only while this instance owns
+   partitions.  */
 static mm_time_ms
 list_age_ms (const mm_node *n, mm_time_ms now)
 {
   mm_time_ms known_ms = mm_stream_known_ms (n->upstreams);
-  return n->list_since_ms ? now - MAX (known_ms, n->list_since_ms) : 0;
+  return n->list_needed_ms ? now - MAX (known_ms, n->list_needed_ms) : 0;
 }
 
-/* An instance that owns partitions and cannot read which upstreams are in
-   them starts nothing there: the operators learn of it.  */
+/* Logs when the upstream list goes out of date and when it is current again.
+   An instance that owns partitions and cannot read which upstreams are in them
+   starts no task there, which operators have to know.  */
 static void
-watch_list (mm_node *n, mm_time_ms now)
+check_list_age (mm_node *n, mm_time_ms now)
 {
-  if (!mm_holdings_any (n->holdings))
-    n->list_since_ms = 0;
-  else if (!n->list_since_ms)
-    n->list_since_ms = now;
+  if (!mm_holdings_any (n->owned_datacentres))
+    n->list_needed_ms = 0;
+  else if (!n->list_needed_ms)
+    n->list_needed_ms = now;
   mm_time_ms age_ms = list_age_ms (n, now);
-  if (!n->list_behind_ms && age_ms > MM_LIST_BEHIND_MS)
+  if (!n->list_behind_since_ms && age_ms > MM_LIST_BEHIND_MS)
     {
-      n->list_behind_ms = now - age_ms;
+      n->list_behind_since_ms = now - age_ms;
       mm_log_event (MM_EV_LIST_BEHIND, MM_INT (age_ms));
     }
-  else if (n->list_behind_ms && age_ms <= MM_LIST_BEHIND_MS)
+  else if (n->list_behind_since_ms && age_ms <= MM_LIST_BEHIND_MS)
     {
-      mm_log_event (MM_EV_LIST_KNOWN, MM_INT (now - n->list_behind_ms));
-      n->list_behind_ms = 0;
+      mm_log_event (MM_EV_LIST_KNOWN, MM_INT (now - n->list_behind_since_ms));
+      n->list_behind_since_ms = 0;
     }
 }
 
@@ -194,23 +199,24 @@
   mm_node *n = w->data;
   mm_time_ms now = mm_clock_now_ms ();
   mm_stream_tick (n->config);
-  /* Only owners need the list.  After all of hundreds of instances started
-     at once, reading it took all that the store can send for longer than a
-     configuration may take to be in force.  */
-  if (mm_holdings_any (n->holdings) || mm_kept_needs_list (n->kept))
+  /* Only owners of partitions and instances with kept jobs read the list.
+     When hundreds of instances started at once and all read the list, that
+     used the store's whole bandwidth for longer than a configuration may take
+     to be in force.  */
+  if (mm_holdings_any (n->owned_datacentres) || mm_kept_needs_list (n->kept))
     mm_stream_tick (n->upstreams);
   else
     mm_stream_pause (n->upstreams);
-  watch_list (n, now);
+  check_list_age (n, now);
   mm_catalog_tick (n->catalog, mm_stream_in_touch (n->upstreams));
   mm_members_tick (n->members);
   if (mm_members_heard (n->members)
       || now - n->started_ms >= MM_PREDECESSORS_WAIT_MS)
-    mm_holdings_tick (n->holdings);
+    mm_holdings_tick (n->owned_datacentres);
   mm_ownership_tick (n->ownership, mm_stream_fresh (n->upstreams));
   mm_suspects_tick (n->suspects);
   mm_mesh_tick (n->mesh);
-  mm_owner_set_sure (n->owner, mm_holdings_sure (n->holdings));
+  mm_owner_set_sure (n->owner, mm_holdings_sure (n->owned_datacentres));
   mm_owner_tick (n->owner);
   mm_jobs_tick (n->jobs);
   mm_list_share_tick (n->list);
@@ -218,29 +224,31 @@
                              && mm_list_share_complete (n->list));
 }
 
-/* Runs last before each wait of the loop: a process that is killed leaves the
-   lines of all that it has answered.  */
+/* Writes the log.  Runs last before each wait of the event loop, so that the
+   log of a process that is killed has the lines of all that it answered.  */
 static void
-log_cb (struct ev_loop *loop, ev_prepare *w, int revents)
+flush_log_cb (struct ev_loop *loop, ev_prepare *w, int revents)
 {
   mm_log_flush ();
 }
 
-/* Runs first after each wait of the loop.  After a freeze, what waited
-   here must not start before its callers were heard: they may have sent
-   their jobs elsewhere, where they run now.  */
+/* Detects a stall of the process.  Runs first after each wait of the event
+   loop: after a stall, no queued task may start before messages of the callers
+   were read, as the callers may have sent their jobs to other instances, where
+   they run now.  */
 static void
 stall_cb (struct ev_loop *loop, ev_check *w, int revents)
 {
   mm_node *n = w->data;
   mm_time_ms now = mm_clock_now_ms ();
-  mm_time_ms gap = now - n->alive_ms;
-  n->alive_ms = now;
-  if (gap <= MM_STALL_MS)
+  mm_time_ms stalled_ms = now - n->last_loop_ms;
+  n->last_loop_ms = now;
+  if (stalled_ms <= MM_STALL_MS)
     return;
   mm_metrics_count (MM_CT_STALLS);
-  mm_log_event (MM_EV_STALLED, MM_INT (gap), MM_INT (mm_jobs_count (n->jobs)));
-  mm_mesh_woke (n->mesh);
+  mm_log_event (MM_EV_STALLED, MM_INT (stalled_ms),
+                MM_INT (mm_jobs_count (n->jobs)));
+  mm_mesh_close_links (n->mesh);
   mm_stream_hurry (n->upstreams);
   mm_jobs_abandon (n->jobs, "this instance stood still");
 }
@@ -248,7 +256,7 @@
 static void
 start_timers (mm_node *n)
 {
-  n->started_ms = n->alive_ms = mm_clock_now_ms ();
+  n->started_ms = n->last_loop_ms = mm_clock_now_ms ();
   ev_timer_init (&n->tick, tick_cb, 0., MM_EXEC_TICK_MS / 1000.);
   n->tick.data = n;
   ev_timer_start (n->loop, &n->tick);
@@ -256,13 +264,15 @@
   ev_set_priority (&n->stall_check, EV_MAXPRI);
   n->stall_check.data = n;
   ev_check_start (n->loop, &n->stall_check);
-  ev_prepare_init (&n->log_prepare, log_cb);
+  ev_prepare_init (&n->log_prepare, flush_log_cb);
   ev_set_priority (&n->log_prepare, EV_MINPRI);
   ev_prepare_start (n->loop, &n->log_prepare);
 }
 
-/* A restart is a new member: the old one's partitions wait for its
-   silence, so two lives never hold one token.  */
+/* Returns a member name that is unique to this incarnation.  A restarted
+   instance is a new member: the partitions of the previous incarnation are not
+   assigned until its membership has ended, so that two incarnations never
+   have the same fencing token.  */
 static char *
 new_member_name (const mm_node_settings *s)
 {
@@ -276,14 +286,15 @@
   return member;
 }
 
-/* Partitions of a group can be taken, or are to be given to a newcomer.  */
+/* Partitions of a group were released, or are to be assigned to a joining
+   instance.  */
 static void
 on_group_changed (void *ctx, const char *group)
 {
   mm_node *n = ctx;
   if (group)
-    mm_holdings_hurry (n->holdings, group);
-  tick_soon (n);
+    mm_holdings_hurry (n->owned_datacentres, group);
+  tick_now (n);
 }
 
 static mm_time_ms
@@ -293,9 +304,9 @@
 }
 
 static void
-create_parts (mm_node *n, const mm_store_port *store, const char *member)
+create_modules (mm_node *n, const mm_store_port *store, const char *member)
 {
-  const mm_node_settings *s = &n->s;
+  const mm_node_settings *s = &n->settings;
   n->catalog = mm_catalog_create ();
   n->fleet = mm_fleet_create (n->owner, n->mesh, s->datacentre);
   n->suspects = mm_suspects_create ();
@@ -306,24 +317,24 @@
   mm_stream_events config = { .item = on_config, .ctx = n };
   n->config
       = mm_stream_create (store, MM_STREAM_CONFIG, MM_CONFIG_WAIT_MS, &config);
-  n->list = mm_list_share_create (store, n->catalog, n->mesh, member,
-                                  tick_soon, n);
+  n->list
+      = mm_list_share_create (store, n->catalog, n->mesh, member, tick_now, n);
   n->upstreams = mm_list_share_stream (n->list);
   mm_exec_view view = { .known_ms = list_known_ms, .ctx = n };
   mm_owner_set_view (n->owner, &view);
   mm_holdings_events ev
-      = { .quiet = handover_quiet, .changed = tick_soon, .ctx = n };
-  n->holdings
+      = { .quiet = handover_idle, .changed = tick_now, .ctx = n };
+  n->owned_datacentres
       = mm_holdings_create (store, n->mesh, s->datacentres, s->datacentre,
                             member, (uint32_t)s->partitions, &ev);
-  mm_ownership_shares shares = { .of = holdings_of,
-                                 .retake = holdings_retake,
-                                 .changes = holdings_changes,
-                                 .any = holdings_any,
+  mm_ownership_shares shares = { .of = partition_state_of,
+                                 .retake = renew_fence,
+                                 .changes = partition_changes,
+                                 .any = owns_partitions,
                                  .ctx = n };
   n->ownership = mm_ownership_create (n->catalog, n->owner, &shares);
   n->predecessors = mm_predecessors_create (store, member);
-  mm_mesh_on_handed (n->mesh, on_group_changed, n);
+  mm_mesh_on_released (n->mesh, on_group_changed, n);
   mm_kept_parts kept = { .store = *store,
                          .mesh = n->mesh,
                          .fleet = n->fleet,
@@ -339,8 +350,8 @@
 }
 
 /**
- * mm_node_create() - an instance.
- * @loop: the loop.
+ * mm_node_create() - create an instance and start its timers.
+ * @loop: event loop.
  * @s: settings; its strings must live as long as the node.
  * @exec: calls to upstreams.
  * @store: calls to the platform's store.
@@ -355,7 +366,7 @@
 {
   mm_node *n = g_new0 (mm_node, 1);
   n->loop = loop;
-  n->s = *s;
+  n->settings = *s;
   n->owner = mm_owner_create (exec);
   mm_owner_set_link (n->owner, s->link_mbps);
   char *member = new_member_name (s);
@@ -368,7 +379,7 @@
       g_free (n);
       return NULL;
     }
-  create_parts (n, store, member);
+  create_modules (n, store, member);
   g_free (member);
   start_timers (n);
   return n;
@@ -392,15 +403,15 @@
   mm_ownership_destroy (n->ownership);
   mm_owner_destroy (n->owner);
   mm_suspects_destroy (n->suspects);
-  mm_holdings_destroy (n->holdings);
+  mm_holdings_destroy (n->owned_datacentres);
   mm_stream_destroy (n->config);
   mm_catalog_destroy (n->catalog);
   mm_routes_unref (n->routes);
   g_free (n);
 }
 
-/* Ready once a job could be taken: its queue is known, and some owner in
-   reach has room for it.  */
+/* Ready once a job can be accepted: its queue is known, and this instance or a
+   connected peer has capacity for it.  */
 bool
 mm_node_ready (const mm_node *n)
 {
@@ -417,7 +428,7 @@
 {
   return !n->leaving_ms
          || mm_clock_now_ms () - n->leaving_ms
-                < n->s.grace_ms - MM_LEAVE_REFUSE_MS;
+                < n->settings.grace_ms - MM_LEAVE_REFUSE_MS;
 }
 
 const mm_routes *
@@ -442,9 +453,10 @@
  * mm_node_leave() - begin a graceful shutdown.
  * @n: the node.
  *
- * Our upstreams go to instances that stay, once what runs there has ended;
- * while there is none, they are served as before.  Callers are served until
- * they have moved on.
+ * The upstreams are handed over to instances that are not shutting down, once
+ * the tasks running there have ended.  While there is no such instance, this
+ * one goes on starting tasks there.  Callers are served until they have closed
+ * their connections.
  */
 void
 mm_node_leave (mm_node *n)
@@ -453,8 +465,8 @@
     return;
   n->leaving_ms = mm_clock_now_ms ();
   mm_mesh_set_leaving (n->mesh);
-  mm_holdings_leave (n->holdings, n->leaving_ms + MM_LEAVE_DRAIN_MS,
-                     n->leaving_ms + n->s.grace_ms - MM_LEAVE_MARGIN_MS
+  mm_holdings_leave (n->owned_datacentres, n->leaving_ms + MM_LEAVE_DRAIN_MS,
+                     n->leaving_ms + n->settings.grace_ms - MM_LEAVE_MARGIN_MS
                          - MM_HANDOVER_MS - MM_LEAVE_CALL_MS);
   mm_kept_leave (n->kept);
 }
@@ -464,17 +476,19 @@
 {
   if (!n->leaving_ms)
     return false;
-  mm_time_ms since = mm_clock_now_ms () - n->leaving_ms;
-  if (since >= n->s.grace_ms - MM_LEAVE_MARGIN_MS)
+  mm_time_ms leaving_for_ms = mm_clock_now_ms () - n->leaving_ms;
+  if (leaving_for_ms >= n->settings.grace_ms - MM_LEAVE_MARGIN_MS)
     return true;
-  return since >= MM_LEAVE_DRAIN_MS && mm_holdings_left (n->holdings)
-         && mm_kept_left (n->kept) && mm_jobs_count (n->jobs) == 0
-         && open_connections == 0;
+  return leaving_for_ms >= MM_LEAVE_DRAIN_MS
+         && mm_holdings_left (n->owned_datacentres) && mm_kept_left (n->kept)
+         && mm_jobs_count (n->jobs) == 0 && open_connections == 0;
 }
 
 /**
- * mm_node_metrics() - counters, gauges and histograms as text.
+ * mm_node_metrics() - write counters, gauges and histograms as text.
  * @n: the node.
+ *
+ * Return: the text; free with g_free().
  */
 char *
 mm_node_metrics (const mm_node *n)
@@ -491,7 +505,7 @@
   mm_metrics_set (MM_GG_CONFIG_VERSION,
                   n->routes ? (int64_t)n->routes->version : 0);
   mm_metrics_set (MM_GG_GENERATION,
-                  (int64_t)mm_holdings_generation (n->holdings));
+                  (int64_t)mm_holdings_generation (n->owned_datacentres));
   mm_metrics_set (MM_GG_LIST_AGE, list_age_ms (n, mm_clock_now_ms ()));
   mm_metrics_set (MM_GG_UPSTREAMS_LOST,
                   (int64_t)mm_suspects_count (n->suspects));
@@ -503,14 +517,14 @@
 mm_node_dump (const mm_node *n)
 {
   cJSON *d = cJSON_CreateObject ();
-  cJSON_AddStringToObject (d, "name", n->s.name);
-  cJSON_AddStringToObject (d, "datacentre", n->s.datacentre);
+  cJSON_AddStringToObject (d, "name", n->settings.name);
+  cJSON_AddStringToObject (d, "datacentre", n->settings.datacentre);
   cJSON_AddBoolToObject (d, "ready", mm_node_ready (n));
   cJSON_AddBoolToObject (d, "leaving", n->leaving_ms != 0);
   cJSON_AddNumberToObject (d, "config_version",
                            n->routes ? (double)n->routes->version : 0);
-  cJSON_AddNumberToObject (d, "generation",
-                           (double)mm_holdings_generation (n->holdings));
+  cJSON_AddNumberToObject (
+      d, "generation", (double)mm_holdings_generation (n->owned_datacentres));
   cJSON_AddNumberToObject (d, "list_age_ms",
                            (double)list_age_ms (n, mm_clock_now_ms ()));
   cJSON_AddNumberToObject (d, "peers", mm_mesh_connected (n->mesh));
--- a/src/mm_uplink.c
+++ b/src/mm_uplink.c
@@ -1,4 +1,4 @@
-/* mm_uplink: see the header.  */
+/* mm_uplink: estimates the backlog on this instance's own network link.  */
 #include "mm_uplink.h"
 
 #include <math.h>
--- a/src/mm_uplink.h
+++ b/src/mm_uplink.h
@@ -1,8 +1,9 @@
-/* mm_uplink: what our own link has still to carry of what we sent.
+/* mm_uplink: estimates the backlog on this instance's own network link.
 
-   Answers the load of jobs of many tasks on a thin link: the orders of one job
-   alone take longer to go out than answers usually take, and would count as
-   unanswered while they still stand in our own queue.  */
+   Used to extend the timeouts of calls.  On a link of low bandwidth, the start
+   calls of one job of many tasks alone take longer to send than an answer
+   typically takes, so that calls would count as unanswered while they are
+   still queued on this instance.  */
 #ifndef MM_UPLINK_H
 #define MM_UPLINK_H
 
@@ -10,12 +11,13 @@
 
 typedef struct
 {
-  double bits_per_ms; /* 0: no limit */
-  double busy_until_ms;
+  double bits_per_ms;   /* bandwidth of the link, 0: no limit */
+  double busy_until_ms; /* when all that was sent will have gone out */
 } mm_uplink;
 
+/* Adds bytes that were sent to the backlog.  */
 void mm_uplink_sent (mm_uplink *u, size_t bytes, mm_time_ms now_ms);
-/* Until the last of what was sent has gone out.  */
+/* Time until all that was sent has gone out.  */
 mm_time_ms mm_uplink_backlog_ms (const mm_uplink *u, mm_time_ms now_ms);
 
 #endif /* MM_UPLINK_H */
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -325,8 +325,8 @@
                    && m.loss.tasks[0] == mark
                    && m.loss.silent_ms >= loss.silent_ms);
       if (kind == MM_MESH_REPORT)
-        ck_assert (m.leaving && mm_room_ahead (&m.rooms[0].room, 1) == 1
-                   && mm_room_ahead (&m.rooms[0].room, 2) == 3);
+        ck_assert (m.leaving && mm_room_ahead (&m.capacities[0].room, 1) == 1
+                   && mm_room_ahead (&m.capacities[0].room, 2) == 3);
       mm_mesh_msg_clear (&m);
     }
   msgpack_unpacked_destroy (&o);
