--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -1,5 +1,6 @@
-/* Instances of masticmill-node as real processes on stand-ins, with kills,
-   freezes, lost orders and outages from outside.  */
+/* Tests instances of masticmill-node, run as processes with a stand-in
+   platform and stand-in upstreams.  The tests kill and freeze processes, lose
+   start calls and stop the store.  */
 #include "harness.h"
 
 #include <signal.h>
@@ -9,7 +10,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define RESEND_MS 1300 /* callers send a job again so long after a break */
+#define RESEND_MS 1300 /* time after which callers send a job again */
 
 static void
 sleep_ms (int ms)
@@ -24,11 +25,12 @@
       h_call ("POST", h_upstream_ports[i], "/v1/run-faults", json, NULL));
 }
 
-/* ---- what upstreams saw ----------------------------------------------- */
+/* ---- helpers ---------------------------------------------------------- */
 
-/* No upstream over its room, no task twice at once.  */
+/* Asserts that no upstream ran more than its capacity and that no task ran
+   twice at the same time.  */
 static void
-assert_kept_promises (int n_upstreams)
+assert_no_overload_or_double_run (int n_upstreams)
 {
   int over_capacity = 0;
   GArray *runs = h_runs (n_upstreams, &over_capacity);
@@ -38,8 +40,8 @@
       {
         h_run *a = &g_array_index (runs, h_run, i);
         h_run *b = &g_array_index (runs, h_run, k);
-        bool apart = a->to_ms <= b->from_ms || b->to_ms <= a->from_ms;
-        ck_assert_msg (strcmp (a->task, b->task) != 0 || apart,
+        bool disjoint = a->to_ms <= b->from_ms || b->to_ms <= a->from_ms;
+        ck_assert_msg (strcmp (a->task, b->task) != 0 || disjoint,
                        "%s ran twice at once, at %d and %d", a->task,
                        a->upstream, b->upstream);
       }
@@ -55,20 +57,20 @@
   return p;
 }
 
-/* Job NAME-NO.  */
+/* Submits a job with the id NAME-NUMBER.  */
 static pid_t
-submit_no (int node, const char *name, int no, int tasks, int run_ms,
-           bool idempotent)
+submit_numbered (int node, const char *name, int number, int tasks, int run_ms,
+                 bool idempotent)
 {
   char id[32];
-  g_snprintf (id, sizeof id, "%s-%d", name, no);
+  g_snprintf (id, sizeof id, "%s-%d", name, number);
   return submit (node, id, tasks, run_ms, idempotent);
 }
 
-/* A caller that comes back when it was told to: up to five times, a second
-   apart, until it has its whole answer.  */
+/* Submits a job up to five times, one second apart, as a caller does on
+   Retry-After.  Returns whether it got a complete answer.  */
 static bool
-served_in_the_end (int node, const char *id, int tasks, int run_ms)
+served_with_retries (int node, const char *id, int tasks, int run_ms)
 {
   for (int i = 0; i < 5; i++)
     {
@@ -80,7 +82,7 @@
 }
 
 static int
-runs_of (int n_upstreams, const char *job)
+count_runs (int n_upstreams, const char *job)
 {
   GArray *runs = h_runs (n_upstreams, NULL);
   int n = 0;
@@ -91,7 +93,7 @@
 }
 
 static bool
-owns_nothing (int node)
+owns_no_upstream (int node)
 {
   cJSON *o = h_call ("GET", h_node_state_port (node), "/", NULL, NULL);
   const cJSON *up
@@ -101,26 +103,27 @@
   return none;
 }
 
-/* ---- stories ---------------------------------------------------------- */
+/* ---- tests ------------------------------------------------------------ */
 
 START_TEST (jobs_at_all_instances_are_answered_whole)
 {
   h_nodes (4, 4, 3);
   pid_t p[9];
   for (int i = 0; i < 9; i++)
-    p[i] = submit_no (i % 3, "job", i, 5, 100, true);
+    p[i] = submit_numbered (i % 3, "job", i, 5, 100, true);
   for (int i = 0; i < 9; i++)
     ck_assert (h_answered (p[i]));
-  assert_kept_promises (4);
-  ck_assert_int_eq (runs_of (4, "job-"), 45);
+  assert_no_overload_or_double_run (4);
+  ck_assert_int_eq (count_runs (4, "job-"), 45);
   h_cluster_stop ();
 }
 END_TEST
 
-/* An instance dies with tasks of its own callers and of its peers' on its
-   upstreams.  A caller at the other one is told at once that its job's
-   outcome is out of sight, sends it again 1.3 s later, and gets it whole:
-   by then the first runs have lapsed, so none runs twice at once.  */
+/* An instance dies while its upstreams run tasks of its own callers and of a
+   peer's callers.  A caller at the other instance is answered at once that its
+   job is in doubt, and sends it again 1.3 s later.  By then the leases of the
+   first runs have expired, so that the job completes and no task runs twice at
+   the same time.  */
 START_TEST (killed_instance_leaves_no_task_running_twice)
 {
   h_nodes (4, 4, 2);
@@ -128,50 +131,52 @@
                  submit (1, "lose", 4, 900, true) };
   sleep_ms (300);
   h_stop (h_entries[1], SIGKILL);
-  bool first = h_answered (p[0]);
+  bool kept_answered = h_answered (p[0]);
   ck_assert (!h_answered (p[1]));
   sleep_ms (RESEND_MS);
-  ck_assert (served_in_the_end (0, "lose", 4, 300));
-  ck_assert (first || served_in_the_end (0, "keep", 12, 300));
+  ck_assert (served_with_retries (0, "lose", 4, 300));
+  ck_assert (kept_answered || served_with_retries (0, "keep", 12, 300));
   sleep_ms (1200);
-  assert_kept_promises (4);
+  assert_no_overload_or_double_run (4);
   h_cluster_stop ();
 }
 END_TEST
 
-/* An instance dies with tasks of a job that another one took.  Its caller was
-   told that the job is out of sight, and waited for nothing if it did not ask
-   again.  What ran there has lapsed 1.3 s later; run again, the caller gets
-   its whole answer late, and no task ran twice at one time.  */
+/* An instance dies while it runs tasks of a job that another instance
+   accepted.  The accepting instance answered that the job is in doubt, which
+   left a caller that does not send it again without a result.  The leases of
+   the runs expire within 1.3 s: the accepting instance must run the tasks
+   again after that and answer late but completely, and no task may run twice
+   at the same time.  */
 START_TEST (job_is_answered_whole_though_an_owner_of_its_tasks_dies)
 {
   h_nodes (4, 4, 2);
-  int dies = owns_nothing (1) ? 0 : 1;
-  pid_t p = submit (1 - dies, "whole", 16, 900, true);
+  int killed = owns_no_upstream (1) ? 0 : 1;
+  pid_t p = submit (1 - killed, "whole", 16, 900, true);
   sleep_ms (300);
-  h_stop (h_entries[dies], SIGKILL);
+  h_stop (h_entries[killed], SIGKILL);
   ck_assert (h_answered (p));
-  ck_assert_int_gt (runs_of (4, "whole"), 16);
-  assert_kept_promises (4);
+  ck_assert_int_gt (count_runs (4, "whole"), 16);
+  assert_no_overload_or_double_run (4);
   h_cluster_stop ();
 }
 END_TEST
 
-/* An instance stands still for two seconds; its caller's connection times
-   out and the job goes to another instance.  Awake again, it must not
-   start what it had queued.  */
+/* An instance stalls for two seconds, the connection of its caller times out
+   and the caller sends the job to another instance.  When it resumes, it must
+   not start the tasks that it had queued.  */
 START_TEST (frozen_instance_starts_nothing_of_what_it_had)
 {
   h_nodes (2, 2, 2);
   pid_t p[3];
   for (int i = 0; i < 3; i++)
-    p[i] = submit_no (1, "froz", i, 2, 800, true);
+    p[i] = submit_numbered (1, "froz", i, 2, 800, true);
   sleep_ms (100);
   kill (h_entries[1], SIGSTOP);
   sleep_ms (RESEND_MS);
   pid_t again[3];
   for (int i = 0; i < 3; i++)
-    again[i] = submit_no (0, "froz", i, 2, 800, true);
+    again[i] = submit_numbered (0, "froz", i, 2, 800, true);
   sleep_ms (700);
   kill (h_entries[1], SIGCONT);
   for (int i = 0; i < 3; i++)
@@ -180,13 +185,14 @@
       h_answered (again[i]);
     }
   sleep_ms (1500);
-  assert_kept_promises (2);
+  assert_no_overload_or_double_run (2);
   h_cluster_stop ();
 }
 END_TEST
 
-/* Orders get no answer and are carried out two seconds late, while more
-   work comes than there is room.  No upstream may be over its room.  */
+/* Start calls get no answer and take effect two seconds late, while more tasks
+   are submitted than there is capacity for.  No upstream may run more than its
+   capacity.  */
 START_TEST (orders_carried_out_late_find_room)
 {
   h_nodes (3, 2, 2);
@@ -195,7 +201,7 @@
   pid_t p[12];
   for (int i = 0; i < 12; i++)
     {
-      p[i] = submit_no (i % 2, "late", i, 2, 250, true);
+      p[i] = submit_numbered (i % 2, "late", i, 2, 250, true);
       sleep_ms (150);
     }
   int answered = 0;
@@ -203,19 +209,19 @@
     answered += h_answered (p[i]);
   ck_assert_int_ge (answered, 10);
   sleep_ms (2500);
-  assert_kept_promises (3);
+  assert_no_overload_or_double_run (3);
   h_cluster_stop ();
 }
 END_TEST
 
-/* SIGTERM at an instance with jobs open: each is answered whole, and the
-   other instances take its upstreams over.  */
+/* On SIGTERM, an instance with open jobs answers each of them completely, and
+   the other instances take over its upstreams.  */
 START_TEST (graceful_stop_cuts_off_nothing)
 {
   h_nodes (4, 4, 2);
   pid_t p[4];
   for (int i = 0; i < 4; i++)
-    p[i] = submit_no (1, "term", i, 4, 600, false);
+    p[i] = submit_numbered (1, "term", i, 4, 600, false);
   sleep_ms (200);
   kill (h_entries[1], SIGTERM);
   for (int i = 0; i < 4; i++)
@@ -224,17 +230,18 @@
   ck_assert (h_wait_nodes (1, 4, 5000));
   pid_t after = submit (0, "after", 16, 100, true);
   ck_assert (h_answered (after));
-  assert_kept_promises (4);
+  assert_no_overload_or_double_run (4);
   h_cluster_stop ();
 }
 END_TEST
 
-/* A job outlasts the grace of a shutdown.  Its task has run, so its caller
-   must not be told that it did not (503), but to send it again (502).  */
+/* A job takes longer than the grace time of a shutdown.  As its task has
+   started, the answer must be 502 (send the job again) and not 503 (nothing of
+   the job ran).  */
 START_TEST (job_longer_than_the_grace_is_not_called_unrun)
 {
   h_nodes (1, 4, 2);
-  int node = owns_nothing (0) ? 0 : 1;
+  int node = owns_no_upstream (0) ? 0 : 1;
   pid_t p = fork ();
   if (p == 0)
     {
@@ -254,9 +261,10 @@
 }
 END_TEST
 
-/* The only instance of a data centre dies, is stopped, comes back.  Its
-   upstreams would stand idle meanwhile, a half of all: the other data
-   centre's instance stands in, and hands them back.  */
+/* The only instance of a data centre is killed or stopped and then restarted.
+   Without a standby, its upstreams, half of all, would be idle in between: the
+   instance of the other data centre takes them over, and hands them back after
+   the restart.  */
 START_TEST (data_centre_without_instances_is_stood_in_for)
 {
   static const int signals[] = { SIGKILL, SIGTERM };
@@ -271,34 +279,35 @@
       ck_assert (h_wait_nodes (2, 4, 8000));
       sleep_ms (3000);
       ck_assert (h_wait_nodes (2, 4, 100));
-      ck_assert (!owns_nothing (1));
+      ck_assert (!owns_no_upstream (1));
       ck_assert (h_answered (submit (1, "again", 8, 100, true)));
     }
-  assert_kept_promises (4);
+  assert_no_overload_or_double_run (4);
   h_cluster_stop ();
 }
 END_TEST
 
-/* The store is down: what is known goes on being served, by instances
-   that keep their upstreams.  Its return takes nothing away.  */
+/* While the store is down, instances keep their upstreams and go on serving
+   the queues and upstreams that they know.  They keep the upstreams also when
+   the store is back.  */
 START_TEST (outage_of_the_store_stops_no_caller)
 {
   h_nodes (4, 4, 2);
   h_platform_fault ("{\"down\":true}");
   for (int i = 0; i < 8; i++)
     {
-      ck_assert (h_answered (submit_no (i % 2, "out", i, 4, 50, true)));
+      ck_assert (h_answered (submit_numbered (i % 2, "out", i, 4, 50, true)));
       sleep_ms (400);
     }
   h_platform_fault ("{\"down\":false}");
   sleep_ms (2500);
   ck_assert (h_answered (submit (0, "back", 8, 50, true)));
-  assert_kept_promises (4);
+  assert_no_overload_or_double_run (4);
   h_cluster_stop ();
 }
 END_TEST
 
-/* The store drops its history and deals all partitions anew.  */
+/* The store drops its history and reassigns all partitions.  */
 START_TEST (dropped_history_and_new_deal_are_survived)
 {
   h_nodes (4, 4, 2);
@@ -307,39 +316,40 @@
   sleep_ms (1500);
   ck_assert (h_wait_nodes (2, 4, 5000));
   ck_assert (h_answered (submit (0, "anew", 8, 100, true)));
-  assert_kept_promises (4);
+  assert_no_overload_or_double_run (4);
   h_cluster_stop ();
 }
 END_TEST
 
-/* An upstream fails every task and reports itself well.  Idempotent tasks
-   are run again elsewhere; each job is complete.  */
+/* An upstream fails every task and reports that it is healthy.  Idempotent
+   tasks run again on another upstream, and each job completes.  */
 START_TEST (upstream_that_fails_everything_fails_no_job)
 {
   h_nodes (4, 4, 2);
   upstream_fault (0, "{\"fails\":true}");
   int answered = 0;
   for (int i = 0; i < 10; i++)
-    answered += h_answered (submit_no (i % 2, "grey", i, 4, 50, true));
+    answered += h_answered (submit_numbered (i % 2, "grey", i, 4, 50, true));
   ck_assert_int_eq (answered, 10);
   h_cluster_stop ();
 }
 END_TEST
 
-/* A task that must not be repeated fails on such an upstream: it runs
-   once, and its job is failed, not completed by a second run.  */
+/* A task that is not idempotent fails on an upstream that fails every task.
+   The task runs once and its job fails; no second run completes it.  */
 START_TEST (task_that_must_run_once_is_not_repeated)
 {
   h_nodes (1, 4, 1);
   upstream_fault (0, "{\"fails\":true}");
   ck_assert (!h_answered (submit (0, "once", 1, 50, false)));
   sleep_ms (500);
-  ck_assert_int_eq (runs_of (1, "once"), 1);
+  ck_assert_int_eq (count_runs (1, "once"), 1);
   h_cluster_stop ();
 }
 END_TEST
 
-/* A caller leaves: its tasks are stopped soon, and their room is used.  */
+/* When a caller disconnects, its tasks are stopped soon and their capacity is
+   used for other tasks.  */
 START_TEST (tasks_of_a_caller_that_left_are_stopped)
 {
   h_nodes (2, 2, 2);
@@ -349,14 +359,14 @@
   h_answered (p);
   sleep_ms (500);
   ck_assert (h_answered (submit (1, "next", 4, 100, true)));
-  ck_assert_int_eq (runs_of (2, "left"), 4);
-  assert_kept_promises (2);
+  ck_assert_int_eq (count_runs (2, "left"), 4);
+  assert_no_overload_or_double_run (2);
   h_cluster_stop ();
 }
 END_TEST
 
-/* An upstream says that it leaves: two seconds later nothing starts there
-   any more, and what runs there ends.  */
+/* An upstream reports that it is draining: the tasks that run there end, and
+   two seconds later no task starts there any more.  */
 START_TEST (leaving_upstream_gets_no_new_task)
 {
   h_nodes (2, 4, 2);
@@ -367,7 +377,7 @@
   sleep_ms (1500);
   ck_assert (h_answered (before));
   for (int i = 0; i < 4; i++)
-    ck_assert (h_answered (submit_no (i % 2, "late", i, 2, 50, true)));
+    ck_assert (h_answered (submit_numbered (i % 2, "late", i, 2, 50, true)));
   GArray *runs = h_runs (2, NULL);
   for (guint i = 0; i < runs->len; i++)
     {
@@ -379,8 +389,8 @@
 }
 END_TEST
 
-/* Every instance is killed at once, right after it took work.  Started
-   again they serve within seconds, and what ran before is gone.  */
+/* All instances are killed at the same time, just after they accepted jobs.
+   Restarted, they serve within seconds, and the earlier runs have ended.  */
 START_TEST (all_instances_killed_serve_again_within_seconds)
 {
   h_nodes (4, 4, 2);
@@ -396,17 +406,18 @@
   ck_assert (h_wait_nodes (2, 4, 6000));
   ck_assert (h_answered (submit (0, "herd-0", 4, 200, true)));
   ck_assert (h_answered (submit (1, "herd-1", 4, 200, true)));
-  assert_kept_promises (4);
+  assert_no_overload_or_double_run (4);
   h_cluster_stop ();
 }
 END_TEST
 
-/* From the start of an instance's process until it owned an upstream.  */
+/* Returns the time from the start of an instance's process until it owned an
+   upstream.  */
 static mm_time_ms
 time_to_own_ms (int node)
 {
-  if (owns_nothing (node))
-    return 0; /* all upstreams' names hash to the other one's partitions */
+  if (owns_no_upstream (node))
+    return 0; /* every upstream is in a partition of the other instance */
   mm_time_ms started
       = h_log_time_ms (h_entries[node], "\"event\":\"started\"", "");
   mm_time_ms owns = h_log_time_ms (
@@ -416,10 +427,11 @@
   return owns - started;
 }
 
-/* All instances lose power and are back a second later, sooner than their
-   memberships in the store's groups lapse.  As new members they waited for
-   these: for half a second nobody owned an upstream, and every caller was
-   refused.  The earlier lives are dead: their successors have their ports.  */
+/* All instances lose power and are restarted within a second, before their
+   memberships in the store's groups expire.  As new members they waited for
+   the old memberships to expire: for half a second no instance owned an
+   upstream, and every caller was refused.  They need not wait, as the previous
+   incarnations are known to be dead: the new ones listen on their ports.  */
 START_TEST (instances_that_come_back_own_upstreams_within_150_ms)
 {
   h_nodes (8, 4, 2);
@@ -429,17 +441,17 @@
   h_start_node (0);
   h_start_node (1);
   ck_assert (h_wait_nodes (2, 8, 6000));
-  sleep_ms (200); /* logs are written at each tick */
+  sleep_ms (200); /* the logs are written at each tick */
   ck_assert_int_le (time_to_own_ms (0), 150);
   ck_assert_int_le (time_to_own_ms (1), 150);
   h_cluster_stop ();
 }
 END_TEST
 
-/* Orders of an instance get no answer and are carried out 1.5 s later; it is
-   killed, and its successor owns the upstreams at once.  What the dead one
-   ordered must not start then: nobody asks for it, and its room is given to
-   others.  */
+/* Start calls of an instance get no answer and would take effect 1.5 s late.
+   The instance is killed, and its next incarnation owns the upstreams at once.
+   The upstreams must refuse the late starts: no instance waits for these
+   tasks, and their capacity is given to others.  */
 START_TEST (late_order_of_an_earlier_life_starts_nothing)
 {
   h_nodes (2, 2, 1);
@@ -452,22 +464,22 @@
   h_start_node (0);
   ck_assert (h_wait_nodes (1, 2, 6000));
   for (int i = 0; i < 8; i++)
-    ck_assert (h_answered (submit_no (0, "next", i, 4, 200, true)));
-  ck_assert_int_eq (runs_of (2, "dead"), 0);
-  assert_kept_promises (2);
+    ck_assert (h_answered (submit_numbered (0, "next", i, 4, 200, true)));
+  ck_assert_int_eq (count_runs (2, "dead"), 0);
+  assert_no_overload_or_double_run (2);
   h_cluster_stop ();
 }
 END_TEST
 
 typedef struct
 {
-  mm_time_ms term_ms; /* when it was told to stop, 0: not yet */
-  bool back;
+  mm_time_ms term_ms; /* when it was sent SIGTERM, 0: not yet */
+  bool back;          /* it is running again */
 } restart;
 
-#define BALANCER_SEES_MS 2000 /* two misses, one a second */
+#define BALANCER_SEES_MS 2000 /* time of two failed checks, one a second */
 
-/* Do new callers reach this instance?  */
+/* Returns whether the balancer sends new callers to this instance.  */
 static bool
 in_rotation (const restart *r)
 {
@@ -485,8 +497,8 @@
   r->back = h_wait_port (h_entry_ports[node], 1000);
 }
 
-/* Every instance is restarted by operators, @at_once at a time, @gap_ms apart,
-   while callers come all the time to those that the balancer still names.  */
+/* Restarts all instances, @at_once at a time and @gap_ms apart, while
+   callers submit jobs all the time to the instances that are in rotation.  */
 static void
 restart_all_under_load (int at_once, mm_time_ms gap_ms)
 {
@@ -501,14 +513,14 @@
   h_nodes (8, 3, NODES);
   restart r[NODES] = { 0 };
   pid_t p[JOBS];
-  mm_time_ms begin = mm_clock_now_ms () + 500;
+  mm_time_ms first_term_ms = mm_clock_now_ms () + 500;
   for (int i = 0, node = 0; i < JOBS; i++)
     {
       mm_time_ms now = mm_clock_now_ms ();
       for (int k = 0; k < NODES; k++)
         {
           restart_when_gone (k, &r[k]);
-          if (r[k].term_ms || now < begin + k / at_once * gap_ms)
+          if (r[k].term_ms || now < first_term_ms + k / at_once * gap_ms)
             continue;
           r[k].term_ms = now;
           kill (h_entries[k], SIGTERM);
@@ -516,37 +528,39 @@
       do
         node = (node + 1) % NODES;
       while (!in_rotation (&r[node]));
-      p[i] = submit_no (node, "roll", i, 2, 100, true);
+      p[i] = submit_numbered (node, "roll", i, 2, 100, true);
       sleep_ms (EVERY_MS);
     }
   int served = 0;
   for (int i = 0; i < JOBS; i++)
     served += h_answered (p[i]);
   ck_assert_int_ge (served, JOBS * 97 / 100);
-  assert_kept_promises (8);
+  assert_no_overload_or_double_run (8);
   h_cluster_stop ();
 }
 
-/* Half a second apart, all instances are shutting down at one time.  Each gave
-   its upstreams up at once, nobody took them, and a quarter of that time's
-   jobs was refused.  They serve on until one that stays has taken over.  */
+/* Restarted half a second apart, all instances are shutting down at the
+   same time.  Each released its upstreams at once, no instance took them over,
+   and a quarter of the jobs of that time was refused.  An instance must serve
+   on until one that is not shutting down has taken over.  */
 START_TEST (restart_of_all_instances_one_by_one_is_not_noticed)
 {
   restart_all_under_load (1, 500);
 }
 END_TEST
 
-/* Both instances of a data centre at a time: those of the other one take its
-   upstreams over until they are back.  */
+/* When both instances of a data centre restart at the same time, those of the
+   other one take over its upstreams until they are back.  */
 START_TEST (restart_of_all_instances_in_pairs_is_not_noticed)
 {
   restart_all_under_load (2, 1000);
 }
 END_TEST
 
-/* Jobs of this queue have 0.3 s to spare (0.315 less what the way takes).  */
+/* Sets the queue so that its jobs have a slack of 0.3 s: 0.315 s less the
+   network time.  */
 static void
-spare_300_ms (void)
+set_slack_300_ms (void)
 {
   long status = 0;
   cJSON_Delete (h_call (
@@ -558,21 +572,21 @@
   sleep_ms (500);
 }
 
-/* Callers come to @node while ownership moves, two tasks of 100 ms each 40 ms
-   for @for_ms.  Return: how many were not served.  */
+/* Submits a job of two 100 ms tasks to @node each 40 ms, for @for_ms.  Returns
+   the number of jobs that were not served.  */
 static int
-unserved_meanwhile (int node, const char *name, int for_ms)
+count_unserved (int node, const char *name, int for_ms)
 {
   enum
   {
     EVERY_MS = 40,
-    MOST = 100
+    MAX_JOBS = 100
   };
-  pid_t p[MOST];
-  int n = MIN (for_ms / EVERY_MS, MOST);
+  pid_t p[MAX_JOBS];
+  int n = MIN (for_ms / EVERY_MS, MAX_JOBS);
   for (int i = 0; i < n; i++)
     {
-      p[i] = submit_no (node, name, i, 2, 100, true);
+      p[i] = submit_numbered (node, name, i, 2, 100, true);
       sleep_ms (EVERY_MS);
     }
   int unserved = 0;
@@ -581,50 +595,50 @@
   return unserved;
 }
 
-/* An instance joins and is given half of the upstreams, the store deals them
-   out anew, and an instance is killed.  Room that changes hands was in
-   nobody's report for 0.3 s, and jobs with time to spare were refused for it;
-   what ran there was stopped by its next owner.  A quarter of the room is in
-   use.  */
+/* An instance joins and gets half of the upstreams, the store reassigns them,
+   and an instance is killed.  A quarter of the capacity is in use.  Capacity
+   that was handed over was in no instance's report for 0.3 s: jobs were
+   refused although they had time to wait, and the next owner stopped the runs
+   there.  */
 START_TEST (no_job_with_time_to_spare_is_refused_while_ownership_moves)
 {
   h_nodes (8, 4, 2);
-  spare_300_ms ();
+  set_slack_300_ms ();
   h_start_node (2);
-  ck_assert_int_eq (unserved_meanwhile (0, "join", 2000), 0);
+  ck_assert_int_eq (count_unserved (0, "join", 2000), 0);
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
                         "{\"deal_anew\":true}", NULL));
-  unserved_meanwhile (0, "deal", 2000); /* what ran is stopped, see below */
+  count_unserved (0, "deal", 2000); /* runs are stopped, see the next test */
   h_stop (h_entries[2], SIGKILL);
-  unserved_meanwhile (0, "kill", 2500); /* what it ran is lost */
+  count_unserved (0, "kill", 2500); /* its runs are lost */
   sleep_ms (50);
   ck_assert_int_eq (h_log_lines (h_entries[0], "\"event\":\"job_refused\""),
                     0);
-  assert_kept_promises (8);
+  assert_no_overload_or_double_run (8);
   h_cluster_stop ();
 }
 END_TEST
 
-/* The store deals the upstreams out anew, and their next owners stop what runs
-   there: its jobs are lost.  */
+/* The store reassigns the upstreams, and their next owners stopped the runs
+   there, so that jobs were lost.  */
 START_TEST (new_deal_loses_no_job)
 {
   h_nodes (8, 4, 3);
-  spare_300_ms ();
+  set_slack_300_ms ();
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
                         "{\"deal_anew\":true}", NULL));
-  ck_assert_int_eq (unserved_meanwhile (0, "deal", 2000), 0);
-  assert_kept_promises (8);
+  ck_assert_int_eq (count_unserved (0, "deal", 2000), 0);
+  assert_no_overload_or_double_run (8);
   h_cluster_stop ();
 }
 END_TEST
 
-/* Dump, metrics and log of one instance tell the same of its jobs.  */
+/* The state dump, metrics and log of an instance agree about its jobs.  */
 START_TEST (dump_metrics_and_log_agree)
 {
   h_nodes (1, 4, 1);
   for (int i = 0; i < 3; i++)
-    ck_assert (h_answered (submit_no (0, "same", i, 2, 20, true)));
+    ck_assert (h_answered (submit_numbered (0, "same", i, 2, 20, true)));
   char *url
       = g_strdup_printf ("http://127.0.0.1:%d/metrics", h_node_state_port (0));
   long status = 0;
--- a/tests/test_thin_link.c
+++ b/tests/test_thin_link.c
@@ -1,38 +1,41 @@
-/* Instances behind thin links, as real processes on stand-ins: what has
-   gathered at the store is more than a link carries in a call's time.  */
+/* Tests instances on links of low bandwidth, run as processes with stand-ins.
+   The changes that accumulate at the store are more than a link carries within
+   the timeout of a call.  */
 #include "harness.h"
 
 #include <signal.h>
 #include <stdio.h>
 #include <string.h>
 
-#define OWN_AGAIN_MS 2000 /* from the store's return to the first start */
-#define AWAY_MS 10000
-#define HEARTBEAT_MS 1500 /* of an upstream */
-#define BATCH_MS 100
-#define READ_EACH_MS 1500 /* an instance reads its list more often */
+#define OWN_AGAIN_MS 2000 /* from the end of the outage to the first start */
+#define AWAY_MS 10000     /* length of the outage */
+#define HEARTBEAT_MS 1500 /* time between two reports of an upstream */
+#define BATCH_MS 100      /* time between two batches of reports */
+#define READ_EACH_MS 1500 /* greatest age of a current list */
 
-/* Reports of upstreams that stand in no data centre of ours, one in so many
-   each BATCH_MS: they fill the list as those of a large fleet do.  */
+/* Upstreams of a data centre that none of the instances serves.  A part of
+   them reports each BATCH_MS, so that they fill the upstream list as a large
+   number of upstreams does.  */
 typedef struct
 {
-  int n;
-  int next;
-  int seq;
-} crowd;
+  int n;    /* number of upstreams */
+  int next; /* the next one to report */
+  int seq;  /* sequence number of the next append */
+} other_upstreams;
 
 static void
-report_some (crowd *c, int n)
+report_some (other_upstreams *others, int n)
 {
   GString *body = g_string_new (NULL);
-  g_string_printf (body, "{\"epoch\":1,\"seq\":%d,\"records\":[", c->seq++);
-  for (int i = 0; i < n; i++, c->next = (c->next + 1) % c->n)
+  g_string_printf (body, "{\"epoch\":1,\"seq\":%d,\"records\":[",
+                   others->seq++);
+  for (int i = 0; i < n; i++, others->next = (others->next + 1) % others->n)
     g_string_append_printf (
         body,
         "%s{\"key\":\"crowd%d\",\"value\":{\"address\":\"127.0.0.1:9\","
         "\"service\":\"other\",\"datacentre\":\"dc9\",\"slots\":8,"
         "\"cpu_milli\":32000,\"mem_mb\":131072,\"padding\":\"%0*d\"}}",
-        i ? "," : "", c->next, 150, c->seq);
+        i ? "," : "", others->next, 150, others->seq);
   g_string_append (body, "]}");
   cJSON_Delete (h_call ("POST", h_platform_port,
                         "/v1/streams/upstreams/append", body->str, NULL));
@@ -40,20 +43,21 @@
 }
 
 static void
-report_for (crowd *c, mm_time_ms for_ms)
+report_for (other_upstreams *others, mm_time_ms duration_ms)
 {
-  mm_time_ms until_ms = mm_clock_now_ms () + for_ms;
+  mm_time_ms until_ms = mm_clock_now_ms () + duration_ms;
   while (mm_clock_now_ms () < until_ms)
     {
-      mm_time_ms at_ms = mm_clock_now_ms ();
-      report_some (c, c->n * BATCH_MS / HEARTBEAT_MS);
-      mm_time_ms took_ms = mm_clock_now_ms () - at_ms;
+      mm_time_ms sent_ms = mm_clock_now_ms ();
+      report_some (others, others->n * BATCH_MS / HEARTBEAT_MS);
+      mm_time_ms took_ms = mm_clock_now_ms () - sent_ms;
       if (took_ms < BATCH_MS)
         g_usleep ((gulong)(BATCH_MS - took_ms) * 1000);
     }
 }
 
-/* Does the instance own partitions, and know which upstreams are in them?  */
+/* Returns whether the instance owns partitions and knows which upstreams are
+   in them.  */
 static bool
 knows_its_upstreams (int node)
 {
@@ -64,23 +68,24 @@
   return age_ms > 0 && age_ms < READ_EACH_MS;
 }
 
-/* How long until it does, while the crowd goes on.  */
+/* Returns the time until the instance knows its upstreams, while the other
+   upstreams go on reporting.  */
 static mm_time_ms
-known_after_ms (crowd *c, int node, mm_time_ms limit_ms)
+known_after_ms (other_upstreams *others, int node, mm_time_ms limit_ms)
 {
-  mm_time_ms from_ms = mm_clock_now_ms ();
+  mm_time_ms start_ms = mm_clock_now_ms ();
   while (!knows_its_upstreams (node)
-         && mm_clock_now_ms () - from_ms < limit_ms)
-    report_for (c, BATCH_MS);
-  return mm_clock_now_ms () - from_ms;
+         && mm_clock_now_ms () - start_ms < limit_ms)
+    report_for (others, BATCH_MS);
+  return mm_clock_now_ms () - start_ms;
 }
 
-/* How long after a time a caller that comes back each 100 ms has its tasks
-   started.  */
+/* Returns the time from @start_ms to the submission of the first job that is
+   answered.  A caller submits one each 100 ms.  */
 static mm_time_ms
-served_after_ms (crowd *c, mm_time_ms from_ms)
+served_after_ms (other_upstreams *others, mm_time_ms start_ms)
 {
-  for (int i = 0; mm_clock_now_ms () - from_ms < 3 * OWN_AGAIN_MS; i++)
+  for (int i = 0; mm_clock_now_ms () - start_ms < 3 * OWN_AGAIN_MS; i++)
     {
       mm_time_ms sent_ms = mm_clock_now_ms ();
       char id[16];
@@ -89,84 +94,85 @@
       bool served = h_answered (h_submit (i % 2, job));
       g_free (job);
       if (served)
-        return sent_ms - from_ms;
-      report_for (c, BATCH_MS);
+        return sent_ms - start_ms;
+      report_for (others, BATCH_MS);
     }
-  return mm_clock_now_ms () - from_ms;
+  return mm_clock_now_ms () - start_ms;
 }
 
 static void
-start_with_crowd (crowd *c, int kbps)
+start_with_other_upstreams (other_upstreams *others, int kbps)
 {
-  c->seq = 1;
+  others->seq = 1;
   h_nodes (4, 4, 2);
-  for (int i = 0; i < c->n; i += 50)
-    report_some (c, MIN (50, c->n - i));
+  for (int i = 0; i < others->n; i += 50)
+    report_some (others, MIN (50, others->n - i));
   char fault[80];
   g_snprintf (fault, sizeof fault, "{\"link_kbps\":%d,\"link_delay_ms\":1}",
               kbps);
   h_platform_fault (fault);
-  report_for (c, 2000);
+  report_for (others, 2000);
 }
 
-/* The store turns both instances away for ten seconds, and nobody can tell
-   them of the list.  Then it is back, and they get their partitions again; but
-   the list's changes of ten seconds come over a thin link no sooner than a
-   call's time-out.  They would own upstreams and start nothing, for the rest
-   of the day.  */
+/* The store refuses both instances for ten seconds, and no other instance can
+   send them updates of the list.  When the store is back, they get their
+   partitions again, but the changes of ten seconds take longer than the
+   timeout of a call on a link of low bandwidth.  If every read of the list
+   times out, the instances own upstreams and start no task there from then on.
+ */
 static void
-away_and_back (int kbps, int upstreams, const char *meanwhile)
+check_outage (int kbps, int n_others, const char *store_fault)
 {
-  crowd c = { .n = upstreams };
-  start_with_crowd (&c, kbps);
+  other_upstreams others = { .n = n_others };
+  start_with_other_upstreams (&others, kbps);
   h_platform_fault ("{\"cut\":\"node0,node1\"}");
-  report_for (&c, AWAY_MS);
-  if (meanwhile)
-    cJSON_Delete (
-        h_call ("POST", h_platform_port, "/v1/store-faults", meanwhile, NULL));
+  report_for (&others, AWAY_MS);
+  if (store_fault)
+    cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
+                          store_fault, NULL));
   for (int i = 0; i < 2; i++)
     ck_assert (!knows_its_upstreams (i));
   h_platform_fault ("{\"cut\":\"\"}");
-  mm_time_ms from_ms = mm_clock_now_ms ();
+  mm_time_ms start_ms = mm_clock_now_ms ();
   for (int i = 0; i < 2; i++)
-    known_after_ms (&c, i, 3 * OWN_AGAIN_MS);
-  mm_time_ms took_ms = mm_clock_now_ms () - from_ms;
+    known_after_ms (&others, i, 3 * OWN_AGAIN_MS);
+  mm_time_ms took_ms = mm_clock_now_ms () - start_ms;
   ck_assert_msg (took_ms <= OWN_AGAIN_MS, "known after %d ms", (int)took_ms);
-  took_ms = served_after_ms (&c, from_ms);
+  took_ms = served_after_ms (&others, start_ms);
   ck_assert_msg (took_ms <= OWN_AGAIN_MS, "served after %d ms", (int)took_ms);
   h_cluster_stop ();
 }
 
-START_TEST (back_on_2_mbit_with_120_upstreams)
+START_TEST (recovers_on_2_mbit_with_120_upstreams)
 {
-  away_and_back (2000, 120, NULL);
+  check_outage (2000, 120, NULL);
 }
 END_TEST
 
-START_TEST (back_on_25_mbit_with_1100_upstreams)
+START_TEST (recovers_on_25_mbit_with_1100_upstreams)
 {
-  away_and_back (25000, 1100, NULL);
+  check_outage (25000, 1100, NULL);
 }
 END_TEST
 
-START_TEST (back_after_the_history_was_dropped)
+START_TEST (recovers_after_the_history_was_dropped)
 {
-  away_and_back (2000, 120, "{\"drop_history\":true}");
+  check_outage (2000, 120, "{\"drop_history\":true}");
 }
 END_TEST
 
-/* The store turns one instance away and serves the other, which tells it what
-   becomes of the upstreams: its own stay in use.  */
-START_TEST (instance_without_the_store_hears_of_its_upstreams)
+/* The store refuses one instance and serves the other one.  The first gets the
+   updates of the list from the second, so that its upstreams stay in use.  */
+START_TEST (instance_without_the_store_gets_list_updates_from_a_peer)
 {
-  crowd c = { .n = 120 };
-  start_with_crowd (&c, 2000);
-  report_for (&c, 6000);
+  other_upstreams others = { .n = 120 };
+  start_with_other_upstreams (&others, 2000);
+  report_for (&others, 6000);
   h_platform_fault ("{\"cut\":\"node0\"}");
-  report_for (&c, 1000);
+  report_for (&others, 1000);
   for (int i = 0; i < 10; i++)
     {
-      report_for (&c, 300);
+      report_for (&others, 300);
       ck_assert (knows_its_upstreams (0));
     }
   h_platform_fault ("{\"cut\":\"\"}");
@@ -174,13 +180,13 @@
 }
 END_TEST
 
-/* A configuration of 1,400 queues more is some 150 KB, 0.6 s on a link of
-   2 Mbit/s: read with the time-out of a small one, it would never be in
-   force.  */
+/* A configuration with 1,400 more queues has about 150 KB, which takes 0.6 s
+   on a link of 2 Mbit/s.  If it was read with the timeout for a small one, it
+   would never be in force.  */
 START_TEST (large_configuration_is_in_force_on_a_thin_link)
 {
-  crowd c = { .n = 120 };
-  start_with_crowd (&c, 2000);
+  other_upstreams others = { .n = 120 };
+  start_with_other_upstreams (&others, 2000);
   GString *s = g_string_new ("{\"version\":2,\"queues\":[{\"name\":\"q\","
                              "\"service\":\"tasks\",\"attempts\":3,"
                              "\"stretch\":3,\"slo_ms\":500}");
@@ -194,7 +200,7 @@
   cJSON_Delete (h_call ("PUT", h_platform_port, "/v1/streams/config/config",
                         s->str, NULL));
   g_string_free (s, TRUE);
-  report_for (&c, 4000);
+  report_for (&others, 4000);
   for (int i = 0; i < 2; i++)
     ck_assert (h_wait_json (h_node_state_port (i), "/", "config_version", 2,
                             BATCH_MS));
@@ -202,18 +208,19 @@
 }
 END_TEST
 
-/* An instance that starts while all others start has the whole list to read,
-   besides the members and the configuration.  */
-START_TEST (instance_that_joins_among_restarts_owns_upstreams)
+/* An instance that starts while all others restart must read the complete
+   list, besides the members and the configuration, before it can use
+   upstreams.  */
+START_TEST (instance_that_joins_during_restarts_owns_upstreams)
 {
-  crowd c = { .n = 120 };
-  start_with_crowd (&c, 2000);
+  other_upstreams others = { .n = 120 };
+  start_with_other_upstreams (&others, 2000);
   for (int i = 0; i < 2; i++)
     h_stop (h_entries[i], SIGKILL);
   for (int i = 0; i < 3; i++)
     h_start_node (i);
   for (int i = 0; i < 3; i++)
-    ck_assert_int_le (known_after_ms (&c, i, 10000), 5000);
+    ck_assert_int_le (known_after_ms (&others, i, 10000), 5000);
   h_cluster_stop ();
 }
 END_TEST
@@ -224,12 +231,12 @@
   Suite *s = suite_create ("thin_link");
   TCase *c = tcase_create ("thin_link");
   tcase_set_timeout (c, 60);
-  tcase_add_test (c, back_on_2_mbit_with_120_upstreams);
-  tcase_add_test (c, back_on_25_mbit_with_1100_upstreams);
-  tcase_add_test (c, back_after_the_history_was_dropped);
-  tcase_add_test (c, instance_without_the_store_hears_of_its_upstreams);
+  tcase_add_test (c, recovers_on_2_mbit_with_120_upstreams);
+  tcase_add_test (c, recovers_on_25_mbit_with_1100_upstreams);
+  tcase_add_test (c, recovers_after_the_history_was_dropped);
+  tcase_add_test (c, instance_without_the_store_gets_list_updates_from_a_peer);
   tcase_add_test (c, large_configuration_is_in_force_on_a_thin_link);
-  tcase_add_test (c, instance_that_joins_among_restarts_owns_upstreams);
+  tcase_add_test (c, instance_that_joins_during_restarts_owns_upstreams);
   suite_add_tcase (s, c);
   return h_run_suite (s);
 }
