--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -290,7 +290,7 @@
 /* While the store is down, instances keep their upstreams and go on serving
    the queues and upstreams that they know.  They keep the upstreams also when
    the store is back.  */
-START_TEST (outage_of_the_store_stops_no_caller)
+START_TEST (store_outage_affects_no_caller)
 {
   h_nodes (4, 4, 2);
   h_platform_fault ("{\"down\":true}");
@@ -308,7 +308,7 @@
 END_TEST
 
 /* The store drops its history and reassigns all partitions.  */
-START_TEST (dropped_history_and_new_deal_are_survived)
+START_TEST (instances_serve_after_dropped_history_and_reassignment)
 {
   h_nodes (4, 4, 2);
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
@@ -600,7 +600,7 @@
    that was handed over was in no instance's report for 0.3 s: jobs were
    refused although they had time to wait, and the next owner stopped the runs
    there.  */
-START_TEST (no_job_with_time_to_spare_is_refused_while_ownership_moves)
+START_TEST (no_job_with_slack_is_refused_during_handovers)
 {
   h_nodes (8, 4, 2);
   set_slack_300_ms ();
@@ -708,8 +708,8 @@
   tcase_add_test (c, graceful_stop_cuts_off_nothing);
   tcase_add_test (c, job_longer_than_the_grace_is_not_called_unrun);
   tcase_add_test (c, data_centre_without_instances_is_stood_in_for);
-  tcase_add_test (c, outage_of_the_store_stops_no_caller);
-  tcase_add_test (c, dropped_history_and_new_deal_are_survived);
+  tcase_add_test (c, store_outage_affects_no_caller);
+  tcase_add_test (c, instances_serve_after_dropped_history_and_reassignment);
   tcase_add_test (c, upstream_that_fails_everything_fails_no_job);
   tcase_add_test (c, task_that_must_run_once_is_not_repeated);
   tcase_add_test (c, tasks_of_a_caller_that_left_are_stopped);
@@ -722,8 +722,7 @@
   tcase_set_timeout (c, 60);
   tcase_add_test (c, instances_that_come_back_own_upstreams_within_150_ms);
   tcase_add_test (c, late_order_of_an_earlier_life_starts_nothing);
-  tcase_add_test (c,
-                  no_job_with_time_to_spare_is_refused_while_ownership_moves);
+  tcase_add_test (c, no_job_with_slack_is_refused_during_handovers);
   tcase_add_test (c, restart_of_all_instances_one_by_one_is_not_noticed);
   tcase_add_test (c, restart_of_all_instances_in_pairs_is_not_noticed);
   suite_add_tcase (s, c);
