--- a/tests/test_thin_link.c
+++ b/tests/test_thin_link.c
@@ -48,9 +48,9 @@
   mm_time_ms until_ms = mm_clock_now_ms () + duration_ms;
   while (mm_clock_now_ms () < until_ms)
     {
-      mm_time_ms sent_ms = mm_clock_now_ms ();
+      mm_time_ms batch_start_ms = mm_clock_now_ms ();
       report_some (others, others->n * BATCH_MS / HEARTBEAT_MS);
-      mm_time_ms took_ms = mm_clock_now_ms () - sent_ms;
+      mm_time_ms took_ms = mm_clock_now_ms () - batch_start_ms;
       if (took_ms < BATCH_MS)
         g_usleep ((gulong)(BATCH_MS - took_ms) * 1000);
     }
