--- a/daemons/masticmill_node.c
+++ b/daemons/masticmill_node.c
@@ -54,7 +54,7 @@
   process *p = w->data;
   if (mm_clock_now_ms () - p->leave_ms >= MM_LEAVE_DRAIN_MS)
     mm_front_set_leaving (p->front);
-  if (mm_node_left (p->node, mm_front_connections (p->front)))
+  if (mm_node_can_exit (p->node, mm_front_connections (p->front)))
     ev_break (loop, EVBREAK_ALL);
 }
 
--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -110,14 +110,14 @@
                         .payload = "p",
                         .need = { .cpu_milli = 14000 } };
   mm_work_result r = { .how = MM_END_DONE, .upstream = "u", .why = "" };
-  mm_mesh_room room = { .service = "svc", .room = { 10, 4, 1 } };
+  mm_mesh_service_capacity room = { .service = "svc", .room = { 10, 4, 1 } };
   mm_mesh_pack_run (&b, 7, &t);
   mm_mesh_pack_ended (&b, 7, &r);
   mm_mesh_pack_report (&b, 7, "node", false, &room, 1);
-  mm_mesh_pack_handed (&b, "room-dc1");
+  mm_mesh_pack_released (&b, "room-dc1");
   mm_mesh_pack_cancel (&b, 7);
-  mm_mesh_pack_ask (&b, 7, 1, "x", 1);
-  mm_mesh_pack_told (&b, 7, "x", 1);
+  mm_mesh_pack_request (&b, 7, 1, "x", 1);
+  mm_mesh_pack_answer (&b, 7, "x", 1);
   mm_found_run found = { .upstream = "up", .task = t.id, .run = 1 };
   mm_mesh_pack_found (&b, &found);
   uint64_t mark = 7;
@@ -125,7 +125,7 @@
     .upstream = "up", .addr = "127.0.0.1:1", .tasks = &mark, .n_tasks = 1
   };
   mm_mesh_pack_loss (&b, &loss);
-  mm_mesh_pack_beat (&b);
+  mm_mesh_pack_heartbeat (&b);
   mm_mesh_pack_hello (&b, "node");
   return b;
 }
--- a/src/config.h
+++ b/src/config.h
@@ -156,12 +156,12 @@
 #define MM_LINK_MAX_BYTES                                                     \
   (8u << 20) /* unread or unsent: then it is closed                           \
               */
-#define MM_MESH_BEAT_MS                                                       \
+#define MM_MESH_HEARTBEAT_MS                                                  \
   150 /* each side says something at least this often                         \
        */
 /* A peer silent for so long is given up: its tasks' work here is stopped
    well before their callers send them again, 1,300 ms after a break.  */
-#define MM_MESH_SILENT_MS 600
+#define MM_MESH_TIMEOUT_MS 600
 #define MM_MESH_RECONNECT_MS 250
 #define MM_MESH_REPORT_MS 25 /* at most this often, when room changes */
 /* And about this often over all links: writing reports costs more than
@@ -177,7 +177,7 @@
 #define MM_NEIGHBOUR_LOST_MS 2000
 /* A newcomer is in the list after it has joined and the list was read.  */
 #define MM_NEIGHBOUR_NEW_MS 5000
-#define MM_MESH_NEEDED_MS 10000    /* a link that was asked for is kept */
+#define MM_MESH_LINK_KEEP_MS 10000 /* a link that was asked for is kept */
 #define MM_NEIGHBOURS_CHECK_MS 500 /* chosen anew at least this often */
 
 #define MM_QUEUE_DELAY_WINDOW_MS 30000 /* what is usual on a link */
--- a/src/mm_datacentres.c
+++ b/src/mm_datacentres.c
@@ -45,7 +45,7 @@
 static void
 on_released (void *ctx, const char *group)
 {
-  mm_mesh_tell_handed (((mm_datacentres *)ctx)->mesh, group);
+  mm_mesh_notify_released (((mm_datacentres *)ctx)->mesh, group);
 }
 
 static void
@@ -130,8 +130,8 @@
 static bool
 is_chosen_standby (const mm_datacentres *dcs, const membership *m)
 {
-  mm_mesh_place peers[MM_FLEET_MAX];
-  size_t n = mm_mesh_places (dcs->mesh, "", peers, MM_FLEET_MAX);
+  mm_mesh_peer_capacity peers[MM_FLEET_MAX];
+  size_t n = mm_mesh_peer_capacities (dcs->mesh, "", peers, MM_FLEET_MAX);
   uint64_t own = rank_of (dcs->member, m->datacentre);
   uint32_t n_before = 0;
   for (size_t i = 0; i < n; i++)
--- a/src/mm_exec.c
+++ b/src/mm_exec.c
@@ -363,8 +363,8 @@
   mm_exec *x = r->exec;
   r->phase = RUN_ORDERED;
   if (r->payload)
-    mm_uplink_sent (&x->common->uplink, strlen (r->payload),
-                    mm_clock_now_ms ());
+    mm_uplink_record_sent (&x->common->uplink, strlen (r->payload),
+                           mm_clock_now_ms ());
   mm_order o = { .task = &r->id,
                  .run = r->number,
                  .payload = r->payload,
--- a/src/mm_exec_call.c
+++ b/src/mm_exec_call.c
@@ -36,7 +36,7 @@
   c->sent_event = ++x->last_event;
   c->sent_ms = mm_clock_now_ms ();
   x->refs++;
-  mm_uplink_sent (&x->common->uplink, MM_ORDER_BYTES, c->sent_ms);
+  mm_uplink_record_sent (&x->common->uplink, MM_ORDER_BYTES, c->sent_ms);
   return c;
 }
 
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -22,8 +22,8 @@
 struct mm_ticket
 {
   mm_fleet *fleet;
-  mm_work *work;     /* dispatched to this instance; else NULL */
-  mm_remote *remote; /* dispatched to a peer; else NULL */
+  mm_work *work;          /* dispatched to this instance; else NULL */
+  mm_remote_task *remote; /* dispatched to a peer; else NULL */
   mm_work_done done;
   void *ctx;
 };
@@ -74,19 +74,22 @@
 /* Fills @out with the capacity reports of this instance, always first, and of
    its peers.  Return: their number.  */
 static size_t
-list_owners (const mm_fleet *f, const char *service, mm_mesh_place *out)
+list_owners (const mm_fleet *f, const char *service,
+             mm_mesh_peer_capacity *out)
 {
   out[0].name = NULL;
   out[0].age_ms = 0;
   out[0].datacentre = f->datacentre;
   out[0].room = mm_owner_report (f->owner, service);
-  return 1 + mm_mesh_places (f->mesh, service, out + 1, MM_FLEET_MAX - 1);
+  return 1
+         + mm_mesh_peer_capacities (f->mesh, service, out + 1,
+                                    MM_FLEET_MAX - 1);
 }
 
 mm_load
 mm_fleet_load (const mm_fleet *f, const char *service, uint32_t priority)
 {
-  mm_mesh_place owners[MM_FLEET_MAX];
+  mm_mesh_peer_capacity owners[MM_FLEET_MAX];
   size_t n = list_owners (f, service, owners);
   mm_load load = { .mean_task_ms = (mm_time_ms)f->mean_task_ms };
   double known_places = 0, run_ms_sum = 0;
@@ -162,7 +165,7 @@
                  const char *returned_by, mm_work_done done, void *ctx)
 {
   record_declared_run_time (f, t->estimate_ms);
-  mm_mesh_place owners[MM_FLEET_MAX];
+  mm_mesh_peer_capacity owners[MM_FLEET_MAX];
   mm_dispatch_candidate choices[MM_FLEET_MAX];
   size_t n = list_owners (f, t->service, owners);
   for (size_t i = 0; i < n; i++)
--- a/src/mm_home_directory.c
+++ b/src/mm_home_directory.c
@@ -88,7 +88,7 @@
   mm_mesh_add_peer (h->mesh, &p);
   mm_peer_info_clear (&p);
   if (h->last_used_ms)
-    mm_mesh_need (h->mesh, member);
+    mm_mesh_require_link (h->mesh, member);
 }
 
 static void
--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -24,8 +24,8 @@
       msgpack_sbuffer b;
       msgpack_sbuffer_init (&b);
       mm_end_acks_pack (&b, &ack[i], 1);
-      mm_mesh_ask (k->deps.mesh, ack[i].owner, MM_KEPT_NOTIFY_ACKS, b.data,
-                   b.size, 0, NULL, NULL);
+      mm_mesh_request (k->deps.mesh, ack[i].owner, MM_KEPT_NOTIFY_ACKS, b.data,
+                       b.size, 0, NULL, NULL);
       msgpack_sbuffer_destroy (&b);
     }
 }
@@ -37,8 +37,8 @@
   mm_owner_forget_job (k->deps.owner, job_id);
   GList *peers = mm_mesh_peers (k->deps.mesh);
   for (GList *l = peers; l; l = l->next)
-    mm_mesh_ask (k->deps.mesh, l->data, MM_KEPT_NOTIFY_ENDED, job_id,
-                 strlen (job_id), 0, NULL, NULL);
+    mm_mesh_request (k->deps.mesh, l->data, MM_KEPT_NOTIFY_ENDED, job_id,
+                     strlen (job_id), 0, NULL, NULL);
   g_list_free (peers);
 }
 
@@ -239,7 +239,7 @@
   mm_task_search_events ev
       = { .end = on_found_end, .none_left = on_none_left, .ctx = k };
   k->search = mm_task_search_create (p->mesh, p->owner, p->catalog, &ev);
-  mm_mesh_on_asked (p->mesh, mm_kept_on_peer_request, k);
+  mm_mesh_on_request (p->mesh, mm_kept_on_peer_request, k);
   return k;
 }
 
@@ -249,7 +249,7 @@
   if (!k)
     return;
   k->closed = true;
-  mm_mesh_on_asked (k->deps.mesh, NULL, NULL);
+  mm_mesh_on_request (k->deps.mesh, NULL, NULL);
   mm_kept_retry_requests (k);
   for (uint32_t i = 0; i < k->deps.parts; i++)
     close_home (k, i);
--- a/src/mm_kept_foreign.c
+++ b/src/mm_kept_foreign.c
@@ -51,16 +51,16 @@
   const char *home = mm_home_directory_lookup (k->directory, partition);
   if (!home)
     return;
-  mm_mesh_need (k->deps.mesh, home);
+  mm_mesh_require_link (k->deps.mesh, home);
   if (!mm_mesh_is_connected (k->deps.mesh, home))
     return;
   foreign_request *req = g_new (foreign_request, 1);
   *req = (foreign_request){ .kept = k, .job_id = g_strdup (job_id) };
   k->refs++;
   g_hash_table_add (k->foreign_pending, g_strdup (job_id));
-  mm_mesh_ask (k->deps.mesh, home, MM_KEPT_REQUEST_FOREIGN, job_id,
-               strlen (job_id), MM_KEPT_REQUEST_TIMEOUT_MS, on_home_answered,
-               req);
+  mm_mesh_request (k->deps.mesh, home, MM_KEPT_REQUEST_FOREIGN, job_id,
+                   strlen (job_id), MM_KEPT_REQUEST_TIMEOUT_MS,
+                   on_home_answered, req);
 }
 
 /* Answers BUSY unless this instance is confirmed as the home: a superseded
--- a/src/mm_kept_peer.c
+++ b/src/mm_kept_peer.c
@@ -83,9 +83,9 @@
   for (GList *l = homes; l; l = l->next)
     {
       c->outstanding++;
-      mm_mesh_ask (k->deps.mesh, l->data, MM_KEPT_REQUEST_PENDING, queue,
-                   strlen (queue), MM_KEPT_REQUEST_TIMEOUT_MS,
-                   on_count_answered, c);
+      mm_mesh_request (k->deps.mesh, l->data, MM_KEPT_REQUEST_PENDING, queue,
+                       strlen (queue), MM_KEPT_REQUEST_TIMEOUT_MS,
+                       on_count_answered, c);
     }
   g_list_free (homes);
   if (--c->outstanding == 0)
@@ -105,7 +105,8 @@
 }
 
 static void
-handle_submit (mm_kept *k, const void *data, size_t len, mm_mesh_reply *reply)
+handle_submit (mm_kept *k, const void *data, size_t len,
+               mm_mesh_inbound_request *reply)
 {
   GError *error = NULL;
   mm_kept_answer rejection = { .status = MM_KEPT_MOVING };
@@ -129,7 +130,7 @@
 
 static void
 handle_job (mm_kept *k, mm_kept_verb verb, const char *job_id,
-            mm_mesh_reply *reply)
+            mm_mesh_inbound_request *reply)
 {
   mm_kept_answer a = { .status = MM_KEPT_MOVING };
   mm_home *h = mm_kept_home_of (k, job_id);
@@ -145,7 +146,7 @@
 }
 
 static void
-handle_pending (mm_kept *k, const char *queue, mm_mesh_reply *reply)
+handle_pending (mm_kept *k, const char *queue, mm_mesh_inbound_request *reply)
 {
   mm_kept_answer a
       = { .status = MM_KEPT_OK, .pending = pending_here (k, queue) };
@@ -153,7 +154,8 @@
 }
 
 static void
-handle_search (mm_kept *k, const void *data, size_t len, mm_mesh_reply *reply)
+handle_search (mm_kept *k, const void *data, size_t len,
+               mm_mesh_inbound_request *reply)
 {
   mm_search_result c = mm_search_result_init ();
   GHashTable *tasks = mm_task_set_read (data, len);
@@ -178,7 +180,7 @@
 /* @text: @data as a string: the job id or queue name of most requests.  */
 static void
 handle_request (mm_kept *k, uint32_t verb, const char *text, const void *data,
-                size_t len, mm_mesh_reply *reply)
+                size_t len, mm_mesh_inbound_request *reply)
 {
   switch (verb)
     {
@@ -212,7 +214,7 @@
 
 void
 mm_kept_on_peer_request (void *ctx, uint32_t verb, const void *data,
-                         size_t len, mm_mesh_reply *reply)
+                         size_t len, mm_mesh_inbound_request *reply)
 {
   mm_kept *k = ctx;
   if (verb == MM_KEPT_NOTIFY_ACKS)
--- a/src/mm_kept_priv.h
+++ b/src/mm_kept_priv.h
@@ -49,6 +49,6 @@
 /* mm_kept_peer.c: handles a request or, with @reply NULL, a notification of
    another instance.  */
 void mm_kept_on_peer_request (void *ctx, uint32_t verb, const void *data,
-                              size_t len, mm_mesh_reply *reply);
+                              size_t len, mm_mesh_inbound_request *reply);
 
 #endif /* MM_KEPT_PRIV_H */
--- a/src/mm_kept_request.c
+++ b/src/mm_kept_request.c
@@ -143,8 +143,8 @@
   mm_time_ms timeout_ms
       = MM_KEPT_REQUEST_TIMEOUT_MS
         + (r->verb == MM_KEPT_REQUEST_STATE ? 0 : MM_KEPT_ACCEPT_MS);
-  mm_mesh_ask (r->kept->deps.mesh, home, r->verb, data, len, timeout_ms,
-               on_peer_answered, r);
+  mm_mesh_request (r->kept->deps.mesh, home, r->verb, data, len, timeout_ms,
+                   on_peer_answered, r);
 }
 
 static void
@@ -164,7 +164,7 @@
     wait_for_home (r, "its home is not known");
   else if (!mm_mesh_is_connected (k->deps.mesh, home))
     {
-      mm_mesh_need (k->deps.mesh, home);
+      mm_mesh_require_link (k->deps.mesh, home);
       wait_for_home (r, "its home is not linked");
     }
   else
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -155,7 +155,7 @@
   mm_time_ms now = mm_clock_now_ms ();
   mm_time_ms as_of_ms = now - update->age_ms;
   l->round = MAX (l->round, update->round);
-  mm_mesh_set_known (l->mesh, peer, update->to);
+  mm_mesh_set_known_upto (l->mesh, peer, update->to);
   if (now < l->own_reads_until_ms)
     return;
   if (!mm_stream_advance (l->stream, update->from, update->to, as_of_ms))
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -94,7 +94,7 @@
   else if (ok && msg.kind == MM_MESH_FOUND)
     mm_mesh_handle_found (in, &msg);
   else if (ok && msg.kind == MM_MESH_UPDATE)
-    mm_mesh_take_update (in->mesh, in->name, &in->queue_delay, &msg);
+    mm_mesh_handle_update (in->mesh, in->name, &in->queue_delay, &msg);
   else if (ok && msg.kind == MM_MESH_LOSS)
     mm_mesh_handle_loss (in->mesh, &msg);
   else if (ok && msg.kind == MM_MESH_HELLO)
@@ -120,7 +120,7 @@
     mm_owner_cancel (m->owner, ((inbound_task *)v)->work);
   g_hash_table_destroy (in->tasks);
   for (GList *l = in->requests; l; l = l->next)
-    ((mm_mesh_reply *)l->data)->to = NULL;
+    ((mm_mesh_inbound_request *)l->data)->to = NULL;
   g_list_free (in->requests);
   g_byte_array_free (in->last_report, TRUE);
   g_free (in->name);
@@ -148,7 +148,7 @@
 }
 
 static size_t
-read_capacities (mm_owner *o, mm_mesh_room *out)
+read_capacities (mm_owner *o, mm_mesh_service_capacity *out)
 {
   size_t n = 0;
   GList *services = mm_owner_services (o);
@@ -165,21 +165,22 @@
 /* The time between reports on each link grows with the number of links, which
    bounds the reports per second of all links together.  The pause has an upper
    bound, as the peer closes a link on which it received nothing for
-   MM_MESH_SILENT_MS.  A standby instance has a link from every instance:
+   MM_MESH_TIMEOUT_MS.  A standby instance has a link from every instance:
    without the bound it would lose all of them again and again, and with each
    link the tasks of the callers there.  */
 mm_time_ms
 mm_mesh_report_pause_ms (uint32_t links)
 {
   mm_time_ms pause_ms = (mm_time_ms)links * 1000 / MM_MESH_REPORTS_PER_S;
-  return CLAMP (pause_ms, MM_MESH_REPORT_MS, MM_MESH_BEAT_MS);
+  return CLAMP (pause_ms, MM_MESH_REPORT_MS, MM_MESH_HEARTBEAT_MS);
 }
 
 /* Sends a report of the capacity when it changed, and as a heartbeat each
-   MM_MESH_BEAT_MS.  */
+   MM_MESH_HEARTBEAT_MS.  */
 static void
-send_report (mm_mesh_inbound_link *in, const mm_mesh_room *capacities,
-             size_t n, mm_time_ms now)
+send_report (mm_mesh_inbound_link *in,
+             const mm_mesh_service_capacity *capacities, size_t n,
+             mm_time_ms now)
 {
   uint32_t links = mm_mesh_inbound (in->mesh);
   if (now - in->report_ms < mm_mesh_report_pause_ms (links))
@@ -190,7 +191,7 @@
                        capacities, n);
   bool same = b.size == in->last_report->len
               && memcmp (b.data, in->last_report->data, b.size) == 0;
-  if (!same || now - in->report_ms >= MM_MESH_BEAT_MS)
+  if (!same || now - in->report_ms >= MM_MESH_HEARTBEAT_MS)
     {
       in->report_ms = now;
       g_byte_array_set_size (in->last_report, 0);
@@ -206,7 +207,7 @@
 static void
 handle_ended (mm_mesh_peer *p, const mm_mesh_msg *msg)
 {
-  mm_remote *r = g_hash_table_lookup (p->remote_tasks, &msg->number);
+  mm_remote_task *r = g_hash_table_lookup (p->remote_tasks, &msg->number);
   if (!r)
     return; /* was cancelled */
   g_hash_table_steal (p->remote_tasks, &msg->number);
@@ -251,7 +252,7 @@
   else if (ok && msg.kind == MM_MESH_REPORT)
     ok = handle_report (p, &msg);
   else if (ok && msg.kind == MM_MESH_UPDATE)
-    mm_mesh_take_update (p->mesh, p->info.name, &p->queue_delay, &msg);
+    mm_mesh_handle_update (p->mesh, p->info.name, &p->queue_delay, &msg);
   else if (ok && msg.kind == MM_MESH_LOSS)
     mm_mesh_handle_loss (p->mesh, &msg);
   else
@@ -301,7 +302,7 @@
   while (g_hash_table_iter_init (&it, p->remote_tasks),
          g_hash_table_iter_next (&it, NULL, &v))
     {
-      mm_remote *r = v;
+      mm_remote_task *r = v;
       g_hash_table_iter_steal (&it);
       r->done (r->ctx, &out_of_contact);
       g_free (r);
@@ -369,7 +370,7 @@
 static void
 peer_tick (mm_mesh_peer *p, mm_time_ms now)
 {
-  if (p->link && now - mm_link_received_ms (p->link) > MM_MESH_SILENT_MS)
+  if (p->link && now - mm_link_received_ms (p->link) > MM_MESH_TIMEOUT_MS)
     mm_link_close (p->link, why_unresponsive);
   if (can_close (p))
     mm_link_close (p->link, why_unneeded);
@@ -378,12 +379,12 @@
   if (!p->link)
     return;
   mm_requests_expire (p->requests, now);
-  if (now - p->heartbeat_sent_ms < MM_MESH_BEAT_MS)
+  if (now - p->heartbeat_sent_ms < MM_MESH_HEARTBEAT_MS)
     return;
   p->heartbeat_sent_ms = now;
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
-  mm_mesh_pack_beat (&b);
+  mm_mesh_pack_heartbeat (&b);
   mm_link_send (p->link, &b);
   msgpack_sbuffer_destroy (&b);
 }
@@ -475,7 +476,7 @@
 }
 
 /**
- * mm_mesh_tell_handed() - notify the peers of released partitions.
+ * mm_mesh_notify_released() - notify the peers of released partitions.
  * @m: the mesh.
  * @group: group of the partitions.
  *
@@ -484,13 +485,13 @@
  * calls the store at once.
  */
 void
-mm_mesh_tell_handed (mm_mesh *m, const char *group)
+mm_mesh_notify_released (mm_mesh *m, const char *group)
 {
   if (!MM_WITH_TELL_HANDED)
     return;
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
-  mm_mesh_pack_handed (&b, group);
+  mm_mesh_pack_released (&b, group);
   mm_mesh_send_all (m, &b);
   msgpack_sbuffer_destroy (&b);
 }
@@ -519,8 +520,8 @@
 }
 
 size_t
-mm_mesh_places (const mm_mesh *m, const char *service, mm_mesh_place *out,
-                size_t cap)
+mm_mesh_peer_capacities (const mm_mesh *m, const char *service,
+                         mm_mesh_peer_capacity *out, size_t cap)
 {
   size_t n = 0;
   mm_time_ms now = mm_clock_now_ms ();
@@ -552,14 +553,14 @@
  * Return: a handle valid until @done is called or the task is cancelled, or
  * NULL when the peer is not connected.
  */
-mm_remote *
+mm_remote_task *
 mm_mesh_submit (mm_mesh *m, const char *peer_name, const mm_task_request *t,
                 mm_work_done done, void *ctx)
 {
   mm_mesh_peer *p = g_hash_table_lookup (m->peers, peer_name);
   if (!p || !p->connected)
     return NULL;
-  mm_remote *r = g_new0 (mm_remote, 1);
+  mm_remote_task *r = g_new0 (mm_remote_task, 1);
   r->peer = p;
   r->number = ++p->last_number;
   r->done = done;
@@ -575,7 +576,7 @@
 }
 
 void
-mm_mesh_cancel (mm_mesh *m, mm_remote *r)
+mm_mesh_cancel (mm_mesh *m, mm_remote_task *r)
 {
   mm_mesh_peer *p = r->peer;
   g_hash_table_remove (p->remote_tasks, &r->number);
@@ -636,14 +637,14 @@
   for (GList *l = peers; l; l = l->next)
     peer_tick (l->data, now);
   g_list_free (peers);
-  mm_mesh_room capacities[MM_MESH_MAX_SERVICES];
+  mm_mesh_service_capacity capacities[MM_MESH_MAX_SERVICES];
   size_t n = read_capacities (m->owner, capacities);
   GList *next;
   for (GList *l = m->inbound; l; l = next)
     {
       next = l->next;
       mm_mesh_inbound_link *in = l->data;
-      if (now - mm_link_received_ms (in->link) > MM_MESH_SILENT_MS)
+      if (now - mm_link_received_ms (in->link) > MM_MESH_TIMEOUT_MS)
         mm_link_close (in->link, why_unresponsive);
       else
         send_report (in, capacities, n, now);
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -11,7 +11,7 @@
 #include <msgpack.h>
 
 typedef struct mm_mesh mm_mesh;
-typedef struct mm_remote mm_remote; /* a task dispatched to a peer */
+typedef struct mm_remote_task mm_remote_task; /* a task dispatched to a peer */
 
 typedef struct
 {
@@ -31,7 +31,7 @@
   mm_capacity_report
       room;          /* less the tasks dispatched to it since the report */
   mm_time_ms age_ms; /* age of the report */
-} mm_mesh_place;
+} mm_mesh_peer_capacity;
 
 mm_mesh *mm_mesh_create (struct ev_loop *loop, const char *self,
                          const char *datacentre, const char *host,
@@ -43,36 +43,37 @@
 /* The instance that owned partitions of a group has released them.  */
 typedef void (*mm_mesh_released) (void *ctx, const char *group);
 void mm_mesh_on_released (mm_mesh *m, mm_mesh_released released, void *ctx);
-void mm_mesh_tell_handed (mm_mesh *m,
-                          const char *group); /* notifies all peers */
+void mm_mesh_notify_released (mm_mesh *m,
+                              const char *group); /* notifies all peers */
 /* Exchanges lost upstreams with the peers; @s must outlive the mesh.  */
 void mm_mesh_set_suspects (mm_mesh *m, mm_suspects *s);
 void mm_mesh_set_leaving (mm_mesh *m); /* reports the shutdown to peers */
 void mm_mesh_add_peer (mm_mesh *m, const mm_peer_info *p); /* copied */
 void mm_mesh_set_peers (mm_mesh *m, const mm_peer_info *peers, size_t n);
-size_t mm_mesh_places (const mm_mesh *m, const char *service,
-                       mm_mesh_place *out,
-                       size_t cap); /* of connected peers */
-mm_remote *mm_mesh_submit (mm_mesh *m, const char *peer,
-                           const mm_task_request *t, mm_work_done done,
-                           void *ctx);          /* NULL: not connected */
-void mm_mesh_cancel (mm_mesh *m, mm_remote *r); /* @done is not called */
+size_t mm_mesh_peer_capacities (const mm_mesh *m, const char *service,
+                                mm_mesh_peer_capacity *out,
+                                size_t cap); /* of connected peers */
+mm_remote_task *mm_mesh_submit (mm_mesh *m, const char *peer,
+                                const mm_task_request *t, mm_work_done done,
+                                void *ctx);          /* NULL: not connected */
+void mm_mesh_cancel (mm_mesh *m, mm_remote_task *r); /* @done is not called */
 /* Sends a request to a peer, or a notification when @answered is NULL.
    @answered is called once; at once when there is no link.  */
-void mm_mesh_ask (mm_mesh *m, const char *peer, uint32_t verb,
-                  const void *data, size_t len, mm_time_ms timeout_ms,
-                  mm_answered answered, void *ctx);
+void mm_mesh_request (mm_mesh *m, const char *peer, uint32_t verb,
+                      const void *data, size_t len, mm_time_ms timeout_ms,
+                      mm_answered answered, void *ctx);
 /* A request of a peer that has no answer yet.  */
-typedef struct mm_mesh_reply mm_mesh_reply;
+typedef struct mm_mesh_inbound_request mm_mesh_inbound_request;
 /* A request was received, or a notification (@request NULL).  A request must
    be answered exactly once with mm_mesh_answer(), during the call or later.
  */
 typedef void (*mm_mesh_request_received) (void *ctx, uint32_t verb,
                                           const void *data, size_t len,
-                                          mm_mesh_reply *request);
-void mm_mesh_on_asked (mm_mesh *m, mm_mesh_request_received received,
-                       void *ctx);
-void mm_mesh_answer (mm_mesh_reply *request, const void *data, size_t len);
+                                          mm_mesh_inbound_request *request);
+void mm_mesh_on_request (mm_mesh *m, mm_mesh_request_received received,
+                         void *ctx);
+void mm_mesh_answer (mm_mesh_inbound_request *request, const void *data,
+                     size_t len);
 /* Writes the update for an instance that knows the list up to offset
    @known_upto (0: it knows nothing).  Returns the offset up to which that
    instance knows the list with this update.  */
@@ -83,7 +84,7 @@
 void mm_mesh_notify_peer (mm_mesh *m, const char *peer,
                           mm_mesh_build_update build, void *ctx);
 /* The peer knows the list up to @upto, whatever was sent to it before.  */
-void mm_mesh_set_known (mm_mesh *m, const char *peer, uint64_t upto);
+void mm_mesh_set_known_upto (mm_mesh *m, const char *peer, uint64_t upto);
 /* @queue_delay_ms: how much longer than usual the update took to arrive.  */
 typedef void (*mm_mesh_updated) (void *ctx, const char *peer, const void *data,
                                  size_t len, mm_time_ms queue_delay_ms);
@@ -91,9 +92,9 @@
 /* Names of the instances connected over a link of either direction; free the
    list, not the names.  */
 GList *mm_mesh_linked (const mm_mesh *m);
-/* Keeps a link to this instance for MM_MESH_NEEDED_MS, whether or not it is a
-   neighbour; NULL: to every known instance.  */
-void mm_mesh_need (mm_mesh *m, const char *peer);
+/* Keeps a link to this instance for MM_MESH_LINK_KEEP_MS, whether or not it is
+   a neighbour; NULL: to every known instance.  */
+void mm_mesh_require_link (mm_mesh *m, const char *peer);
 bool mm_mesh_is_connected (const mm_mesh *m, const char *peer);
 /* Names of the connected peers; free the list, not the names.  */
 GList *mm_mesh_peers (const mm_mesh *m);
--- a/src/mm_mesh_msg.c
+++ b/src/mm_mesh_msg.c
@@ -73,7 +73,7 @@
 }
 
 void
-mm_mesh_pack_beat (msgpack_sbuffer *b)
+mm_mesh_pack_heartbeat (msgpack_sbuffer *b)
 {
   msgpack_packer pk;
   pack_header (&pk, b, 1, MM_MESH_HEARTBEAT);
@@ -94,8 +94,8 @@
 }
 
 void
-mm_mesh_pack_ask (msgpack_sbuffer *b, uint64_t number, uint32_t verb,
-                  const void *data, size_t len)
+mm_mesh_pack_request (msgpack_sbuffer *b, uint64_t number, uint32_t verb,
+                      const void *data, size_t len)
 {
   msgpack_packer pk;
   pack_header (&pk, b, REQUEST_FIELDS, MM_MESH_REQUEST);
@@ -105,8 +105,8 @@
 }
 
 void
-mm_mesh_pack_told (msgpack_sbuffer *b, uint64_t number, const void *data,
-                   size_t len)
+mm_mesh_pack_answer (msgpack_sbuffer *b, uint64_t number, const void *data,
+                     size_t len)
 {
   msgpack_packer pk;
   pack_header (&pk, b, ANSWER_FIELDS, MM_MESH_ANSWER);
@@ -127,7 +127,7 @@
 void
 mm_mesh_pack_report (msgpack_sbuffer *b, uint64_t seen_number,
                      const char *name, bool leaving,
-                     const mm_mesh_room *capacities, size_t n)
+                     const mm_mesh_service_capacity *capacities, size_t n)
 {
   msgpack_packer pk;
   pack_header (&pk, b, REPORT_FIELDS, MM_MESH_REPORT);
@@ -150,7 +150,7 @@
 }
 
 void
-mm_mesh_pack_handed (msgpack_sbuffer *b, const char *group)
+mm_mesh_pack_released (msgpack_sbuffer *b, const char *group)
 {
   msgpack_packer pk;
   pack_header (&pk, b, RELEASED_FIELDS, MM_MESH_RELEASED);
@@ -285,7 +285,7 @@
       || f[4].type != MSGPACK_OBJECT_ARRAY
       || f[4].via.array.size > MM_MESH_MAX_SERVICES)
     return false;
-  m->capacities = g_new0 (mm_mesh_room, f[4].via.array.size + 1);
+  m->capacities = g_new0 (mm_mesh_service_capacity, f[4].via.array.size + 1);
   for (uint32_t i = 0; i < f[4].via.array.size; i++)
     {
       const msgpack_object *row = &f[4].via.array.ptr[i];
@@ -293,7 +293,7 @@
           || row->via.array.size != CAPACITY_FIELDS)
         return false;
       const msgpack_object *r = row->via.array.ptr;
-      mm_mesh_room *out = &m->capacities[m->n_capacities];
+      mm_mesh_service_capacity *out = &m->capacities[m->n_capacities];
       if (!mm_mp_read_fixed (&r[0], out->service, sizeof out->service)
           || !mm_mp_read_u32 (&r[1], &out->room.places)
           || !mm_mp_read_u32 (&r[2], &out->room.free)
--- a/src/mm_mesh_msg.h
+++ b/src/mm_mesh_msg.h
@@ -62,18 +62,18 @@
 {
   char service[64];
   mm_capacity_report room;
-} mm_mesh_room;
+} mm_mesh_service_capacity;
 
 typedef struct
 {
   mm_mesh_kind kind;
   uint64_t number; /* RUN, CANCEL, ENDED: of the task; REQUEST, ANSWER: of the
                       request; REPORT: highest task number received */
-  mm_task_request request;  /* RUN; owns the strings */
-  mm_work_result result;    /* ENDED; owns the strings */
-  char *name;               /* HELLO, REPORT: of the sender; RELEASED: group */
-  bool leaving;             /* REPORT: the sender is shutting down */
-  mm_mesh_room *capacities; /* REPORT */
+  mm_task_request request; /* RUN; owns the strings */
+  mm_work_result result;   /* ENDED; owns the strings */
+  char *name;              /* HELLO, REPORT: of the sender; RELEASED: group */
+  bool leaving;            /* REPORT: the sender is shutting down */
+  mm_mesh_service_capacity *capacities; /* REPORT */
   size_t n_capacities;
   mm_found_run found; /* FOUND; owns the upstream's name */
   uint32_t verb;      /* REQUEST */
@@ -89,20 +89,21 @@
                        const mm_task_request *t);
 void mm_mesh_pack_cancel (msgpack_sbuffer *b, uint64_t number);
 void mm_mesh_pack_hello (msgpack_sbuffer *b, const char *name);
-void mm_mesh_pack_beat (msgpack_sbuffer *b);
+void mm_mesh_pack_heartbeat (msgpack_sbuffer *b);
 void mm_mesh_pack_ended (msgpack_sbuffer *b, uint64_t number,
                          const mm_work_result *r);
 void mm_mesh_pack_report (msgpack_sbuffer *b, uint64_t seen_number,
                           const char *name, bool leaving,
-                          const mm_mesh_room *capacities, size_t n);
-void mm_mesh_pack_handed (msgpack_sbuffer *b, const char *group);
+                          const mm_mesh_service_capacity *capacities,
+                          size_t n);
+void mm_mesh_pack_released (msgpack_sbuffer *b, const char *group);
 void mm_mesh_pack_found (msgpack_sbuffer *b, const mm_found_run *r);
 void mm_mesh_pack_loss (msgpack_sbuffer *b, const mm_loss *l);
-void mm_mesh_pack_ask (msgpack_sbuffer *b, uint64_t number, uint32_t verb,
-                       const void *data, size_t len);
+void mm_mesh_pack_request (msgpack_sbuffer *b, uint64_t number, uint32_t verb,
+                           const void *data, size_t len);
 void mm_mesh_pack_update (msgpack_sbuffer *b, mm_time_ms sent_ms,
                           const void *data, size_t len);
-void mm_mesh_pack_told (msgpack_sbuffer *b, uint64_t number, const void *data,
-                        size_t len);
+void mm_mesh_pack_answer (msgpack_sbuffer *b, uint64_t number,
+                          const void *data, size_t len);
 
 #endif /* MM_MESH_MSG_H */
--- a/src/mm_mesh_peers.c
+++ b/src/mm_mesh_peers.c
@@ -98,9 +98,9 @@
 }
 
 void
-mm_mesh_need (mm_mesh *m, const char *peer_name)
+mm_mesh_require_link (mm_mesh *m, const char *peer_name)
 {
-  mm_time_ms until_ms = mm_clock_now_ms () + MM_MESH_NEEDED_MS;
+  mm_time_ms until_ms = mm_clock_now_ms () + MM_MESH_LINK_KEEP_MS;
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init (&it, m->peers);
--- a/src/mm_mesh_priv.h
+++ b/src/mm_mesh_priv.h
@@ -25,8 +25,9 @@
   mm_time_ms heartbeat_sent_ms; /* when the last heartbeat was sent */
   uint64_t last_number;     /* number of the last task sent over this link */
   uint64_t seen_number;     /* highest task number that its report counts */
-  GHashTable *remote_tasks; /* task number -> mm_remote */
-  mm_mesh_room *capacities; /* its last report, one entry per service */
+  GHashTable *remote_tasks; /* task number -> mm_remote_task */
+  mm_mesh_service_capacity
+      *capacities; /* its last report, one entry per service */
   size_t n_capacities;
   mm_time_ms report_ms; /* when the last report was received */
   uint64_t known_upto;  /* list offset up to which it was sent updates */
@@ -34,7 +35,7 @@
       queue_delay; /* queueing delay of the updates received over it */
 } mm_mesh_peer;
 
-struct mm_remote
+struct mm_remote_task
 {
   mm_mesh_peer *peer;
   uint64_t number;
@@ -47,18 +48,18 @@
 {
   mm_mesh *mesh;
   mm_link *link;
-  GHashTable *tasks;       /* task number -> inbound_task */
-  GList *requests;         /* mm_mesh_reply: requests to be answered */
-  char *name;              /* of the sender, NULL until its HELLO */
-  uint64_t seen_number;    /* highest task number received */
-  mm_time_ms report_ms;    /* when the last report was sent */
+  GHashTable *tasks;    /* task number -> inbound_task */
+  GList *requests;      /* mm_mesh_inbound_request: requests to be answered */
+  char *name;           /* of the sender, NULL until its HELLO */
+  uint64_t seen_number; /* highest task number received */
+  mm_time_ms report_ms; /* when the last report was sent */
   GByteArray *last_report; /* the bytes of that report */
   uint64_t known_upto;     /* list offset up to which it was sent updates */
   mm_queue_delay
       queue_delay; /* queueing delay of the updates received over it */
 } mm_mesh_inbound_link;
 
-struct mm_mesh_reply
+struct mm_mesh_inbound_request
 {
   mm_mesh_inbound_link *to; /* link of the sender, NULL once it is closed */
   uint64_t number;          /* request number */
@@ -97,12 +98,13 @@
 void mm_mesh_attach_owner (mm_mesh *m);
 void mm_mesh_handle_found (mm_mesh_inbound_link *in, const mm_mesh_msg *msg);
 
-/* mm_mesh_ask.c */
+/* mm_mesh_request.c */
 void mm_mesh_handle_request (mm_mesh_inbound_link *in, const mm_mesh_msg *msg);
 
 /* mm_mesh_update.c */
-void mm_mesh_take_update (mm_mesh *m, const char *peer,
-                          mm_queue_delay *queue_delay, const mm_mesh_msg *msg);
+void mm_mesh_handle_update (mm_mesh *m, const char *peer,
+                            mm_queue_delay *queue_delay,
+                            const mm_mesh_msg *msg);
 
 /* mm_mesh_loss.c */
 void mm_mesh_handle_loss (mm_mesh *m, const mm_mesh_msg *msg);
--- a/src/mm_mesh_update.c
+++ b/src/mm_mesh_update.c
@@ -110,7 +110,7 @@
 }
 
 void
-mm_mesh_set_known (mm_mesh *m, const char *peer, uint64_t upto)
+mm_mesh_set_known_upto (mm_mesh *m, const char *peer, uint64_t upto)
 {
   peer_offset offset = { .peer = peer, .upto = upto };
   for_each_link (m, set_known, &offset);
@@ -124,8 +124,8 @@
 }
 
 void
-mm_mesh_take_update (mm_mesh *m, const char *peer, mm_queue_delay *queue_delay,
-                     const mm_mesh_msg *msg)
+mm_mesh_handle_update (mm_mesh *m, const char *peer,
+                       mm_queue_delay *queue_delay, const mm_mesh_msg *msg)
 {
   mm_time_ms queue_delay_ms = mm_queue_delay_record_ms (
       queue_delay, msg->sent_ms, mm_clock_now_ms ());
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -295,7 +295,7 @@
   mm_submission *s = job ? submission_of (job, &error) : NULL;
   if (!s)
     mm_front_error (req, 400, (mm_error_code)error->code, error->message, 0);
-  else if (!routes || !mm_node_takes_jobs (mm_front_node (f)))
+  else if (!routes || !mm_node_accepts_jobs (mm_front_node (f)))
     mm_front_error (req, 503, MM_ERROR_OVERLOADED,
                     routes ? "instance is stopping" : "no configuration yet",
                     1);
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -427,7 +427,7 @@
 }
 
 bool
-mm_node_takes_jobs (const mm_node *n)
+mm_node_accepts_jobs (const mm_node *n)
 {
   return !n->leaving_ms
          || mm_clock_now_ms () - n->leaving_ms
@@ -476,7 +476,7 @@
 }
 
 bool
-mm_node_left (const mm_node *n, uint32_t open_connections)
+mm_node_can_exit (const mm_node *n, uint32_t open_connections)
 {
   if (!n->leaving_ms)
     return false;
--- a/src/mm_node.h
+++ b/src/mm_node.h
@@ -37,14 +37,15 @@
 void mm_node_destroy (mm_node *n);
 bool mm_node_ready (
     const mm_node *n); /* whether the balancer may send it callers */
-bool mm_node_takes_jobs (const mm_node *n); /* false shortly before the exit */
+bool
+mm_node_accepts_jobs (const mm_node *n); /* false shortly before the exit */
 const mm_routes *
 mm_node_routes (const mm_node *n); /* NULL: no configuration was read yet */
 mm_jobs *mm_node_jobs (mm_node *n);
 mm_kept *mm_node_kept (mm_node *n);
 void mm_node_leave (mm_node *n); /* begins a graceful shutdown */
-bool mm_node_left (const mm_node *n,
-                   uint32_t open_connections); /* the process may exit */
+bool mm_node_can_exit (const mm_node *n,
+                       uint32_t open_connections); /* the process may exit */
 char *mm_node_metrics (const mm_node *n); /* as text, free with g_free() */
 char *mm_node_dump (const mm_node *n);    /* state as JSON, free with free() */
 
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -214,7 +214,7 @@
 void
 mm_owner_record_sent (mm_owner *o, size_t bytes)
 {
-  mm_uplink_sent (&o->common.uplink, bytes, mm_clock_now_ms ());
+  mm_uplink_record_sent (&o->common.uplink, bytes, mm_clock_now_ms ());
 }
 
 void
--- a/src/mm_task_search.c
+++ b/src/mm_task_search.c
@@ -138,8 +138,9 @@
       req->peer = g_strdup (l->data);
       s->outstanding++;
       s->refs++;
-      mm_mesh_ask (s->mesh, req->peer, MM_KEPT_REQUEST_SEARCH, b.data, b.size,
-                   MM_KEPT_REQUEST_TIMEOUT_MS, on_peer_answered, req);
+      mm_mesh_request (s->mesh, req->peer, MM_KEPT_REQUEST_SEARCH, b.data,
+                       b.size, MM_KEPT_REQUEST_TIMEOUT_MS, on_peer_answered,
+                       req);
     }
   g_list_free (peers);
   msgpack_sbuffer_destroy (&b);
@@ -153,7 +154,7 @@
   s->complete = list_fresh;
   g_hash_table_remove_all (s->clear_upstreams);
   /* Owners need not be neighbours, so link to all known instances.  */
-  mm_mesh_need (s->mesh, NULL);
+  mm_mesh_require_link (s->mesh, NULL);
   s->outstanding = 1;
   mm_search_result local = mm_search_result_init ();
   mm_owner_search (s->owner, s->tasks, &local);
--- a/src/mm_uplink.c
+++ b/src/mm_uplink.c
@@ -4,7 +4,7 @@
 #include <math.h>
 
 void
-mm_uplink_sent (mm_uplink *u, size_t bytes, mm_time_ms now_ms)
+mm_uplink_record_sent (mm_uplink *u, size_t bytes, mm_time_ms now_ms)
 {
   if (u->bits_per_ms <= 0)
     return;
--- a/src/mm_uplink.h
+++ b/src/mm_uplink.h
@@ -16,7 +16,7 @@
 } mm_uplink;
 
 /* Adds bytes that were sent to the backlog.  */
-void mm_uplink_sent (mm_uplink *u, size_t bytes, mm_time_ms now_ms);
+void mm_uplink_record_sent (mm_uplink *u, size_t bytes, mm_time_ms now_ms);
 /* Time until all that was sent has gone out.  */
 mm_time_ms mm_uplink_backlog_ms (const mm_uplink *u, mm_time_ms now_ms);
 
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -364,7 +364,7 @@
                     .sent_ms = mm_clock_now_ms () - sent_ago_ms,
                     .data = b.data,
                     .len = b.size };
-  mm_mesh_take_update (fx->mesh[0], fx->info[1].name, delay, &m);
+  mm_mesh_handle_update (fx->mesh[0], fx->info[1].name, delay, &m);
   msgpack_sbuffer_destroy (&b);
 }
 
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -279,7 +279,7 @@
                         .running_at = "up",
                         .run = 3,
                         .ran_ms = 40 };
-  mm_mesh_room room = {
+  mm_mesh_service_capacity room = {
     .service = "s",
     .room = { .places = 9, .waiting = 3, .waiting_by_priority = { 1, 0, 2 } }
   };
@@ -288,13 +288,13 @@
   msgpack_sbuffer_init (&b);
   mm_mesh_pack_run (&b, 7, &t);
   mm_mesh_pack_cancel (&b, 7);
-  mm_mesh_pack_beat (&b);
+  mm_mesh_pack_heartbeat (&b);
   mm_mesh_pack_ended (&b, 7, &result);
   mm_mesh_pack_report (&b, 7, "node", true, &room, 1);
   mm_mesh_pack_hello (&b, "node");
-  mm_mesh_pack_ask (&b, 7, 1, "x", 1);
-  mm_mesh_pack_told (&b, 7, "x", 1);
-  mm_mesh_pack_handed (&b, "room-dc1");
+  mm_mesh_pack_request (&b, 7, 1, "x", 1);
+  mm_mesh_pack_answer (&b, 7, "x", 1);
+  mm_mesh_pack_released (&b, "room-dc1");
   mm_found_run found
       = { .upstream = "up", .task = t.id, .run = 3, .fence = 9 };
   mm_mesh_pack_found (&b, &found);
@@ -352,7 +352,7 @@
 {
   for (uint32_t links = 0; links < 2000; links++)
     ck_assert_int_le (mm_mesh_report_pause_ms (links) + MM_EXEC_TICK_MS,
-                      MM_MESH_SILENT_MS / 2);
+                      MM_MESH_TIMEOUT_MS / 2);
   ck_assert_int_eq (mm_mesh_report_pause_ms (1), MM_MESH_REPORT_MS);
 }
 END_TEST
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -165,7 +165,7 @@
 /* An instance stalls for two seconds, the connection of its caller times out
    and the caller sends the job to another instance.  When it resumes, it must
    not start the tasks that it had queued.  */
-START_TEST (frozen_instance_starts_nothing_of_what_it_had)
+START_TEST (frozen_instance_starts_no_queued_task)
 {
   h_nodes (2, 2, 2);
   pid_t p[3];
@@ -193,7 +193,7 @@
 /* Start calls get no answer and take effect two seconds late, while more tasks
    are submitted than there is capacity for.  No upstream may run more than its
    capacity.  */
-START_TEST (orders_carried_out_late_find_room)
+START_TEST (late_starts_do_not_exceed_capacity)
 {
   h_nodes (3, 2, 2);
   for (int i = 0; i < 3; i++)
@@ -216,7 +216,7 @@
 
 /* On SIGTERM, an instance with open jobs answers each of them completely, and
    the other instances take over its upstreams.  */
-START_TEST (graceful_stop_cuts_off_nothing)
+START_TEST (graceful_stop_interrupts_no_job)
 {
   h_nodes (4, 4, 2);
   pid_t p[4];
@@ -238,7 +238,7 @@
 /* A job takes longer than the grace time of a shutdown.  As its task has
    started, the answer must be 502 (send the job again) and not 503 (nothing of
    the job ran).  */
-START_TEST (job_longer_than_the_grace_is_not_called_unrun)
+START_TEST (job_longer_than_the_grace_time_is_not_answered_as_not_run)
 {
   h_nodes (1, 4, 2);
   int node = owns_no_upstream (0) ? 0 : 1;
@@ -265,7 +265,7 @@
    Without a standby, its upstreams, half of all, would be idle in between: the
    instance of the other data centre takes them over, and hands them back after
    the restart.  */
-START_TEST (data_centre_without_instances_is_stood_in_for)
+START_TEST (data_centre_without_instances_gets_a_standby)
 {
   static const int signals[] = { SIGKILL, SIGTERM };
   h_datacentres[1] = h_datacentres[3] = "dc2";
@@ -432,7 +432,7 @@
    the old memberships to expire: for half a second no instance owned an
    upstream, and every caller was refused.  They need not wait, as the previous
    incarnations are known to be dead: the new ones listen on their ports.  */
-START_TEST (instances_that_come_back_own_upstreams_within_150_ms)
+START_TEST (restarted_instances_own_upstreams_within_150_ms)
 {
   h_nodes (8, 4, 2);
   h_stop (h_entries[0], SIGKILL);
@@ -452,7 +452,7 @@
    The instance is killed, and its next incarnation owns the upstreams at once.
    The upstreams must refuse the late starts: no instance waits for these
    tasks, and their capacity is given to others.  */
-START_TEST (late_order_of_an_earlier_life_starts_nothing)
+START_TEST (late_start_of_a_previous_incarnation_is_refused)
 {
   h_nodes (2, 2, 1);
   for (int i = 0; i < 2; i++)
@@ -621,7 +621,7 @@
 
 /* The store reassigns the upstreams, and their next owners stopped the runs
    there, so that jobs were lost.  */
-START_TEST (new_deal_loses_no_job)
+START_TEST (reassignment_loses_no_job)
 {
   h_nodes (8, 4, 3);
   set_slack_300_ms ();
@@ -703,11 +703,12 @@
   tcase_set_timeout (c, 60);
   tcase_add_test (c, killed_instance_leaves_no_task_running_twice);
   tcase_add_test (c, job_is_answered_whole_though_an_owner_of_its_tasks_dies);
-  tcase_add_test (c, frozen_instance_starts_nothing_of_what_it_had);
-  tcase_add_test (c, orders_carried_out_late_find_room);
-  tcase_add_test (c, graceful_stop_cuts_off_nothing);
-  tcase_add_test (c, job_longer_than_the_grace_is_not_called_unrun);
-  tcase_add_test (c, data_centre_without_instances_is_stood_in_for);
+  tcase_add_test (c, frozen_instance_starts_no_queued_task);
+  tcase_add_test (c, late_starts_do_not_exceed_capacity);
+  tcase_add_test (c, graceful_stop_interrupts_no_job);
+  tcase_add_test (c,
+                  job_longer_than_the_grace_time_is_not_answered_as_not_run);
+  tcase_add_test (c, data_centre_without_instances_gets_a_standby);
   tcase_add_test (c, store_outage_affects_no_caller);
   tcase_add_test (c, instances_serve_after_dropped_history_and_reassignment);
   tcase_add_test (c, upstream_that_fails_everything_fails_no_job);
@@ -720,15 +721,15 @@
   suite_add_tcase (s, c);
   c = tcase_create ("handover");
   tcase_set_timeout (c, 60);
-  tcase_add_test (c, instances_that_come_back_own_upstreams_within_150_ms);
-  tcase_add_test (c, late_order_of_an_earlier_life_starts_nothing);
+  tcase_add_test (c, restarted_instances_own_upstreams_within_150_ms);
+  tcase_add_test (c, late_start_of_a_previous_incarnation_is_refused);
   tcase_add_test (c, no_job_with_slack_is_refused_during_handovers);
   tcase_add_test (c, restart_of_all_instances_one_by_one_is_not_noticed);
   tcase_add_test (c, restart_of_all_instances_in_pairs_is_not_noticed);
   suite_add_tcase (s, c);
   c = tcase_create ("deal");
   tcase_set_timeout (c, 60);
-  tcase_add_test (c, new_deal_loses_no_job);
+  tcase_add_test (c, reassignment_loses_no_job);
   suite_add_tcase (s, c);
   c = tcase_create ("start");
   tcase_set_timeout (c, 60);
