--- a/src/config.h
+++ b/src/config.h
@@ -386,8 +386,8 @@
 /* While standard output is not read, lines beyond this are dropped.  */
 #define MM_LOG_BUFFER_BYTES (256 * 1024)
 #define MM_LOG_FLUSH_BYTES 8192 /* written out from this size on */
-#define MM_LOG_RATE_KEPT 200u   /* lines of one kind a second: failures */
-#define MM_LOG_RATE_USUAL 40u   /* and routine events */
+#define MM_LOG_RATE_HIGH 200u   /* lines of one kind a second: failures */
+#define MM_LOG_RATE_LOW 40u     /* and routine events */
 
 /* The context of a job begins this long before the job.  */
 #define MM_EXPLAIN_BEFORE_MS 3000
--- a/src/mm_event.c
+++ b/src/mm_event.c
@@ -1,4 +1,4 @@
-/* mm_event: the table of events, and how a line is written.  */
+/* mm_event: the table of events, and the output of their log lines.  */
 #include "mm_event.h"
 
 #include "config.h"
@@ -8,187 +8,232 @@
 
 #define MAX_FIELDS 12
 
+/* Rate limit of the lines of one event.  */
 typedef enum
 {
-  KEEP_ALL, /* a failure or a change of belief: MM_LOG_RATE_KEPT a second */
-  KEEP_SOME /* daily business: MM_LOG_RATE_USUAL a second */
-} keep;
+  RATE_HIGH, /* failures and changes of state: MM_LOG_RATE_HIGH a second */
+  RATE_LOW   /* routine events: MM_LOG_RATE_LOW a second */
+} rate_limit;
 
 typedef struct
 {
   const char *name;
-  keep keep;
-  const char *fields; /* names, separated by spaces */
-  const char *meaning;
+  rate_limit rate;
+  const char *fields;  /* names, separated by spaces */
+  const char *meaning; /* for operators, shown in docs/LOGS.md */
 } event_row;
 
 static const event_row table[MM_EV_COUNT] = {
-  [MM_EV_STARTED] = { "started", KEEP_ALL, "instance datacentre address",
-                      "the process serves" },
+  [MM_EV_STARTED] = { "started", RATE_HIGH, "instance datacentre address",
+                      "The process accepts jobs." },
   [MM_EV_STOPPING]
-  = { "stopping", KEEP_ALL, "signal", "a graceful shutdown begins" },
-  [MM_EV_STOPPED]
-  = { "stopped", KEEP_ALL, "open_jobs open_connections", "the process ends" },
+  = { "stopping", RATE_HIGH, "signal", "A graceful shutdown starts." },
+  [MM_EV_STOPPED] = { "stopped", RATE_HIGH, "open_jobs open_connections",
+                      "The process ends." },
   [MM_EV_RELOAD]
-  = { "reload", KEEP_ALL, "signal outcome", "the settings may have changed" },
-  [MM_EV_STALLED] = { "stalled", KEEP_ALL, "gap_ms open_jobs",
-                      "the process stood still; its open jobs are given up" },
-  [MM_EV_STORE_REACHED] = { "store_reached", KEEP_ALL, "what",
-                            "reading from the store works (again)" },
-  [MM_EV_STORE_LOST] = { "store_lost", KEEP_ALL, "what why",
-                         "reading from the store failed; the last view "
-                         "stays in use" },
-  [MM_EV_CONFIG_APPLIED] = { "config_applied", KEEP_ALL, "version queues",
-                             "a configuration is in force" },
+  = { "reload", RATE_HIGH, "signal outcome",
+      "A signal asked to read the settings again; outcome says what was "
+      "done." },
+  [MM_EV_STALLED]
+  = { "stalled", RATE_HIGH, "gap_ms open_jobs",
+      "The process was stalled for gap_ms; its open jobs are given up." },
+  [MM_EV_STORE_REACHED]
+  = { "store_reached", RATE_HIGH, "what",
+      "Reads from the store succeed, at first or again." },
+  [MM_EV_STORE_LOST]
+  = { "store_lost", RATE_HIGH, "what why",
+      "A read from the store failed. The data read before stays in use." },
+  [MM_EV_CONFIG_APPLIED] = { "config_applied", RATE_HIGH, "version queues",
+                             "A configuration is in force." },
   [MM_EV_CONFIG_REFUSED]
-  = { "config_refused", KEEP_ALL, "version in_force",
-      "a configuration no newer than the one in force was read" },
-  [MM_EV_LIST_BEHIND] = { "list_behind", KEEP_ALL, "age_ms",
-                          "upstreams are owned here, and their list was last "
-                          "read to its end so long ago" },
+  = { "config_refused", RATE_HIGH, "version in_force",
+      "The configuration that was read is no newer than the one in "
+      "force, and is ignored." },
+  [MM_EV_LIST_BEHIND]
+  = { "list_behind", RATE_HIGH, "age_ms",
+      "This instance owns upstreams, and last read their list to its "
+      "end age_ms ago." },
   [MM_EV_LIST_KNOWN]
-  = { "list_known", KEEP_ALL, "behind_ms", "it was read to its end again" },
+  = { "list_known", RATE_HIGH, "behind_ms",
+      "The list of upstreams was read to its end again; behind_ms is "
+      "how long it was not." },
   [MM_EV_UPSTREAM_LISTED]
-  = { "upstream_listed", KEEP_ALL,
+  = { "upstream_listed", RATE_HIGH,
       "upstream service address draining peer view_ms",
-      "an upstream appeared in the list or changed; read so long ago, by this "
-      "instance (peer null) or by a peer" },
+      "An upstream is new in the list or its entry changed. The list "
+      "was read view_ms ago, by this instance (peer is null) or by the "
+      "peer." },
   [MM_EV_UPSTREAM_DRAINING]
-  = { "upstream_draining", KEEP_ALL, "upstream runs last_start_ms",
-      "its owner starts nothing more there; the last order to start was sent "
-      "so long ago, -1: none" },
+  = { "upstream_draining", RATE_HIGH, "upstream runs last_start_ms",
+      "The upstream is draining: its owner starts no more tasks there. "
+      "The last start was sent last_start_ms ago (-1: none was sent)." },
   [MM_EV_UPSTREAM_CAPACITY]
-  = { "upstream_capacity", KEEP_ALL,
+  = { "upstream_capacity", RATE_HIGH,
       "upstream cpu_milli before used mem_mb gpus",
-      "its owner starts there what fits the new capacity; used is cpu too" },
-  [MM_EV_UPSTREAM_GONE] = { "upstream_gone", KEEP_ALL, "upstream missing_ms",
-                            "an upstream is taken as gone" },
+      "The capacity of the upstream changed, and its owner starts tasks "
+      "there within the new one. before and used are thousandths of a "
+      "core, as cpu_milli." },
+  [MM_EV_UPSTREAM_GONE]
+  = { "upstream_gone", RATE_HIGH, "upstream missing_ms",
+      "The upstream was missing from the list for missing_ms and counts "
+      "as gone." },
   [MM_EV_GROUP_CHANGED]
-  = { "group_changed", KEEP_ALL, "group generation ours leaving",
-      "the store shared the group's partitions out anew" },
+  = { "group_changed", RATE_HIGH, "group generation ours leaving",
+      "The store reassigned the partitions of the group; ours is how "
+      "many this instance owns." },
   [MM_EV_STANDBY]
-  = { "standby", KEEP_ALL, "datacentre closed_ms",
-      "its instances are gone; this one shares in its upstreams" },
+  = { "standby", RATE_HIGH, "datacentre closed_ms",
+      "The instances of the data centre are gone, and this instance is "
+      "a standby: it owns a part of the upstreams there." },
   [MM_EV_PREDECESSOR]
-  = { "predecessor", KEEP_ALL, "group member",
-      "an earlier life of this instance was still in the group: taken out" },
-  [MM_EV_PEER_REACHED] = { "peer_reached", KEEP_ALL, "peer address",
-                           "tasks can be handed to this instance" },
-  [MM_EV_PEER_LOST] = { "peer_lost", KEEP_ALL, "peer why tasks",
-                        "the link to an instance ended; its tasks of ours "
-                        "are out of sight" },
-  [MM_EV_SENDER_LOST] = { "sender_lost", KEEP_ALL, "why tasks",
-                          "the link from an instance ended; its tasks here "
-                          "are stopped" },
-  [MM_EV_UPSTREAM_OWNED] = { "upstream_owned", KEEP_ALL, "upstream fence",
-                             "it knows our token: tasks can start there" },
-  [MM_EV_UPSTREAM_FENCED] = { "upstream_fenced", KEEP_ALL, "upstream fence",
-                              "a higher token was seen there; ours is void" },
+  = { "predecessor", RATE_HIGH, "group member",
+      "A previous incarnation of this instance was still a member of "
+      "the group and is removed from it." },
+  [MM_EV_PEER_REACHED]
+  = { "peer_reached", RATE_HIGH, "peer address",
+      "The link to another instance is open: tasks can be dispatched to "
+      "it." },
+  [MM_EV_PEER_LOST]
+  = { "peer_lost", RATE_HIGH, "peer why tasks",
+      "The link to another instance ended. The tasks that this instance "
+      "dispatched to it are in doubt." },
+  [MM_EV_SENDER_LOST]
+  = { "sender_lost", RATE_HIGH, "why tasks",
+      "The link from another instance ended. The tasks that it "
+      "dispatched to this instance are stopped." },
+  [MM_EV_UPSTREAM_OWNED]
+  = { "upstream_owned", RATE_HIGH, "upstream fence",
+      "The upstream accepted the fencing token of this instance: tasks "
+      "can start there." },
+  [MM_EV_UPSTREAM_FENCED]
+  = { "upstream_fenced", RATE_HIGH, "upstream fence",
+      "The upstream has seen a higher fencing token, so the token of "
+      "this instance is void." },
   [MM_EV_UPSTREAM_SUSPECT]
-  = { "upstream_suspect", KEEP_ALL, "upstream call verdict",
-      "a call got no good answer; nothing is started there" },
+  = { "upstream_suspect", RATE_HIGH, "upstream call verdict",
+      "A call to the upstream failed, with this verdict. No task starts "
+      "there until a call succeeds." },
   [MM_EV_UPSTREAM_BACK]
-  = { "upstream_back", KEEP_ALL, "upstream", "it answers again" },
+  = { "upstream_back", RATE_HIGH, "upstream", "The upstream answers again." },
   [MM_EV_UPSTREAM_EXCLUDED]
-  = { "upstream_excluded", KEEP_ALL, "upstream failures for_ms",
-      "tasks failed there in a row; it gets none for a while" },
+  = { "upstream_excluded", RATE_HIGH, "upstream failures for_ms",
+      "Consecutive tasks failed at the upstream; its circuit breaker is "
+      "open, and it gets no task for for_ms." },
   [MM_EV_UPSTREAM_TRUSTED]
-  = { "upstream_trusted", KEEP_ALL, "upstream", "a task ended well on trial" },
+  = { "upstream_trusted", RATE_HIGH, "upstream",
+      "A task ended well at an upstream whose circuit breaker was half- "
+      "open; the breaker is closed." },
   [MM_EV_UPSTREAM_LOST]
-  = { "upstream_lost", KEEP_ALL, "upstream verdict tasks why",
-      "it does not answer, and ran so many tasks (verdict open); it had "
-      "crashed, or is alive" },
+  = { "upstream_lost", RATE_HIGH, "upstream verdict tasks why",
+      "The upstream does not answer and ran this many tasks. verdict is "
+      "open until it is known whether it crashed or is alive." },
   [MM_EV_JOB_ACCEPTED]
-  = { "job_accepted", KEEP_SOME,
-      "job queue config_version tasks places free waiting age_ms wait_ms "
-      "slack_ms",
-      "taken, with the room known then; age_ms is the oldest report's" },
+  = { "job_accepted", RATE_LOW,
+      "job queue config_version tasks places free waiting age_ms "
+      "wait_ms slack_ms",
+      "The job was accepted, at the capacity known then; age_ms is the "
+      "age of the oldest report used." },
   [MM_EV_JOB_REFUSED]
-  = { "job_refused", KEEP_ALL,
-      "job queue config_version tasks places free waiting age_ms wait_ms "
-      "slack_ms why",
-      "not taken, with the room known then; nothing of it ran" },
+  = { "job_refused", RATE_HIGH,
+      "job queue config_version tasks places free waiting age_ms "
+      "wait_ms slack_ms why",
+      "The job was refused, at the capacity known then; none of its "
+      "tasks ran. age_ms is the age of the oldest report used." },
   [MM_EV_JOB_ANSWERED]
-  = { "job_answered", KEEP_ALL, "job queue outcome took_ms why",
-      "its callers got their answer" },
-  [MM_EV_JOB_CALLER_LEFT] = { "job_caller_left", KEEP_ALL, "job queue took_ms",
-                              "the last caller closed its connection; the "
-                              "tasks are stopped" },
+  = { "job_answered", RATE_HIGH, "job queue outcome took_ms why",
+      "The callers of the job got their answer." },
+  [MM_EV_JOB_CALLER_LEFT]
+  = { "job_caller_left", RATE_HIGH, "job queue took_ms",
+      "The last caller of the job closed its connection; the tasks are "
+      "stopped." },
   [MM_EV_JOBS_FENCED]
-  = { "jobs_fenced", KEEP_ALL, "partition epoch",
-      "another instance is the home of these kept jobs; ours is over" },
+  = { "jobs_fenced", RATE_HIGH, "partition epoch",
+      "Another instance is the home of the kept jobs of this partition; "
+      "this instance stops serving them." },
   [MM_EV_JOBS_LOADED]
-  = { "jobs_loaded", KEEP_ALL, "partition epoch jobs open",
-      "this instance is the home of these kept jobs, as stored" },
+  = { "jobs_loaded", RATE_HIGH, "partition epoch jobs open",
+      "This instance is the home of the kept jobs of this partition and "
+      "has read them from the store." },
   [MM_EV_JOBS_HANDED_OVER]
-  = { "jobs_handed_over", KEEP_ALL, "partition open",
-      "this instance is no more the home of these kept jobs" },
+  = { "jobs_handed_over", RATE_HIGH, "partition open",
+      "This instance handed the kept jobs of this partition over and is "
+      "no longer their home." },
   [MM_EV_KEPT_ACCEPTED]
-  = { "kept_accepted", KEEP_SOME, "job queue tasks partition took_ms",
-      "a kept job is stored; its caller was told so" },
+  = { "kept_accepted", RATE_LOW, "job queue tasks partition took_ms",
+      "The kept job is stored, and its caller has the answer." },
   [MM_EV_KEPT_REFUSED]
-  = { "kept_refused", KEEP_ALL, "job partition why",
-      "a request about a kept job was not served; nothing was done" },
+  = { "kept_refused", RATE_HIGH, "job partition why",
+      "A request about a kept job was refused; nothing was done." },
   [MM_EV_KEPT_UNSURE]
-  = { "kept_unsure", KEEP_ALL, "job partition why",
-      "a caller was told to ask again: it may have been stored, or not" },
-  [MM_EV_KEPT_OVER] = { "kept_over", KEEP_ALL, "job queue outcome took_ms",
-                        "a kept job's outcome is stored and shown" },
+  = { "kept_unsure", RATE_HIGH, "job partition why",
+      "The caller of a kept job was told to send the request again: it "
+      "is not known whether the job was stored." },
+  [MM_EV_KEPT_OVER]
+  = { "kept_over", RATE_HIGH, "job queue outcome took_ms",
+      "The outcome of the kept job is stored and can be read." },
   [MM_EV_KEPT_LOST_SIGHT]
-  = { "kept_lost_sight", KEEP_ALL, "job tasks why",
-      "its tasks are looked for at all upstreams before any starts anew" },
+  = { "kept_lost_sight", RATE_HIGH, "job tasks why",
+      "Tasks of the kept job are in doubt. They are searched for at all "
+      "upstreams before any of them starts again." },
   [MM_EV_KEPT_FOUND]
-  = { "kept_found", KEEP_ALL, "job tasks",
-      "every upstream has told; the tasks not done are handed out again" },
+  = { "kept_found", RATE_HIGH, "job tasks",
+      "Every upstream has answered the search; tasks that are not done "
+      "are dispatched again." },
   [MM_EV_TASK_HANDED]
-  = { "task_handed", KEEP_SOME, "job task owner free waiting age_ms attempt",
-      "an owner of upstreams was chosen" },
+  = { "task_handed", RATE_LOW, "job task owner free waiting age_ms attempt",
+      "The task was dispatched to this owner of upstreams." },
   [MM_EV_TASK_STARTED]
-  = { "task_started", KEEP_SOME,
+  = { "task_started", RATE_LOW,
       "job task upstream run fence waited_ms view_ms",
-      "an upstream was told to start it; the upstreams were last known to be "
-      "as listed so long ago" },
+      "The owner sent the start of the task to an upstream. The list of "
+      "upstreams was last known to be current view_ms ago." },
   [MM_EV_TASK_ORDER_UNANSWERED]
-  = { "task_order_unanswered", KEEP_ALL, "job task upstream run call",
-      "the order may have been carried out, or may be yet" },
+  = { "task_order_unanswered", RATE_HIGH, "job task upstream run call",
+      "A start or stop of the task got no answer. The upstream may have "
+      "carried it out or may do so later." },
   [MM_EV_TASK_STARTED_DRAINING]
-  = { "task_started_draining", KEEP_ALL,
+  = { "task_started_draining", RATE_HIGH,
       "job task upstream run verdict ordered_ms sent_ms",
-      "its upstream was listed as draining before the order was answered; "
-      "ordered and last sent so long ago" },
+      "The upstream was listed as draining before it answered the "
+      "start, which was ordered ordered_ms ago and last sent sent_ms "
+      "ago." },
   [MM_EV_TASK_FOREIGN]
-  = { "task_foreign", KEEP_ALL, "job task upstream run",
-      "an earlier owner's run was found there; stopped unless it is adopted" },
+  = { "task_foreign", RATE_HIGH, "job task upstream run",
+      "A run that an earlier owner started was found at the upstream. "
+      "It is stopped unless it is adopted." },
   [MM_EV_TASK_ADOPTED]
-  = { "task_adopted", KEEP_ALL, "job task upstream run ran_ms",
-      "an earlier owner's run goes on here for who handed it in" },
-  [MM_EV_TASK_STOPPED] = { "task_stopped", KEEP_ALL, "job task upstream why",
-                           "a stop was ordered" },
+  = { "task_adopted", RATE_HIGH, "job task upstream run ran_ms",
+      "A run that an earlier owner started goes on under this owner, "
+      "for the instance that dispatched the task." },
+  [MM_EV_TASK_STOPPED] = { "task_stopped", RATE_HIGH, "job task upstream why",
+                           "A stop of the task was ordered." },
   [MM_EV_TASK_RETURNED]
-  = { "task_returned", KEEP_SOME, "job task waited_ms why next",
-      "an owner gave it back unstarted, and what follows" },
-  [MM_EV_TASK_ENDED] = { "task_ended", KEEP_SOME, "job task upstream ran_ms",
-                         "it ran to its end" },
+  = { "task_returned", RATE_LOW, "job task waited_ms why next",
+      "An owner returned the task before it started; next says what "
+      "follows." },
+  [MM_EV_TASK_ENDED] = { "task_ended", RATE_LOW, "job task upstream ran_ms",
+                         "The task ran to its end." },
   [MM_EV_TASK_FAILED]
-  = { "task_failed", KEEP_ALL, "job task upstream how ran_ms why next",
-      "it did not run to its end, and what follows" },
-  [MM_EV_TASK_SUSPECT] = { "task_suspect", KEEP_ALL, "job task upstream",
-                           "it ran on this upstream when that was lost; it "
-                           "runs apart from now on" },
+  = { "task_failed", RATE_HIGH, "job task upstream how ran_ms why next",
+      "The task did not run to its end; next says what follows." },
+  [MM_EV_TASK_SUSPECT]
+  = { "task_suspect", RATE_HIGH, "job task upstream",
+      "The task ran at this upstream when the upstream was lost. The "
+      "task runs isolated from now on." },
   [MM_EV_TASK_GIVEN_UP]
-  = { "task_given_up", KEEP_ALL, "job task crashes upstreams",
-      "these upstreams crashed under it; its job fails" },
+  = { "task_given_up", RATE_HIGH, "job task crashes upstreams",
+      "These upstreams crashed while they ran the task; its job fails." },
 };
 
-/* Lines of one event in the current second.  */
+/* Log lines of one event in the current second.  */
 typedef struct
 {
-  mm_time_ms second;
-  uint32_t written;
-  uint64_t left_out;
-} budget;
+  mm_time_ms second; /* mm_clock_now_ms() / 1000 */
+  uint32_t written;  /* in this second */
+  uint64_t left_out; /* since the last written line */
+} line_budget;
 
-static budget budgets[MM_EV_COUNT];
+static line_budget budgets[MM_EV_COUNT];
 static uint64_t mismatches;
 
 const char *
@@ -233,7 +278,8 @@
     append_text (s, f->text);
 }
 
-/* The next name of a list, and past it.  */
+/* Returns the next of the space-separated names, @len bytes long, and advances
+   @names past it.  */
 static const char *
 next_name (const char **names, size_t *len)
 {
@@ -254,11 +300,15 @@
 }
 
 /**
- * mm_event_line() - an event as a JSON object.
- * @event: which.
- * @fields: values in the table's order; a task stands for "job" and "task".
- * @n: their number.
- * @left_out: lines of this event left out before it.
+ * mm_event_line() - format an event as a JSON object.
+ * @event: the event.
+ * @fields: values in the order of the table; an MM_TASK value fills the two
+ *     fields "job" and "task".
+ * @n: number of values.
+ * @left_out: number of lines of this event that the rate limit left out before
+ *     this one.
+ *
+ * Return: a newly allocated line without newline, free with g_free().
  */
 char *
 mm_event_line (mm_event event, const mm_field *fields, size_t n,
@@ -308,20 +358,20 @@
   return values;
 }
 
-/* May a line be written now?  */
+/* Counts a line and returns whether the rate limit of its event allows it.  */
 static bool
 within_rate (mm_event event)
 {
-  budget *b = &budgets[event];
+  line_budget *b = &budgets[event];
   mm_time_ms second = mm_clock_now_ms () / 1000;
-  uint32_t most
-      = table[event].keep == KEEP_ALL ? MM_LOG_RATE_KEPT : MM_LOG_RATE_USUAL;
+  uint32_t limit
+      = table[event].rate == RATE_HIGH ? MM_LOG_RATE_HIGH : MM_LOG_RATE_LOW;
   if (b->second != second)
     {
       b->second = second;
       b->written = 0;
     }
-  if (b->written >= most)
+  if (b->written >= limit)
     {
       b->left_out++;
       return false;
@@ -332,9 +382,12 @@
 
 /**
  * mm_event_write() - log an event, see mm_log_event().
- * @event: which.
- * @fields: its values.
- * @n: their number.
+ * @event: the event.
+ * @fields: values in the order of the table.
+ * @n: number of values.
+ *
+ * A call whose values don't match the table counts as a mismatch.  A line
+ * beyond the rate limit of its event is counted, but not written.
  */
 void
 mm_event_write (mm_event event, const mm_field *fields, size_t n)
@@ -353,12 +406,14 @@
 }
 
 /**
- * mm_event_table_markdown() - the events as a page for operators.
+ * mm_event_table_markdown() - the table of events for docs/LOGS.md.
+ *
+ * Return: newly allocated Markdown, free with g_free().
  */
 char *
 mm_event_table_markdown (void)
 {
-  GString *s = g_string_new ("| event | fields | meaning | kept |\n"
+  GString *s = g_string_new ("| event | fields | meaning | rate limit |\n"
                              "|---|---|---|---|\n");
   for (int i = 0; i < MM_EV_COUNT; i++)
     {
@@ -366,8 +421,7 @@
       char *list = g_strjoinv ("`, `", names);
       g_string_append_printf (s, "| `%s` | `%s` | %s | %s |\n", table[i].name,
                               list, table[i].meaning,
-                              table[i].keep == KEEP_ALL ? "first"
-                                                        : "as room allows");
+                              table[i].rate == RATE_HIGH ? "high" : "low");
       g_free (list);
       g_strfreev (names);
     }
--- a/src/mm_event.h
+++ b/src/mm_event.h
@@ -1,9 +1,9 @@
-/* mm_event: the decisions that a process logs, one line each.
+/* mm_event: the events that a process logs, one JSON line each.
 
-   All events and their fields stand in one table (mm_event.c), which
-   docs/LOGS.md is made from.  A line has the event's name, its fields in
-   the table's order, and "left_out": lines of this event that were left
-   out before it, as too many came in a second.  */
+   One table in mm_event.c lists all events and their fields; docs/LOGS.md is
+   generated from it.  A line has the name of the event, its fields in the
+   order of the table, and "left_out": the number of earlier lines of this
+   event that its rate limit left out.  */
 #ifndef MM_EVENT_H
 #define MM_EVENT_H
 
@@ -71,15 +71,15 @@
 {
   MM_FIELD_TEXT,
   MM_FIELD_INT,
-  MM_FIELD_TASK /* a job's id and the task in it: two fields */
+  MM_FIELD_TASK /* two fields: the id of the job, "STEP.INDEX" of the task */
 } mm_field_type;
 
 typedef struct
 {
   mm_field_type type;
-  const char *text; /* TEXT, TASK: the job; NULL is written as null */
-  int64_t number;   /* INT; TASK: its step */
-  int64_t index;    /* TASK: within its step */
+  const char *text; /* TEXT: the value; TASK: the job; NULL gives null */
+  int64_t number;   /* INT: the value; TASK: the step */
+  int64_t index;    /* TASK: index within the step */
 } mm_field;
 
 #define MM_TEXT(v) ((mm_field){ .type = MM_FIELD_TEXT, .text = (v) })
@@ -90,7 +90,7 @@
                .number = (id)->step,                                          \
                .index = (id)->index })
 
-/* Log an event: its fields as in the table, no more, no less.  */
+/* Logs an event.  The values are exactly the fields that the table lists.  */
 #define mm_log_event(event, ...)                                              \
   mm_event_write ((event), (const mm_field[]){ __VA_ARGS__ },                 \
                   sizeof ((const mm_field[]){ __VA_ARGS__ })                  \
@@ -98,9 +98,11 @@
 
 void mm_event_write (mm_event event, const mm_field *fields, size_t n);
 const char *mm_event_name (mm_event event);
+/* One JSON object and the table as Markdown; free both with g_free().  */
 char *mm_event_line (mm_event event, const mm_field *fields, size_t n,
-                     uint64_t left_out); /* JSON, g_free */
-char *mm_event_table_markdown (void);    /* for docs/LOGS.md, g_free */
-uint64_t mm_event_mismatches (void);     /* calls unlike the table: a bug */
+                     uint64_t left_out);
+char *mm_event_table_markdown (void);
+/* The number of calls whose values didn't match the table.  Each is a bug.  */
+uint64_t mm_event_mismatches (void);
 
 #endif /* MM_EVENT_H */
--- a/tests/test_logs.c
+++ b/tests/test_logs.c
@@ -67,8 +67,8 @@
   for (int i = 0; i < 1000; i++)
     mm_log_event (MM_EV_STOPPING, MM_INT (15));
   /* The second may have changed once in between.  */
-  ck_assert_int_ge (lines, (int)MM_LOG_RATE_KEPT);
-  ck_assert_int_le (lines, 2 * (int)MM_LOG_RATE_KEPT);
+  ck_assert_int_ge (lines, (int)MM_LOG_RATE_HIGH);
+  ck_assert_int_le (lines, 2 * (int)MM_LOG_RATE_HIGH);
   ck_assert_uint_eq (mm_event_mismatches (), 0);
 }
 END_TEST
