--- a/src/config.h
+++ b/src/config.h
@@ -385,9 +385,11 @@
 #define MM_LOG_LINE_FIELD "MM_LINE" /* GLib field of a formatted line */
 /* While standard output is not read, lines beyond this are dropped.  */
 #define MM_LOG_BUFFER_BYTES (256 * 1024)
-#define MM_LOG_FLUSH_BYTES 8192 /* written out from this size on */
-#define MM_LOG_RATE_HIGH 200u   /* lines of one kind a second: failures */
-#define MM_LOG_RATE_LOW 40u     /* and routine events */
+/* Fuller buffers are written at once, others before the event loop waits.  */
+#define MM_LOG_FLUSH_BYTES 8192
+/* Log lines of one event per second, beyond which lines are left out.  */
+#define MM_LOG_RATE_HIGH 200u /* of failures and changes of state */
+#define MM_LOG_RATE_LOW 40u   /* of routine events */
 
 /* The context of a job begins this long before the job.  */
 #define MM_EXPLAIN_BEFORE_MS 3000
--- a/src/mm_clock.c
+++ b/src/mm_clock.c
@@ -1,20 +1,19 @@
-/* mm_clock: the one clock type of masticmill, in milliseconds.  */
+/* mm_clock: monotonic and wall-clock time, in milliseconds.  */
 #include "masticmill.h"
 
 #include <time.h>
 
-static mm_clock_source source;
+static mm_clock_source source; /* NULL: the clock of the machine */
 static void *source_ctx;
 
 /**
- * mm_clock_now_ms() - monotonic time.
+ * mm_clock_now_ms() - monotonic time, for deadlines and timeouts.
  *
- * CLOCK_BOOTTIME, as CLOCK_MONOTONIC stands still while the machine is
- * suspended: leases and deadlines would look valid long after others saw
- * them expire.
+ * Reads CLOCK_BOOTTIME, because CLOCK_MONOTONIC does not advance while the
+ * machine is suspended: leases and deadlines would look valid here long after
+ * they expired at other instances.
  *
- * Return: milliseconds since an arbitrary start; never goes back, so it is
- * the clock for deadlines and timeouts.
+ * Return: milliseconds since an arbitrary start; never goes back.
  */
 mm_time_ms
 mm_clock_now_ms (void)
@@ -29,8 +28,8 @@
 /**
  * mm_clock_wall_ms() - wall-clock time.
  *
- * Return: milliseconds since 1970 (CLOCK_REALTIME); for logs and records
- * read by people, never for deadlines.
+ * Return: milliseconds since 1970 (CLOCK_REALTIME).  It is meant for logs and
+ * records that people read, and must not be used for deadlines.
  */
 mm_time_ms
 mm_clock_wall_ms (void)
@@ -41,11 +40,12 @@
 }
 
 /**
- * mm_clock_set_source() - take monotonic time from somewhere else.
- * @now: returns it, or NULL for the machine's own.
- * @ctx: for @now.
+ * mm_clock_set_source() - replace the source of monotonic time.
+ * @now: returns the time in milliseconds; NULL restores the clock of the
+ *     machine.
+ * @ctx: passed to @now.
  *
- * For tests of time-outs and leases that must not take real time.
+ * Lets tests of timeouts and leases run without real delays.
  */
 void
 mm_clock_set_source (mm_clock_source now, void *ctx)
--- a/src/mm_counters.c
+++ b/src/mm_counters.c
@@ -9,7 +9,7 @@
 };
 
 /**
- * mm_counters_create() - an empty counter set.
+ * mm_counters_create() - create an empty set of counters.
  *
  * Return: the set; free it with mm_counters_destroy().
  */
@@ -31,10 +31,10 @@
 }
 
 /**
- * mm_counters_add() - add to a counter, creating it at zero.
+ * mm_counters_add() - add to a counter, which is created at zero if needed.
  * @c: the set.
- * @name: counter name, copied on first use.
- * @n: amount, may be negative for gauges.
+ * @name: name of the counter, copied on first use.
+ * @n: amount to add; may be negative for gauges.
  */
 void
 mm_counters_add (mm_counters *c, const char *name, int64_t n)
@@ -56,7 +56,7 @@
 }
 
 /**
- * mm_counters_to_json() - all counters as one JSON object.
+ * mm_counters_to_json() - format all counters as one JSON object.
  * @c: the set.
  *
  * Return: newly allocated text, free with free().
--- a/src/mm_error.c
+++ b/src/mm_error.c
@@ -1,4 +1,4 @@
-/* mm_error: the MM_ERROR GError domain and the names of its codes.  */
+/* mm_error: the GError domain MM_ERROR and the names of its codes.  */
 #include "masticmill.h"
 
 G_DEFINE_QUARK (mm - error - quark, mm_error)
@@ -23,8 +23,8 @@
  * mm_error_code_name() - stable name of an error code.
  * @code: an mm_error_code.
  *
- * Return: a static string used in JSON answers and logs, "unknown" for a
- * code outside the enum.
+ * Return: a static string for JSON answers and logs; "unknown" for a code that
+ * is not in the enum.
  */
 const char *
 mm_error_code_name (int code)
--- a/src/mm_explain.c
+++ b/src/mm_explain.c
@@ -1,8 +1,10 @@
-/* mm_explain: put a job's log lines in order of time and name its cause.
+/* mm_explain: sorts the log lines of a job by time and names the cause of its
+   outcome.
 
-   Besides the job's own lines, the story holds what the instances logged
-   of the upstreams and instances that its lines name, and of themselves,
-   shortly before and while the job was open.  */
+   Besides the lines of the job, the report has context lines: those that the
+   instances logged while the job was open, or shortly before, about
+   themselves and about the upstreams and instances that the job's lines
+   name.  */
 #include "mm_explain.h"
 
 #include "config.h"
@@ -13,17 +15,17 @@
 typedef struct
 {
   cJSON *fields;
-  char *source;
-  mm_time_ms ts_ms;
-  size_t order; /* of reading, among equal times */
-  bool own;     /* names the job */
+  char *source;     /* name of the log that has the line */
+  mm_time_ms ts_ms; /* wall-clock time of the line */
+  size_t order;     /* position in the input, sorts lines of the same time */
+  bool own;         /* the line has the id of the job */
 } line;
 
 struct mm_explain
 {
   char *job;
-  GPtrArray *lines;      /* own lines, and all that may be context */
-  GHashTable *instances; /* source -> instance name, once it said */
+  GPtrArray *lines;      /* lines of the job, and possible context lines */
+  GHashTable *instances; /* source -> instance name, from its "started" line */
 };
 
 static void
@@ -78,7 +80,8 @@
   return strcmp (text_of (l, "event"), event) == 0;
 }
 
-/* Events that can explain a job without naming it.  */
+/* Returns whether the line is of an event that can explain the outcome of a
+   job without having its id.  */
 static bool
 may_be_context (const line *l)
 {
@@ -96,10 +99,10 @@
 }
 
 /**
- * mm_explain_add() - read a line.
- * @x: the story.
- * @source: name of the log it stands in, one an instance.
- * @text: the line; anything before its first '{' is passed over.
+ * mm_explain_add() - read a log line.
+ * @x: the report.
+ * @source: name of the log that has the line; each instance has one log.
+ * @text: the line; anything before its first '{' is ignored.
  */
 void
 mm_explain_add (mm_explain *x, const char *source, const char *text)
@@ -121,7 +124,7 @@
     line_free (l);
 }
 
-/* What became of a job whose caller waits, or of a kept one.  */
+/* Returns whether the line has the outcome of a job, kept or not.  */
 static bool
 is_outcome (const line *l)
 {
@@ -134,7 +137,7 @@
   const line *x = *(line *const *)a, *y = *(line *const *)b;
   if (x->ts_ms != y->ts_ms)
     return x->ts_ms < y->ts_ms ? -1 : 1;
-  /* An answer comes after what led to it.  */
+  /* At equal times, the outcome is sorted after its causes.  */
   bool x_answers = is_outcome (x);
   bool y_answers = is_outcome (y);
   if (x_answers != y_answers)
@@ -142,12 +145,13 @@
   return x->order < y->order ? -1 : x->order > y->order;
 }
 
+/* Selects the context lines of a job.  */
 typedef struct
 {
-  mm_time_ms from_ms;
-  mm_time_ms to_ms;
-  GHashTable *names;   /* upstreams and instances that its lines name */
-  GHashTable *sources; /* logs that name it */
+  mm_time_ms from_ms;  /* time of the first line of the job */
+  mm_time_ms to_ms;    /* time of its last line */
+  GHashTable *names;   /* upstreams and instances that the job's lines name */
+  GHashTable *sources; /* logs that have lines of the job */
 } scope;
 
 static scope
@@ -171,6 +175,7 @@
   return s;
 }
 
+/* Returns whether the line is of the job or of its context.  */
 static bool
 belongs (const scope *s, const line *l)
 {
@@ -213,8 +218,8 @@
   g_string_append_c (out, '\n');
 }
 
-/* The last own line of an event before line @upto, with a field of that
-   value if asked.  */
+/* Returns the job's last line of @event before line @upto.  Unless @field is
+   NULL, that field must have @value.  */
 static const line *
 last_own (const mm_explain *x, guint upto, const char *event,
           const char *field, const char *value)
@@ -229,9 +234,11 @@
   return NULL;
 }
 
+/* Returns the first context line of @event.  Unless @field is NULL, that field
+   must have @value.  */
 static const line *
-context_of (const mm_explain *x, const scope *s, const char *event,
-            const char *field, const char *value)
+first_context (const mm_explain *x, const scope *s, const char *event,
+               const char *field, const char *value)
 {
   for (guint i = 0; i < x->lines->len; i++)
     {
@@ -256,18 +263,20 @@
       number_of (l, "wait_ms"), number_of (l, "slack_ms"));
 }
 
+/* Appends why the outcome of the job is unknown.  */
 static void
-cause_of_loss (const mm_explain *x, const scope *s, guint upto, GString *out)
+cause_of_unknown_outcome (const mm_explain *x, const scope *s, guint upto,
+                          GString *out)
 {
   const line *t = last_own (x, upto, "task_failed", "how", "unknown");
   const line *handed
       = t ? last_own (x, upto, "task_handed", "task", text_of (t, "task"))
           : NULL;
-  const line *peer = handed ? context_of (x, s, "peer_lost", "peer",
-                                          text_of (handed, "owner"))
+  const line *peer = handed ? first_context (x, s, "peer_lost", "peer",
+                                             text_of (handed, "owner"))
                             : NULL;
-  const line *fenced = context_of (x, s, "upstream_fenced", NULL, NULL);
-  const line *stalled = context_of (x, s, "stalled", NULL, NULL);
+  const line *fenced = first_context (x, s, "upstream_fenced", NULL, NULL);
+  const line *stalled = first_context (x, s, "stalled", NULL, NULL);
   g_string_append (out, "its outcome was out of sight: ");
   if (peer)
     g_string_append_printf (
@@ -280,7 +289,8 @@
     g_string_append_printf (out, "another instance took over upstream %s",
                             text_of (fenced, "upstream"));
   else
-    g_string_append (out, t ? text_of (t, "why") : "no line says why");
+    g_string_append (out,
+                     t ? text_of (t, "why") : "no log line has the reason");
   g_string_append (out, ". Its caller was told to send it again; what ran "
                         "of it is stopped or lapses within a second.");
 }
@@ -303,14 +313,14 @@
   const line *t = last_own (x, upto, "task_failed", "how", "failed");
   if (!t)
     {
-      g_string_append (out, "failed; no line of a failed task was kept.");
+      g_string_append (out, "failed; the logs have no line of a failed task.");
       return;
     }
   g_string_append_printf (out,
                           "task %s failed in every attempt, last on "
                           "upstream %s",
                           text_of (t, "task"), text_of (t, "upstream"));
-  const line *excluded = context_of (x, s, "upstream_excluded", NULL, NULL);
+  const line *excluded = first_context (x, s, "upstream_excluded", NULL, NULL);
   if (excluded)
     g_string_append_printf (
         out, ". Upstream %s failed %lld tasks in a row, with good reports",
@@ -327,15 +337,15 @@
   const line *answered = x->lines->pdata[upto];
   g_string_append_printf (out, "completed after %lld ms",
                           number_of (answered, "took_ms"));
-  guint again = 0;
+  guint repeated = 0;
   for (guint i = 0; i < upto; i++)
     {
       const line *l = x->lines->pdata[i];
-      again += l->own && is_event (l, "task_failed");
+      repeated += l->own && is_event (l, "task_failed");
     }
-  if (again)
+  if (repeated)
     g_string_append_printf (out, "; %u runs of its tasks were repeated",
-                            again);
+                            repeated);
   g_string_append_c (out, '.');
 }
 
@@ -347,7 +357,7 @@
   if (strcmp (outcome, "completed") == 0)
     cause_of_success (x, at, out);
   else if (strcmp (outcome, "unknown") == 0)
-    cause_of_loss (x, s, at, out);
+    cause_of_unknown_outcome (x, s, at, out);
   else if (strcmp (outcome, "failed") == 0)
     cause_of_failure (x, s, at, out);
   else
@@ -355,7 +365,8 @@
                             number_of (l, "took_ms"), text_of (l, "why"));
 }
 
-/* One cause for each answer: a job may have been sent more than once.  */
+/* Appends one cause for each answer, as a job may have been sent more than
+   once.  */
 static void
 append_causes (const mm_explain *x, const scope *s, GString *out)
 {
@@ -378,27 +389,29 @@
       else if (refused)
         cause_of_refusal (out, l);
       else if (kept)
-        g_string_append_printf (out, "%s: %s.",
-                                is_event (l, "kept_refused")
-                                    ? "not served, nothing was done"
-                                    : "told to ask again, its fate is open",
-                                text_of (l, "why"));
+        g_string_append_printf (
+            out, "%s: %s.",
+            is_event (l, "kept_refused")
+                ? "refused, nothing was done"
+                : "its caller was told to send it again, as it "
+                  "is not known whether it was stored",
+            text_of (l, "why"));
       else
         g_string_append_printf (out, "its caller left after %lld ms.",
                                 number_of (l, "took_ms"));
       g_string_append_c (out, '\n');
     }
   if (!any)
-    g_string_append (out, "cause: no answer was logged: its instance ended "
-                          "before it, or its log is not among these.\n");
+    g_string_append (out, "cause: no answer was logged: its instance died "
+                          "first, or the log of that instance is missing.\n");
 }
 
 /**
- * mm_explain_story() - the job's story.
- * @x: with all lines read.
+ * mm_explain_story() - format the report on the job.
+ * @x: the report, after all lines were added.
  *
- * Return: the lines in order of time, and the cause; NULL when no line
- * names the job.
+ * Return: the lines in order of time, then the causes of its answers; free
+ * with g_free().  NULL when no line has the id of the job.
  */
 char *
 mm_explain_story (mm_explain *x)
--- a/src/mm_explain.h
+++ b/src/mm_explain.h
@@ -1,4 +1,5 @@
-/* mm_explain: one request's story, from the logs of several instances.  */
+/* mm_explain: a report on one job from the logs of several instances: what
+   happened to it, and the cause of its outcome.  */
 #ifndef MM_EXPLAIN_H
 #define MM_EXPLAIN_H
 
@@ -8,10 +9,11 @@
 
 mm_explain *mm_explain_create (const char *job_id);
 void mm_explain_destroy (mm_explain *x);
-/* A line of the log named @source; what is not ours is passed over.  */
+/* Adds a line of the log named @source.  Lines that are not JSON, or that say
+   nothing about the job, are ignored.  */
 void mm_explain_add (mm_explain *x, const char *source, const char *line);
-/* The story in order of time, ending in its cause; g_free.  NULL: no line
-   names the job.  */
+/* Returns the lines in order of time, then the causes; free with g_free().
+   NULL when no line has the id of the job.  */
 char *mm_explain_story (mm_explain *x);
 
 #endif /* MM_EXPLAIN_H */
--- a/src/mm_hash.c
+++ b/src/mm_hash.c
@@ -5,14 +5,15 @@
 #include <xxhash.h>
 
 /**
- * mm_hash_owner() - which member owns a key.
- * @key: e.g. a job id.
- * @members: member names; the same list in any order gives the same owner.
+ * mm_hash_owner() - choose the member that owns a key.
+ * @key: the key, such as a job id.
+ * @members: names of the members; their order does not change the owner.
  * @n: number of members.
  *
- * Each member scores XXH3(key) seeded by XXH3(member name); the highest
- * wins.  When one member leaves, only its keys move.  Return: index into
- * @members, or -1 when @n is 0.
+ * The score of a member is XXH3(key) with XXH3(member name) as the seed, and
+ * the highest score wins.  When a member leaves, only its keys move.
+ *
+ * Return: index into @members, or -1 when @n is 0.
  */
 int
 mm_hash_owner (const char *key, char *const *members, size_t n)
--- a/src/mm_json.c
+++ b/src/mm_json.c
@@ -1,13 +1,14 @@
-/* mm_json: the error body every daemon answers with.  */
+/* mm_json: the body of error answers of all daemons.  */
 #include "masticmill.h"
 
 #include <cJSON.h>
 
 /**
- * mm_json_error_body() - a JSON error answer.
+ * mm_json_error_body() - format an error answer as JSON.
  * @code: an mm_error_code.
- * @message: what went wrong, for people.
- * @retry_after_s: when to come back, 0 for never.
+ * @message: human-readable description of the error.
+ * @retry_after_s: seconds after which to retry; with 0 the caller must not
+ *     retry, and the field is left out.
  *
  * Return: {"status":"failed","error":{"code":..,"message":..},
  * "retry_after_s":..}, newly allocated, free with free().
--- a/src/mm_log.c
+++ b/src/mm_log.c
@@ -28,11 +28,13 @@
 
 /**
  * mm_log_format_json() - format one log record as a JSON line.
- * @fields: the structured fields GLib hands the writer.
- * @n_fields: their number.
+ * @fields: the structured fields that GLib passes to the writer.
+ * @n_fields: number of fields.
  *
- * Fields whose length is -1 are strings; others are skipped unless they
- * are the MESSAGE.  Return: a newly allocated line without newline.
+ * Only string fields are written, those whose length is -1; PRIORITY and
+ * GLIB_OLD_LOG_API are left out.
+ *
+ * Return: a newly allocated line without newline, free with free().
  */
 char *
 mm_log_format_json (const GLogField *fields, size_t n_fields)
@@ -56,9 +58,10 @@
   return line;
 }
 
-/* An event's line is ready made (mm_event); others are put together.  */
+/* Returns the line of an event, which mm_event has formatted already; NULL for
+   other log records.  */
 static const char *
-ready_line (const GLogField *fields, gsize n_fields)
+event_line (const GLogField *fields, gsize n_fields)
 {
   for (gsize i = 0; i < n_fields; i++)
     if (strcmp (fields[i].key, MM_LOG_LINE_FIELD) == 0)
@@ -75,25 +78,25 @@
            | G_LOG_LEVEL_MESSAGE))
       && !g_getenv ("MM_LOG_DEBUG"))
     return G_LOG_WRITER_HANDLED;
-  const char *ready = ready_line (fields, n_fields);
-  if (ready)
+  const char *event = event_line (fields, n_fields);
+  if (event)
     {
-      mm_log_sink_put (ready, strlen (ready));
+      mm_log_sink_put (event, strlen (event));
       return G_LOG_WRITER_HANDLED;
     }
   char *line = mm_log_format_json (fields, n_fields);
-  char *whole
+  char *with_level
       = g_strdup_printf ("{\"level\":\"%s\",%s", level_name (level), line + 1);
-  mm_log_sink_put (whole, strlen (whole));
+  mm_log_sink_put (with_level, strlen (with_level));
   mm_log_sink_flush ();
-  g_free (whole);
+  g_free (with_level);
   free (line);
   return G_LOG_WRITER_HANDLED;
 }
 
 /**
- * mm_log_init() - send all GLib logging to stdout as JSON lines.
- * @program: name put in every line.
+ * mm_log_init() - write all GLib log records to stdout as JSON lines.
+ * @program: name of the program, written to every line.
  *
  * Info and debug lines are written only when MM_LOG_DEBUG is set.
  */
@@ -107,9 +110,10 @@
 }
 
 /**
- * mm_log_init_stderr() - the same on stderr, for a command whose output is
- * its result.
- * @program: name put in every line.
+ * mm_log_init_stderr() - write all GLib log records to stderr as JSON lines.
+ * @program: name of the program, written to every line.
+ *
+ * For commands that print their result on stdout.
  */
 void
 mm_log_init_stderr (const char *program)
@@ -120,7 +124,7 @@
 }
 
 /**
- * mm_log_close() - write what is left and give stdout its mode back.
+ * mm_log_close() - flush buffered lines and restore the mode of the output.
  */
 void
 mm_log_close (void)
@@ -129,7 +133,7 @@
 }
 
 /**
- * mm_log_flush() - write what is buffered, as far as the reader takes it.
+ * mm_log_flush() - write buffered lines, as many as the output accepts now.
  */
 void
 mm_log_flush (void)
--- a/src/mm_log_sink.c
+++ b/src/mm_log_sink.c
@@ -1,8 +1,9 @@
-/* mm_log_sink: a bounded buffer in front of standard output.
+/* mm_log_sink: a bounded buffer for non-blocking output of log lines.
 
-   A reader that stops reading fills the pipe; a blocking write would then
-   stop the process with it, and its callers.  Here the buffer fills
-   instead, and lines are dropped and counted.  */
+   When nothing reads standard output any more, its pipe fills up.  A blocking
+   write would then stop the process, and its callers would get no answers.
+   With this module the buffer fills up instead, and further lines are dropped
+   and counted.  */
 #include "mm_log_sink.h"
 
 #include "config.h"
@@ -13,9 +14,9 @@
 #include <unistd.h>
 
 static int sink_fd = -1;
-static int old_flags;
+static int old_flags; /* of sink_fd, before it was set non-blocking */
 static GByteArray *buffer;
-static uint64_t dropped;
+static uint64_t dropped; /* lines */
 
 void
 mm_log_sink_open (int fd)
@@ -31,23 +32,25 @@
 void
 mm_log_sink_flush (void)
 {
-  guint done = 0;
-  while (buffer && done < buffer->len)
+  guint written = 0;
+  while (buffer && written < buffer->len)
     {
-      ssize_t n = write (sink_fd, buffer->data + done, buffer->len - done);
+      ssize_t n
+          = write (sink_fd, buffer->data + written, buffer->len - written);
       if (n < 0 && errno == EINTR)
         continue;
       if (n < 0 && errno == EAGAIN)
         break;
       if (n <= 0)
         {
-          done = buffer->len; /* no reader any more, and none comes */
+          /* The reader is gone for good, so the rest is discarded.  */
+          written = buffer->len;
           break;
         }
-      done += (guint)n;
+      written += (guint)n;
     }
-  if (done)
-    g_byte_array_remove_range (buffer, 0, done);
+  if (written)
+    g_byte_array_remove_range (buffer, 0, written);
 }
 
 bool
--- a/src/mm_log_sink.h
+++ b/src/mm_log_sink.h
@@ -1,4 +1,4 @@
-/* mm_log_sink: lines to standard output that never block the process.  */
+/* mm_log_sink: output of log lines that never blocks the process.  */
 #ifndef MM_LOG_SINK_H
 #define MM_LOG_SINK_H
 
@@ -6,10 +6,15 @@
 #include <stddef.h>
 #include <stdint.h>
 
-void mm_log_sink_open (int fd);                      /* sets it non-blocking */
-bool mm_log_sink_put (const char *line, size_t len); /* false: dropped */
-void mm_log_sink_flush (void);       /* write what the reader takes */
-uint64_t mm_log_sink_dropped (void); /* lines, since the start */
-void mm_log_sink_close (void);       /* flush, restore the mode */
+/* Sets @fd non-blocking and sends further lines to it.  */
+void mm_log_sink_open (int fd);
+/* Buffers a line without its newline.  Returns false when it is dropped.  */
+bool mm_log_sink_put (const char *line, size_t len);
+/* Writes as many buffered bytes as the output accepts without blocking.  */
+void mm_log_sink_flush (void);
+/* Returns the number of lines dropped since the process started.  */
+uint64_t mm_log_sink_dropped (void);
+/* Flushes and restores the mode of the file descriptor.  */
+void mm_log_sink_close (void);
 
 #endif /* MM_LOG_SINK_H */
--- a/src/mm_metrics.c
+++ b/src/mm_metrics.c
@@ -1,15 +1,15 @@
-/* mm_metrics: the table of series, and their text.
+/* mm_metrics: the tables of metric series and their text format.
 
-   Counters of our own, as the house style asks.  Debian 12 has no C
-   library for histograms; prometheus-cpp would bring a C++ runtime and an
-   HTTP server of its own for what is one array here.  */
+   This module implements its own counters, as the house style requires.
+   Debian 12 has no C library for histograms, and prometheus-cpp would add a
+   C++ runtime and an HTTP server for what is one array here.  */
 #include "mm_metrics.h"
 
 typedef struct
 {
   const char *name;
   const char *label; /* LABEL="VALUE", or NULL */
-  const char *help;
+  const char *help;  /* shared by all series of the name */
 } series;
 
 #define JOBS "masticmill_jobs_answered_total"
@@ -166,7 +166,8 @@
                          "Age of the view of the upstreams at a start." },
 };
 
-/* From a call on the local network to the longest job.  */
+/* Upper bounds of the buckets, from the duration of a call on the local
+   network to that of the longest job.  */
 static const mm_time_ms bounds_ms[]
     = { 1,   2,   5,   10,  20,   35,   50,   75,   100,  150,
         200, 300, 500, 750, 1000, 1500, 2000, 3000, 5000, 10000 };
@@ -174,9 +175,9 @@
 
 typedef struct
 {
-  uint64_t in_bucket[N_BOUNDS + 1]; /* the last: above all bounds */
-  uint64_t n;
-  int64_t sum_ms;
+  uint64_t in_bucket[N_BOUNDS + 1]; /* the last one: above all bounds */
+  uint64_t n;                       /* number of observations */
+  int64_t sum_ms;                   /* of all observations */
 } histogram;
 
 static uint64_t counters[MM_CT_COUNT];
@@ -225,10 +226,11 @@
   return histograms[id].n;
 }
 
-/* Help and type stand once before all series of a name.  */
+/* Appends the help and type lines, once before all series of a name.  @before
+   is the previous series, or NULL.  */
 static void
-append_head (GString *s, const series *row, const series *before,
-             const char *type)
+append_header (GString *s, const series *row, const series *before,
+               const char *type)
 {
   if (before && g_str_equal (before->name, row->name))
     return;
@@ -256,14 +258,14 @@
 static void
 append_histogram (GString *s, const series *row, const histogram *h)
 {
-  append_head (s, row, NULL, "histogram");
-  uint64_t up_to = 0;
+  append_header (s, row, NULL, "histogram");
+  uint64_t cumulative = 0;
   for (size_t i = 0; i < N_BOUNDS; i++)
     {
-      up_to += h->in_bucket[i];
+      cumulative += h->in_bucket[i];
       g_string_append_printf (s, "%s_bucket{le=\"", row->name);
       append_seconds (s, bounds_ms[i]);
-      g_string_append_printf (s, "\"} %" G_GUINT64_FORMAT "\n", up_to);
+      g_string_append_printf (s, "\"} %" G_GUINT64_FORMAT "\n", cumulative);
     }
   g_string_append_printf (
       s, "%s_bucket{le=\"+Inf\"} %" G_GUINT64_FORMAT "\n%s_sum ", row->name,
@@ -274,7 +276,9 @@
 }
 
 /**
- * mm_metrics_text() - all series, in the Prometheus text format.
+ * mm_metrics_text() - format all series in the Prometheus text format.
+ *
+ * Return: newly allocated text, free with g_free().
  */
 char *
 mm_metrics_text (void)
@@ -282,13 +286,13 @@
   GString *s = g_string_sized_new (8192);
   for (int i = 0; i < MM_CT_COUNT; i++)
     {
-      append_head (s, &counter_table[i], i ? &counter_table[i - 1] : NULL,
-                   "counter");
+      append_header (s, &counter_table[i], i ? &counter_table[i - 1] : NULL,
+                     "counter");
       append_value (s, &counter_table[i], (int64_t)counters[i]);
     }
   for (int i = 0; i < MM_GG_COUNT; i++)
     {
-      append_head (s, &gauge_table[i], NULL, "gauge");
+      append_header (s, &gauge_table[i], NULL, "gauge");
       append_value (s, &gauge_table[i], gauges[i]);
     }
   for (int i = 0; i < MM_HG_COUNT; i++)
--- a/src/mm_metrics.h
+++ b/src/mm_metrics.h
@@ -1,8 +1,8 @@
 /* mm_metrics: counters, gauges and latency histograms of this process, as
    text in the Prometheus exposition format.
 
-   All series stand in one table (mm_metrics.c).  Times are given in
-   milliseconds and served in seconds, as the format's conventions ask.  */
+   All series are listed in the tables of mm_metrics.c.  Durations are recorded
+   in milliseconds and written in seconds, the base unit of that format.  */
 #ifndef MM_METRICS_H
 #define MM_METRICS_H
 
@@ -86,21 +86,26 @@
 
 typedef enum
 {
-  MM_HG_JOB,        /* submission to answer, completed jobs */
-  MM_HG_QUEUE_WAIT, /* handed to an owner until ordered to start */
-  MM_HG_START_CALL, /* start order to its answer */
-  MM_HG_TASK_RUN,   /* start order to the end, done tasks */
-  MM_HG_JOIN_CALL,  /* a join of the group at the store */
-  MM_HG_START_VIEW, /* age of the view of the upstreams at a start */
+  MM_HG_JOB,        /* from submission to answer, of completed jobs */
+  MM_HG_QUEUE_WAIT, /* from dispatch to an owner until the start is sent */
+  MM_HG_START_CALL, /* from a start until its answer */
+  MM_HG_TASK_RUN,   /* from a start until the end, of tasks that are done */
+  MM_HG_JOIN_CALL,  /* a call to the store that joins a group */
+  MM_HG_START_VIEW, /* age of the list of upstreams at a start */
   MM_HG_COUNT
 } mm_histogram_id;
 
-void mm_metrics_count (mm_counter_id id); /* add one */
+/* Adds one to a counter.  */
+void mm_metrics_count (mm_counter_id id);
 void mm_metrics_add (mm_counter_id id, uint64_t n);
-uint64_t mm_metrics_counter (mm_counter_id id);           /* its value */
-void mm_metrics_set (mm_gauge_id id, int64_t value);      /* a gauge */
-void mm_metrics_time (mm_histogram_id id, mm_time_ms ms); /* observe */
-uint64_t mm_metrics_observed (mm_histogram_id id);        /* how many */
-char *mm_metrics_text (void);                             /* g_free */
+uint64_t mm_metrics_counter (mm_counter_id id);
+/* Sets a gauge.  */
+void mm_metrics_set (mm_gauge_id id, int64_t value);
+/* Adds a duration to a histogram.  */
+void mm_metrics_time (mm_histogram_id id, mm_time_ms ms);
+/* Returns the number of durations in a histogram.  */
+uint64_t mm_metrics_observed (mm_histogram_id id);
+/* Returns all series as text; free with g_free().  */
+char *mm_metrics_text (void);
 
 #endif /* MM_METRICS_H */
--- a/src/mm_msgpack.c
+++ b/src/mm_msgpack.c
@@ -1,4 +1,4 @@
-/* mm_msgpack: typed reading and writing of msgpack values.  */
+/* mm_msgpack: typed packing and reading of msgpack values.  */
 #include "mm_msgpack.h"
 
 #include <string.h>
@@ -121,9 +121,9 @@
 }
 
 bool
-mm_mp_read_task (const msgpack_object *three, mm_task_id *id)
+mm_mp_read_task (const msgpack_object *values, mm_task_id *id)
 {
-  return mm_mp_read_fixed (&three[0], id->job, sizeof id->job)
-         && mm_mp_read_u32 (&three[1], &id->step)
-         && mm_mp_read_u32 (&three[2], &id->index);
+  return mm_mp_read_fixed (&values[0], id->job, sizeof id->job)
+         && mm_mp_read_u32 (&values[1], &id->step)
+         && mm_mp_read_u32 (&values[2], &id->index);
 }
--- a/tests/test_logs.c
+++ b/tests/test_logs.c
@@ -1,4 +1,5 @@
-/* Logs, metrics and the way from a request's id to its cause.  */
+/* Tests of logs, metrics and mm_explain, which names the cause of a job's
+   outcome.  */
 #define _GNU_SOURCE
 #include "config.h"
 #include "mm_event.h"
@@ -37,7 +38,7 @@
 }
 END_TEST
 
-START_TEST (page_of_logs_is_the_table)
+START_TEST (logs_page_matches_the_event_table)
 {
   char *page = NULL;
   ck_assert (
@@ -58,22 +59,23 @@
   return G_LOG_WRITER_HANDLED;
 }
 
-/* Under load one kind of line comes a thousand times a second.  The rest
-   is left out and counted, so that logs cost the callers nothing.  */
+/* Guards against log output that slows callers down: under load an event can
+   occur a thousand times a second.  Lines beyond the rate limit are left out
+   and counted.  */
 START_TEST (lines_beyond_the_rate_are_left_out_and_counted)
 {
   int lines = 0;
   g_log_set_writer_func (count_lines, &lines, NULL);
   for (int i = 0; i < 1000; i++)
     mm_log_event (MM_EV_STOPPING, MM_INT (15));
-  /* The second may have changed once in between.  */
+  /* The calls may fall into two seconds.  */
   ck_assert_int_ge (lines, (int)MM_LOG_RATE_HIGH);
   ck_assert_int_le (lines, 2 * (int)MM_LOG_RATE_HIGH);
   ck_assert_uint_eq (mm_event_mismatches (), 0);
 }
 END_TEST
 
-START_TEST (call_unlike_the_table_is_counted_as_a_bug)
+START_TEST (call_that_does_not_match_the_table_is_counted)
 {
   int lines = 0;
   g_log_set_writer_func (count_lines, &lines, NULL);
@@ -82,8 +84,8 @@
 }
 END_TEST
 
-/* Nobody reads standard output: the pipe fills.  A blocking write would
-   stop the process, and every caller with it.  */
+/* Guards against a process that stops, with all its callers, in a blocking
+   write: when nothing reads standard output, its pipe fills up.  */
 START_TEST (unread_output_never_blocks)
 {
   int fds[2];
@@ -91,10 +93,10 @@
   mm_log_sink_open (fds[1]);
   char line[1000];
   memset (line, 'x', sizeof line);
-  mm_time_ms from = mm_clock_now_ms ();
+  mm_time_ms started_ms = mm_clock_now_ms ();
   for (int i = 0; i < 2000; i++)
     mm_log_sink_put (line, sizeof line);
-  ck_assert_int_lt (mm_clock_now_ms () - from, 1000);
+  ck_assert_int_lt (mm_clock_now_ms () - started_ms, 1000);
   ck_assert_uint_gt (mm_log_sink_dropped (), 0);
   ck_assert_uint_lt (mm_log_sink_dropped (), 2000);
   close (fds[0]);
@@ -139,9 +141,9 @@
   return story;
 }
 
-/* A caller was refused in a burst and complains: its id alone must lead to
-   the room that was free then.  */
-START_TEST (refused_request_is_explained_by_the_room)
+/* A job is refused in a burst.  From its id alone, the report must show how
+   much capacity was free then.  */
+START_TEST (refused_job_is_explained_by_the_free_capacity)
 {
   const char *lines[]
       = { "a.log",
@@ -162,9 +164,9 @@
 }
 END_TEST
 
-/* An instance dies with a request's task.  The lines of two instances,
-   read in any order, must tell which one it was.  */
-START_TEST (lost_request_is_explained_by_the_instance_that_died)
+/* An instance dies while it runs a task of a job.  The logs of two instances,
+   read in any order, must show which instance it was.  */
+START_TEST (unknown_outcome_is_explained_by_the_instance_that_died)
 {
   const char *lines[]
       = { "b.log",
@@ -199,8 +201,8 @@
 }
 END_TEST
 
-/* An upstream fails every task with good reports.  */
-START_TEST (failed_request_is_explained_by_the_upstream)
+/* An upstream fails every task, but its reports are good.  */
+START_TEST (failed_job_is_explained_by_the_upstream)
 {
   const char *lines[]
       = { "a.log",
@@ -222,8 +224,8 @@
 }
 END_TEST
 
-/* A task crashes each upstream that starts it.  */
-START_TEST (given_up_request_is_explained_by_the_upstreams_it_crashed)
+/* A poison task crashes each upstream that starts it.  */
+START_TEST (given_up_job_is_explained_by_the_upstreams_it_crashed)
 {
   const char *lines[]
       = { "a.log",
@@ -242,9 +244,10 @@
 }
 END_TEST
 
-/* A kept job's home dies.  Its caller was told to ask again, and the job is
-   done at the next home: the id leads to both, and to why the home moved.  */
-START_TEST (kept_job_is_explained_from_home_to_home)
+/* The home of a kept job dies.  Its caller was told to send the job again, and
+   the job ends at the next home.  The report must show both, and why the home
+   moved.  */
+START_TEST (kept_job_is_explained_across_homes)
 {
   const char *lines[]
       = { "a.log",
@@ -259,16 +262,17 @@
           NULL };
   char *story = story_of ("j1", lines);
   ck_assert_ptr_nonnull (strstr (story, "jobs_loaded"));
-  ck_assert_ptr_nonnull (
-      strstr (story, "cause: told to ask again, its fate is open: its home "
-                     "did not answer."));
+  ck_assert_ptr_nonnull (strstr (
+      story, "cause: its caller was told to send it again, as it is not "
+             "known whether it was stored: its home did not answer."));
   ck_assert_ptr_nonnull (strstr (story, "cause: completed after 1300 ms."));
   g_free (story);
 }
 END_TEST
 
-/* Lines of a process that is killed right after it has answered a caller were
-   still in its buffer, and nobody could tell what became of the request.  */
+/* Guards against log lines that are lost in the buffer of an instance which is
+   killed right after it answered a caller.  Without them the outcome of the
+   job can't be explained.  */
 START_TEST (killed_instance_leaves_the_lines_of_what_it_has_answered)
 {
   enum
@@ -285,7 +289,8 @@
       char *job = h_job_json (id, 1, 10, 5000, true);
       ck_assert (h_answered (h_submit (0, job)));
       g_free (job);
-      /* Answered in a later turn of its loop than the job.  */
+      /* The instance answers this call in a later turn of its event loop than
+         the job, and so after the flush of the job's lines.  */
       cJSON_Delete (h_call ("GET", h_node_state_port (0), "/", NULL, NULL));
       pid_t killed = h_entries[0];
       h_stop (killed, SIGKILL);
@@ -303,17 +308,16 @@
   Suite *s = suite_create ("logs");
   TCase *c = tcase_create ("logs");
   tcase_add_test (c, event_line_names_its_fields_and_escapes_text);
-  tcase_add_test (c, page_of_logs_is_the_table);
+  tcase_add_test (c, logs_page_matches_the_event_table);
   tcase_add_test (c, lines_beyond_the_rate_are_left_out_and_counted);
-  tcase_add_test (c, call_unlike_the_table_is_counted_as_a_bug);
+  tcase_add_test (c, call_that_does_not_match_the_table_is_counted);
   tcase_add_test (c, unread_output_never_blocks);
   tcase_add_test (c, metrics_text_has_every_series_with_its_type);
-  tcase_add_test (c, refused_request_is_explained_by_the_room);
-  tcase_add_test (c, lost_request_is_explained_by_the_instance_that_died);
-  tcase_add_test (c, failed_request_is_explained_by_the_upstream);
-  tcase_add_test (c,
-                  given_up_request_is_explained_by_the_upstreams_it_crashed);
-  tcase_add_test (c, kept_job_is_explained_from_home_to_home);
+  tcase_add_test (c, refused_job_is_explained_by_the_free_capacity);
+  tcase_add_test (c, unknown_outcome_is_explained_by_the_instance_that_died);
+  tcase_add_test (c, failed_job_is_explained_by_the_upstream);
+  tcase_add_test (c, given_up_job_is_explained_by_the_upstreams_it_crashed);
+  tcase_add_test (c, kept_job_is_explained_across_homes);
   suite_add_tcase (s, c);
   c = tcase_create ("kill");
   tcase_set_timeout (c, 60);
