--- a/src/config.h
+++ b/src/config.h
@@ -54,7 +54,8 @@
 #define MM_DEFAULT_SHARDS 16        /* shards of the jobs of a data centre */
 #define MM_LOG_CALL_TIMEOUT_MS 1000 /* of a call to the log of a shard */
 #define MM_SHARD_TAKE_BURST 3 /* takeover attempts, then wait for a tick */
-#define MM_WITNESS_MS 15000   /* an instance up this long saw earlier owners */
+/* An instance that has been up for longer saw the earlier owners of shards. */
+#define MM_WITNESS_MS 15000
 #define MM_VERIFY_TIMEOUT_MS 300 /* after it, "not run" is not claimed */
 /* Once the member list is unchanged for this long, shards are moved to the
    owners that it gives.  */
@@ -113,11 +114,12 @@
    100 ms (MM_RTO_MAX_MS) after its wait.  */
 #define MM_HOLD_WAIT_LOSSY_MS 60
 #define MM_LOSSY_MS 1000 /* holds stay short after a lost answer */
-/* Between holds while some listed ends are not acknowledged yet.  Ends are
-   seen up to this much later then.  */
+/* Pause between holds while some listed ends are not acknowledged yet.  Ends
+   are seen up to this much later then.  */
 #define MM_HELD_POLL_MS 40
-#define MM_HOLD_RETRY_MS 200     /* between holds without an answer */
-#define MM_HOLD_RETRY_AT_ONCE 3u /* the first retries in a row do not wait */
+#define MM_HOLD_RETRY_MS 200 /* between holds without an answer */
+/* The first retries in a row do not wait.  */
+#define MM_HOLD_RETRY_AT_ONCE 3u
 /* Delay after which ends of an idle upstream are acknowledged.  */
 #define MM_ACK_DELAY_MS 300
 /* Bounds of the timeout of a call to an upstream.  An answer takes about
@@ -137,8 +139,8 @@
 /* After late answers with a common cause, timeouts keep a raised minimum for
    this long, as what delays the answers recurs.  */
 #define MM_RTO_FLOOR_MS 5000
-/* Added to the end of a lease as estimated for the clock of the upstream: 2 %
-   of a lease for a slow clock, and the error of the estimate.  */
+/* Time added to the end of a lease as estimated for the clock of the upstream:
+   2 % of a lease for a slow clock, and the error of the estimate.  */
 #define MM_LEASE_SLACK_MS 60
 /* The monotonic clock of an upstream is slow by no more than this.  */
 #define MM_CLOCK_SLOW_PERCENT 2
@@ -158,8 +160,9 @@
 /* How long the circuit breaker stays open the first time.  */
 #define MM_TRUST_EXCLUDE_MS 1000
 #define MM_TRUST_MAX_DOUBLINGS 3u /* longest: 8 times the first */
-#define MM_SPEED_GAIN 0.2  /* weight of one run in an upstream's slowness */
-#define MM_USUAL_GAIN 0.05 /* weight of one task in the average task size */
+#define MM_SPEED_GAIN 0.2 /* weight of one run in an upstream's slowness */
+/* Weight of one task in the average task size.  */
+#define MM_USUAL_GAIN 0.05
 /* Upstreams whose speeds differ by less count as equally fast, as run time
    estimates are off by up to 40 %.  */
 #define MM_PLACE_SPEED_STEP 0.25
@@ -184,7 +187,8 @@
 /* Links between instances (mm_link, mm_mesh).  */
 /* A link with more unread or unsent bytes than this is closed.  */
 #define MM_LINK_MAX_BYTES (8u << 20)
-#define MM_MESH_BEAT_MS 150 /* longest pause between messages of a side */
+/* Longest pause between the messages of each side of a link.  */
+#define MM_MESH_BEAT_MS 150
 /* A link without a message for this long is closed, and runs here for the
    tasks of that peer are stopped.  That is well before their callers send
    them again, 1,300 ms after their connections broke.  */
@@ -207,15 +211,17 @@
 /* A new instance is assumed to be listed for this long after it became known:
    it is in the list only after it has joined and the list was read.  */
 #define MM_NEIGHBOUR_NEW_MS 5000
-#define MM_MESH_NEEDED_MS 10000 /* a link is kept after it was last needed */
+/* A link is kept for this long after it was last needed.  */
+#define MM_MESH_NEEDED_MS 10000
 #define MM_NEIGHBOURS_CHECK_MS 500 /* longest time between choices */
 
-/* Time over which the usual delay of a link is measured.  */
+/* Time over which the least delay of a link is taken as typical.  */
 #define MM_TRANSIT_WINDOW_MS 30000
 
 /* Jobs and admission (mm_jobs, mm_admission, mm_fleet).  */
 #define MM_MAX_JOB_TASKS 1024u /* tasks in a job; 290 are required */
-/* From caller to instance to upstream and back, with the handling of calls. */
+/* Time from caller to instance to upstream and back, with the handling of
+   calls.  */
 #define MM_OVERHEAD_MS 15
 /* Expected wait while no upstream has an owner in contact: a handover takes at
    most this long.  After the death of an owner it is 1.5 s, which few jobs
@@ -233,7 +239,8 @@
 #define MM_OUT_OF_SIGHT_MS MM_RESEND_MS
 /* Wait of a task in the queue of one owner before it tries another.  */
 #define MM_SPREAD_WAIT_MS 40
-#define MM_GUESS_TASK_MS 250   /* estimated run time until tasks have ended */
+/* Estimated run time of a task until some tasks have ended.  */
+#define MM_GUESS_TASK_MS 250
 #define MM_MEAN_TASK_GAIN 0.02 /* weight of one run in the mean run time */
 #define MM_FLEET_MAX 128       /* owners considered for one task */
 
@@ -275,10 +282,11 @@
 #define MM_LIST_DROP_MS 2500
 /* After this time without a join, the upstreams of an owner are reassigned. */
 #define MM_GROUP_TTL_MS 1500
-#define MM_GROUP_BEAT_MS 300 /* between joins, which renew the membership */
-/* Between joins of a new member that owns no partition yet.  The pause has
-   room for ten store calls of 4 ms and some ticks.  After a TTL no partition
-   is left to wait for, so the fast poll ends.  */
+/* Pause between the joins by which a member renews its membership.  */
+#define MM_GROUP_BEAT_MS 300
+/* Pause between joins of a new member that owns no partition yet.  There is
+   time in it for ten store calls of 4 ms and some ticks.  After a TTL no
+   partition is left to wait for, so the fast poll ends.  */
 #define MM_GROUP_EAGER_MS 40
 #define MM_GROUP_EAGER_FOR_MS (MM_GROUP_TTL_MS + MM_GROUP_BEAT_MS)
 /* A starting instance joins a group once it knows whether its previous
@@ -347,26 +355,30 @@
    on, they are stored this long after the first one.  Most jobs end before,
    with one record.  */
 #define MM_KEPT_PROGRESS_MS 100
-/* Longest wait of a task at an owner; less than MM_GROUP_TTL_MS leaves after
+/* Longest wait of a task at an owner; less than MM_GROUP_TTL_MS minus
    MM_GROUP_SURE_MS.  */
 #define MM_KEPT_START_WITHIN_MS 200
 /* The longest lease on a clock that is 2 % slow, and calls under way.  */
 #define MM_KEPT_LAPSE_MS 1100
-#define MM_KEPT_CENSUS_MS 250   /* between searches for tasks in doubt */
-#define MM_KEPT_ENDED_MS 150000 /* outcomes are kept; 120 s are required */
+#define MM_KEPT_CENSUS_MS 250 /* between searches for tasks in doubt */
+/* The outcomes of kept jobs are kept for this long; 120 s are required.  */
+#define MM_KEPT_ENDED_MS 150000
 /* Homes are no longer looked up this long after they were last used.  */
 #define MM_KEPT_USED_MS 30000
-#define MM_KEPT_HOMES_POLL_MS 1000 /* between reads of the homes */
-#define MM_KEPT_HOMES_EAGER_MS 40  /* while a request waits for its home */
+/* Pause between reads of the homes, and the shorter one while a request waits
+   for its home.  */
+#define MM_KEPT_HOMES_POLL_MS 1000
+#define MM_KEPT_HOMES_EAGER_MS 40
 /* When no home is found within this time, the caller is told to come back,
    which costs it a second.  */
 #define MM_KEPT_FIND_HOME_MS 400
-#define MM_ABSENCE_PAUSE_MS 50 /* between the records of the read barrier */
+/* Pause between records by which the read barrier confirms "no such job".  */
+#define MM_ABSENCE_PAUSE_MS 50
 /* Ends that are not acknowledged are kept this long, which is longer than a
    data centre is usually unreachable.  */
 #define MM_KEPT_END_MS 15000
-/* Between rounds of requests to homes for the jobs whose ends an earlier owner
-   left.  */
+/* Pause between rounds of requests to homes for the jobs whose ends an earlier
+   owner left.  */
 #define MM_KEPT_FOREIGN_MS 100
 
 /* An instance (mm_node).  */
@@ -411,8 +423,9 @@
 #define MM_STREAM_PAGE 100 /* newest records in one answer */
 
 /* Standby for a data centre without instances (mm_datacentres).  */
-#define MM_STANDBY_COUNT 2u   /* instances that serve it */
-#define MM_STANDBY_LOOK_MS 50 /* between checks, which visit all instances */
+#define MM_STANDBY_COUNT 2u /* instances that serve it */
+/* Pause between checks, each of which goes through all instances.  */
+#define MM_STANDBY_LOOK_MS 50
 /* Delay until a standby takes over.  A link that was only reset is back
    within it.  */
 #define MM_STANDBY_AFTER_MS 100
--- a/src/mm_event.c
+++ b/src/mm_event.c
@@ -79,8 +79,8 @@
       "as gone." },
   [MM_EV_GROUP_CHANGED]
   = { "group_changed", RATE_HIGH, "group generation ours leaving",
-      "The store reassigned the partitions of the group; ours is how "
-      "many this instance owns." },
+      "The store reassigned the partitions of the group. ours is how many "
+      "are assigned to this instance, leaving how many it releases." },
   [MM_EV_STANDBY]
   = { "standby", RATE_HIGH, "datacentre closed_ms",
       "The instances of the data centre are gone, and this instance is "
@@ -121,8 +121,8 @@
       "open, and it gets no task for for_ms." },
   [MM_EV_UPSTREAM_TRUSTED]
   = { "upstream_trusted", RATE_HIGH, "upstream",
-      "A task ended well at an upstream whose circuit breaker was half- "
-      "open; the breaker is closed." },
+      "A task ended well at an upstream whose circuit breaker was "
+      "half-open; the breaker is closed." },
   [MM_EV_UPSTREAM_LOST]
   = { "upstream_lost", RATE_HIGH, "upstream verdict tasks why",
       "The upstream does not answer and ran this many tasks. verdict is "
