--- a/daemons/ctl_explain.c
+++ b/daemons/ctl_explain.c
@@ -42,7 +42,7 @@
 {
   mm_explain *x = mm_explain_create (argv[0]);
   int rc = read_files (x, argc - 1, argv + 1);
-  char *story = rc == 0 ? mm_explain_story (x) : NULL;
+  char *story = rc == 0 ? mm_explain_report (x) : NULL;
   if (story)
     fputs (story, stdout);
   else if (rc == 0)
--- a/src/config.h
+++ b/src/config.h
@@ -55,7 +55,7 @@
 #define MM_LOG_CALL_TIMEOUT_MS 1000 /* of a call to the log of a shard */
 #define MM_SHARD_TAKE_BURST 3 /* takeover attempts, then wait for a tick */
 /* An instance that has been up for longer saw the earlier owners of shards. */
-#define MM_WITNESS_MS 15000
+#define MM_WITNESS_UPTIME_MS 15000
 #define MM_VERIFY_TIMEOUT_MS 300 /* after it, "not run" is not claimed */
 /* Once the member list is unchanged for this long, shards are moved to the
    owners that it gives.  */
@@ -135,10 +135,10 @@
 #define MM_CALL_LATE_MS 500 /* an overdue answer is still received */
 /* Late answers of two upstreams within this time have a common cause, such as
    the link or the processor of this instance.  */
-#define MM_RTO_SHARED_MS 1000
+#define MM_RTO_COMMON_CAUSE_MS 1000
 /* After late answers with a common cause, timeouts keep a raised minimum for
    this long, as what delays the answers recurs.  */
-#define MM_RTO_FLOOR_MS 5000
+#define MM_RTO_FLOOR_TTL_MS 5000
 /* Time added to the end of a lease as estimated for the clock of the upstream:
    2 % of a lease for a slow clock, and the error of the estimate.  */
 #define MM_LEASE_SLACK_MS 60
@@ -174,7 +174,7 @@
 #define MM_SUSPECTS_KEEP_MS 600000 /* a crash counts this long */
 /* A lost upstream whose fate is not known is remembered for this long.
    Whether it crashed is known once it is back.  */
-#define MM_SUSPECTS_OPEN_MS 15000
+#define MM_SUSPECTS_OPEN_KEEP_MS 15000
 
 /* The queue of an owner (mm_owner).  */
 /* A pass through the queue ends after so many tasks that do not fit.  */
@@ -226,8 +226,8 @@
 /* Expected wait while no upstream has an owner in contact: a handover takes at
    most this long.  After the death of an owner it is 1.5 s, which few jobs
    can wait.  */
-#define MM_OWNER_GAP_MS 500
-#define MM_RETRY_AFTER_NO_ROOM_S 1 /* no free capacity in time */
+#define MM_NO_OWNER_WAIT_MS 500
+#define MM_RETRY_AFTER_NO_CAPACITY_S 1 /* no free capacity in time */
 /* Answers are of use up to 3 times the objective of their queue.  */
 #define MM_LATE_FACTOR 3.0
 /* Callers send a job again this long after their connection broke.  */
@@ -241,19 +241,19 @@
 #define MM_OWNER_WAIT_MS 40
 /* Estimated run time of a task until some tasks have ended.  */
 #define MM_TASK_ESTIMATE_MS 250
-#define MM_MEAN_TASK_GAIN 0.02 /* weight of one run in the mean run time */
-#define MM_FLEET_MAX 128       /* owners considered for one task */
+#define MM_MEAN_TASK_GAIN 0.02  /* weight of one run in the mean run time */
+#define MM_FLEET_MAX_OWNERS 128 /* owners considered for one task */
 
 /* The platform's store (mm_stream, mm_partitions, mm_members, mm_node).  */
 #define MM_STORE_TIMEOUT_MS 1500 /* of a call; a slow store takes 0.4 s */
 #define MM_STORE_RETRY_MS 250    /* after a call that failed */
 /* Reads of a stream are split into chunks that occupy the link of this
    instance for this long each, as calls to upstreams use the same link.  */
-#define MM_STREAM_PIECE_MS 30
-#define MM_STREAM_PIECE_MIN_BYTES (8u << 10)
+#define MM_STREAM_CHUNK_MS 30
+#define MM_STREAM_CHUNK_MIN_BYTES (8u << 10)
 /* The store sends no more than this in one answer.  */
 #define MM_STORE_ANSWER_MAX_BYTES (1u << 20)
-#define MM_STORE_ANSWER_USUAL_BYTES (128u << 10)
+#define MM_STORE_ANSWER_TYPICAL_BYTES (128u << 10)
 /* A reader that is more than this many times the number of keys behind reads
    the newest record of each key again.  These come with some text around
    each, and below this factor the missed records are less to read.  */
@@ -275,20 +275,20 @@
 /* After a full read, an instance reads the list by itself for this long.  Each
    upstream writes to the list more often than that.  */
 #define MM_LIST_OWN_READS_MS 5000
-#define MM_STREAM_TOUCH_MS 1500 /* in contact this long after an answer */
-#define MM_LIST_BEHIND_MS 3000  /* logged when not read to its end for this */
+#define MM_STREAM_CONTACT_MS 1500 /* in contact this long after an answer */
+#define MM_LIST_BEHIND_MS 3000 /* logged when not read to its end for this */
 /* An entry that is missing for longer is dropped.  Entries that were missing
    because of an outage come back within 2 s.  */
 #define MM_LIST_DROP_MS 2500
 /* After this time without a join, the upstreams of an owner are reassigned. */
 #define MM_GROUP_TTL_MS 1500
 /* Pause between the joins by which a member renews its membership.  */
-#define MM_GROUP_BEAT_MS 300
+#define MM_GROUP_HEARTBEAT_MS 300
 /* Pause between joins of a new member that owns no partition yet.  There is
    time in it for ten store calls of 4 ms and some ticks.  After a TTL no
    partition is left to wait for, so the fast poll ends.  */
 #define MM_GROUP_FAST_POLL_MS 40
-#define MM_GROUP_FAST_POLL_FOR_MS (MM_GROUP_TTL_MS + MM_GROUP_BEAT_MS)
+#define MM_GROUP_FAST_POLL_FOR_MS (MM_GROUP_TTL_MS + MM_GROUP_HEARTBEAT_MS)
 /* A starting instance joins a group once it knows whether its previous
    incarnation is still a member; after the partitions are reassigned, the
    store may not name that one any more.  The instance waits for this long at
@@ -296,7 +296,7 @@
 #define MM_PREDECESSORS_WAIT_MS 100
 /* For this long after a confirmed join, no other instance owns the partitions
    of this one.  The rest of the TTL is for calls that are under way.  */
-#define MM_GROUP_SURE_MS 1000
+#define MM_GROUP_CONFIRMED_MS 1000
 #define MM_MEMBERS_POLL_MS 3000   /* between reads of the list of instances */
 #define MM_MEMBERS_FIRST_POLLS 4u /* the number of first reads at a start */
 #define MM_MEMBERS_FIRST_POLL_MS 100 /* between these */
@@ -310,9 +310,9 @@
 /* An instance that lost an upstream waits this long for the request of the
    next owner, which learns of the upstream with its next call to the store at
    the latest.  */
-#define MM_ORPHAN_MS 400
-#define MM_HANDOVER_MARGIN_MS 200 /* the last task may be this late */
-#define MM_ESTIMATE_ERROR 1.4     /* declared run times are off by 40 % */
+#define MM_ORPHAN_TIMEOUT_MS 400
+#define MM_HANDOVER_MARGIN_MS 200    /* the last task may be this late */
+#define MM_ESTIMATE_ERROR_FACTOR 1.4 /* declared run times are off by 40 % */
 /* An instance that was stalled for longer than this starts none of the tasks
    it had, as callers may have sent their jobs again elsewhere.  */
 #define MM_STALL_MS 700
@@ -356,7 +356,7 @@
    with one record.  */
 #define MM_KEPT_PROGRESS_DELAY_MS 100
 /* Longest wait of a task at an owner; less than MM_GROUP_TTL_MS minus
-   MM_GROUP_SURE_MS.  */
+   MM_GROUP_CONFIRMED_MS.  */
 #define MM_KEPT_START_WITHIN_MS 200
 /* The longest lease on a clock that is 2 % slow, and calls under way.  */
 #define MM_KEPT_LEASE_LAPSE_MS 1100
@@ -376,7 +376,7 @@
 #define MM_READ_BARRIER_PAUSE_MS 50
 /* Ends that are not acknowledged are kept this long, which is longer than a
    data centre is usually unreachable.  */
-#define MM_KEPT_END_MS 15000
+#define MM_UNACKED_END_TTL_MS 15000
 /* Pause between rounds of requests to homes for the jobs whose ends an earlier
    owner left.  */
 #define MM_KEPT_FOREIGN_PAUSE_MS 100
@@ -389,7 +389,7 @@
 #define MM_DEFAULT_LINK_MBPS 1000.0
 #define MM_RECONCILE_MS 500 /* longest pause between checks of ownership */
 
-#define MM_MAX_PATIENCE_MS 3600000 /* longest caller timeout */
+#define MM_MAX_CALLER_TIMEOUT_MS 3600000 /* longest caller timeout */
 #define MM_STATE_MAX_BODY_BYTES 4096
 #define MM_LEAVE_CHECK_MS 50 /* between checks of whether to exit */
 
--- a/src/mm_admission.c
+++ b/src/mm_admission.c
@@ -81,10 +81,10 @@
   if (load->places == 0)
     {
       /* During a handover no owner reports the upstreams' capacity for up to
-         MM_OWNER_GAP_MS.  */
-      a.wait_ms = MM_OWNER_GAP_MS;
+         MM_NO_OWNER_WAIT_MS.  */
+      a.wait_ms = MM_NO_OWNER_WAIT_MS;
       a.take = a.wait_ms <= slack_ms;
-      a.retry_after_s = MM_RETRY_AFTER_NO_ROOM_S;
+      a.retry_after_s = MM_RETRY_AFTER_NO_CAPACITY_S;
       return a;
     }
   double shortfall = (double)(ahead - load->free);
--- a/src/mm_datacentres.c
+++ b/src/mm_datacentres.c
@@ -130,8 +130,9 @@
 static bool
 is_chosen_standby (const mm_datacentres *dcs, const membership *m)
 {
-  mm_mesh_peer_capacity peers[MM_FLEET_MAX];
-  size_t n = mm_mesh_peer_capacities (dcs->mesh, "", peers, MM_FLEET_MAX);
+  mm_mesh_peer_capacity peers[MM_FLEET_MAX_OWNERS];
+  size_t n
+      = mm_mesh_peer_capacities (dcs->mesh, "", peers, MM_FLEET_MAX_OWNERS);
   uint64_t own = rank_of (dcs->member, m->datacentre);
   uint32_t n_before = 0;
   for (size_t i = 0; i < n; i++)
@@ -296,7 +297,7 @@
 bool
 mm_datacentres_confirmed (const mm_datacentres *dcs)
 {
-  mm_time_ms oldest_ms = mm_clock_now_ms () - MM_GROUP_SURE_MS;
+  mm_time_ms oldest_ms = mm_clock_now_ms () - MM_GROUP_CONFIRMED_MS;
   for (size_t i = 0; i < dcs->n; i++)
     if (dcs->memberships[i].partitions
         && mm_partitions_confirmed_ms (dcs->memberships[i].partitions)
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -334,7 +334,8 @@
 /* Guards against jobs that every instance served unrecorded in an outage
    and took with them when all died in it: nobody is left who saw the
    outage.  Vanished owners' shards are taken within seconds, so whoever
-   has been up for MM_WITNESS_MS was there in the earlier owner's time.  */
+   has been up for MM_WITNESS_UPTIME_MS was there in the earlier owner's time.
+ */
 static bool
 is_witnessed (void *ctx)
 {
@@ -342,7 +343,7 @@
   int64_t oldest = e->started_wall_ms;
   if (e->peers_started_wall_ms)
     oldest = MIN (oldest, e->peers_started_wall_ms);
-  return mm_clock_wall_ms () - oldest > MM_WITNESS_MS;
+  return mm_clock_wall_ms () - oldest > MM_WITNESS_UPTIME_MS;
 }
 
 static bool
--- a/src/mm_explain.c
+++ b/src/mm_explain.c
@@ -407,14 +407,14 @@
 }
 
 /**
- * mm_explain_story() - format the report on the job.
+ * mm_explain_report() - format the report on the job.
  * @x: the report, after all lines were added.
  *
  * Return: the lines in order of time, then the causes of its answers; free
  * with g_free().  NULL when no line has the id of the job.
  */
 char *
-mm_explain_story (mm_explain *x)
+mm_explain_report (mm_explain *x)
 {
   g_ptr_array_sort (x->lines, by_time);
   scope s = scope_of (x);
--- a/src/mm_explain.h
+++ b/src/mm_explain.h
@@ -14,6 +14,6 @@
 void mm_explain_add (mm_explain *x, const char *source, const char *line);
 /* Returns the lines in order of time, then the causes; free with g_free().
    NULL when no line has the id of the job.  */
-char *mm_explain_story (mm_explain *x);
+char *mm_explain_report (mm_explain *x);
 
 #endif /* MM_EXPLAIN_H */
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -83,13 +83,13 @@
   out[0].room = mm_owner_report (f->owner, service);
   return 1
          + mm_mesh_peer_capacities (f->mesh, service, out + 1,
-                                    MM_FLEET_MAX - 1);
+                                    MM_FLEET_MAX_OWNERS - 1);
 }
 
 mm_load
 mm_fleet_load (const mm_fleet *f, const char *service, uint32_t priority)
 {
-  mm_mesh_peer_capacity owners[MM_FLEET_MAX];
+  mm_mesh_peer_capacity owners[MM_FLEET_MAX_OWNERS];
   size_t n = list_owners (f, service, owners);
   mm_load load = { .mean_task_ms = (mm_time_ms)f->mean_task_ms };
   double known_places = 0, run_ms_sum = 0;
@@ -165,8 +165,8 @@
                  const char *returned_by, mm_work_done done, void *ctx)
 {
   record_declared_run_time (f, t->estimate_ms);
-  mm_mesh_peer_capacity owners[MM_FLEET_MAX];
-  mm_dispatch_candidate choices[MM_FLEET_MAX];
+  mm_mesh_peer_capacity owners[MM_FLEET_MAX_OWNERS];
+  mm_dispatch_candidate choices[MM_FLEET_MAX_OWNERS];
   size_t n = list_owners (f, t->service, owners);
   for (size_t i = 0; i < n; i++)
     {
--- a/src/mm_home_directory.c
+++ b/src/mm_home_directory.c
@@ -155,7 +155,7 @@
     return;
   /* Poll fast while homes are being assigned: until they are known, every
      request about a kept job is refused.  */
-  mm_time_ms pause_ms = !h->complete      ? MM_GROUP_BEAT_MS
+  mm_time_ms pause_ms = !h->complete      ? MM_GROUP_HEARTBEAT_MS
                         : h->last_used_ms ? MM_KEPT_HOMES_POLL_MS
                                           : MM_MEMBERS_POLL_MS;
   h->poll_due_ms = now + pause_ms;
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -166,9 +166,9 @@
 give_up (job *b, const char *why)
 {
   if (b->dispatched)
-    answer (b, MM_ANSWER_GIVEN_UP, why, MM_RETRY_AFTER_NO_ROOM_S);
+    answer (b, MM_ANSWER_GIVEN_UP, why, MM_RETRY_AFTER_NO_CAPACITY_S);
   else
-    answer (b, MM_ANSWER_REFUSED, why, MM_RETRY_AFTER_NO_ROOM_S);
+    answer (b, MM_ANSWER_REFUSED, why, MM_RETRY_AFTER_NO_CAPACITY_S);
 }
 
 static void on_task_ended (void *ctx, const mm_work_result *r);
@@ -210,9 +210,9 @@
           .due_within_ms = MAX (b->on_time_start_ms - now, 0) };
   /* The task waits in one owner's queue for a short time only and is then
      placed again, since capacity may have become free at another owner.  */
-  r.start_within_ms
-      = CLAMP (b->latest_start_ms - now, 1,
-               MM_WITH_SPREAD_ANEW ? MM_OWNER_WAIT_MS : MM_MAX_PATIENCE_MS);
+  r.start_within_ms = CLAMP (b->latest_start_ms - now, 1,
+                             MM_WITH_SPREAD_ANEW ? MM_OWNER_WAIT_MS
+                                                 : MM_MAX_CALLER_TIMEOUT_MS);
   t->dispatched_ms = now;
   t->ticket
       = mm_fleet_submit (b->jobs->fleet, &r, t->returned_by, on_task_ended, t);
@@ -376,7 +376,7 @@
       if (runs_once (t))
         answer (b, MM_ANSWER_FAILED, "a task is out of sight", 0);
       else if (!schedule_redispatch (t, now))
-        answer (b, MM_ANSWER_UNKNOWN, r->why, MM_RETRY_AFTER_NO_ROOM_S);
+        answer (b, MM_ANSWER_UNKNOWN, r->why, MM_RETRY_AFTER_NO_CAPACITY_S);
       break;
     }
 }
@@ -494,7 +494,7 @@
       return add_caller (b, answered, ctx);
     }
   mm_answer refusal = { .kind = MM_ANSWER_REFUSED,
-                        .retry_after_s = MM_RETRY_AFTER_NO_ROOM_S };
+                        .retry_after_s = MM_RETRY_AFTER_NO_CAPACITY_S };
   refusal.why = route->needs_advice ? "queues with advice are not served"
                                     : mm_submission_unsupported_reason (s);
   mm_load load = mm_fleet_load (j->fleet, route->service, route->priority);
@@ -583,7 +583,7 @@
   GList *jobs = g_hash_table_get_values (j->by_id);
   for (GList *l = jobs; l; l = l->next)
     if (((job *)l->data)->deadline_ms < deadline_before_ms)
-      answer (l->data, kind, why, MM_RETRY_AFTER_NO_ROOM_S);
+      answer (l->data, kind, why, MM_RETRY_AFTER_NO_CAPACITY_S);
   g_list_free (jobs);
 }
 
--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -127,7 +127,7 @@
   uint64_t epoch;
   mm_time_ms age_ms
       = mm_clock_now_ms () - mm_partitions_confirmed_ms (k->partitions);
-  return age_ms < MM_GROUP_SURE_MS
+  return age_ms < MM_GROUP_CONFIRMED_MS
          && mm_partitions_state (k->partitions, partition, &epoch)
                 == MM_PARTITION_OWNED;
 }
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -257,7 +257,7 @@
   if (l->complete || !l->contact_since_ms)
     return;
   mm_time_ms now = mm_clock_now_ms ();
-  if (now - mm_stream_known_ms (l->stream) >= MM_STREAM_TOUCH_MS)
+  if (now - mm_stream_known_ms (l->stream) >= MM_STREAM_CONTACT_MS)
     l->contact_since_ms = now;
   l->complete = now - l->contact_since_ms >= MM_LIST_DROP_MS;
 }
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -135,7 +135,7 @@
 static mm_time_ms
 caller_timeout_of (const mm_job *job)
 {
-  mm_time_ms earliest_ms = MM_MAX_PATIENCE_MS;
+  mm_time_ms earliest_ms = MM_MAX_CALLER_TIMEOUT_MS;
   for (uint32_t i = 0; i < job->n_tasks; i++)
     earliest_ms = MIN (earliest_ms, job->tasks[i].deadline_ms);
   return earliest_ms;
@@ -221,12 +221,12 @@
     case MM_KEPT_BUSY:
       mm_front_error (r->req, 503, MM_ERROR_OVERLOADED,
                       "not taken, come back later",
-                      MAX (k->retry_after_s, MM_RETRY_AFTER_NO_ROOM_S));
+                      MAX (k->retry_after_s, MM_RETRY_AFTER_NO_CAPACITY_S));
       break;
     case MM_KEPT_IN_DOUBT:
       mm_front_error (r->req, 502, MM_ERROR_PLATFORM,
                       "whether it is stored is not known: send it again",
-                      MM_RETRY_AFTER_NO_ROOM_S);
+                      MM_RETRY_AFTER_NO_CAPACITY_S);
       break;
     }
   g_free (r->name);
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -324,7 +324,7 @@
                                mm_time_ms now)
 {
   double end_ms = (double)now
-                  + run_ms * MM_ESTIMATE_ERROR
+                  + run_ms * MM_ESTIMATE_ERROR_FACTOR
                         * MAX (mm_exec_slowness (owned->exec), 1.0);
   return !owned->frozen
          || (MM_WITH_HANDOVER_RUNS && run_ms > 0
@@ -553,15 +553,15 @@
   o->confirmed = confirmed;
 }
 
-/* Drops ends that were not acknowledged for MM_KEPT_END_MS, so that they do
-   not accumulate at the upstreams.  */
+/* Drops ends that were not acknowledged for MM_UNACKED_END_TTL_MS, so that
+   they do not accumulate at the upstreams.  */
 static void
 drop_expired_ends (mm_exec *x, mm_time_ms now)
 {
   size_t n;
   const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
   for (size_t i = n; i-- > 0;)
-    if (now - h[i].since_ms >= MM_KEPT_END_MS)
+    if (now - h[i].since_ms >= MM_UNACKED_END_TTL_MS)
       mm_exec_ack_end (x, i);
 }
 
--- a/src/mm_owner_adopt.c
+++ b/src/mm_owner_adopt.c
@@ -59,7 +59,7 @@
  * @why: reported for tasks that cannot be transferred.
  *
  * The other tasks are kept as orphans until the next owner requests their
- * runs, for MM_ORPHAN_MS at most.
+ * runs, for MM_ORPHAN_TIMEOUT_MS at most.
  */
 void
 mm_owner_orphan_all (mm_owner *o, mm_owned_upstream *owned, const char *why)
@@ -171,7 +171,7 @@
   gpointer v;
   g_hash_table_iter_init (&it, o->orphans);
   while (g_hash_table_iter_next (&it, NULL, &v))
-    if (now - ((mm_work *)v)->orphaned_ms >= MM_ORPHAN_MS)
+    if (now - ((mm_work *)v)->orphaned_ms >= MM_ORPHAN_TIMEOUT_MS)
       return v;
   return NULL;
 }
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -175,7 +175,7 @@
 {
   bool fast_poll = !mm_partitions_owns_any (set)
                    && now - set->created_ms < MM_GROUP_FAST_POLL_FOR_MS;
-  return fast_poll ? MM_GROUP_FAST_POLL_MS : MM_GROUP_BEAT_MS;
+  return fast_poll ? MM_GROUP_FAST_POLL_MS : MM_GROUP_HEARTBEAT_MS;
 }
 
 void
--- a/src/mm_rto.c
+++ b/src/mm_rto.c
@@ -77,8 +77,8 @@
  * @now_ms: the current time.
  *
  * One late answer may be due to a slow upstream. Late answers of two upstreams
- * within MM_RTO_SHARED_MS have a cause that both share, such as our link or
- * our processor. For MM_RTO_FLOOR_MS every timeout is then at least
+ * within MM_RTO_COMMON_CAUSE_MS have a cause that both share, such as our link
+ * or our processor. For MM_RTO_FLOOR_TTL_MS every timeout is then at least
  * LATE_MARGIN times @took_ms, capped at MM_RTO_LATE_MAX_MS.
  */
 void
@@ -86,7 +86,7 @@
                    mm_time_ms now_ms)
 {
   bool shared = f->last_upstream && f->last_upstream != upstream
-                && now_ms - f->last_late_ms < MM_RTO_SHARED_MS;
+                && now_ms - f->last_late_ms < MM_RTO_COMMON_CAUSE_MS;
   f->last_upstream = upstream;
   f->last_late_ms = now_ms;
   double min_timeout_ms
@@ -100,6 +100,7 @@
 mm_time_ms
 mm_rto_floor_ms (const mm_rto_floor *f, mm_time_ms now_ms)
 {
-  bool in_force = f->min_timeout_ms && now_ms - f->raised_ms < MM_RTO_FLOOR_MS;
+  bool in_force
+      = f->min_timeout_ms && now_ms - f->raised_ms < MM_RTO_FLOOR_TTL_MS;
   return in_force && MM_WITH_RTO ? f->min_timeout_ms : 0;
 }
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -56,8 +56,8 @@
 {
   if (port->link_mbps <= 0 || kind == MM_STREAM_CONFIG)
     return MM_STORE_ANSWER_MAX_BYTES;
-  double bytes = port->link_mbps * 1000 / 8 * MM_STREAM_PIECE_MS;
-  return (size_t)CLAMP (bytes, MM_STREAM_PIECE_MIN_BYTES,
+  double bytes = port->link_mbps * 1000 / 8 * MM_STREAM_CHUNK_MS;
+  return (size_t)CLAMP (bytes, MM_STREAM_CHUNK_MIN_BYTES,
                         MM_STORE_ANSWER_MAX_BYTES);
 }
 
@@ -203,8 +203,9 @@
 static mm_time_ms
 timeout_ms (const mm_stream *s)
 {
-  size_t usual = s->tailing ? MIN (s->piece_bytes, MM_STORE_ANSWER_USUAL_BYTES)
-                            : MM_STORE_ANSWER_USUAL_BYTES;
+  size_t usual = s->tailing
+                     ? MIN (s->piece_bytes, MM_STORE_ANSWER_TYPICAL_BYTES)
+                     : MM_STORE_ANSWER_TYPICAL_BYTES;
   size_t bytes
       = MIN (usual << MIN (s->failures, 8u), MM_STORE_ANSWER_MAX_BYTES);
   mm_time_ms base_ms = s->tailing ? s->wait_ms + MM_STORE_TIMEOUT_MS / 2
@@ -263,7 +264,8 @@
 bool
 mm_stream_in_touch (const mm_stream *s)
 {
-  return s->in_touch || mm_clock_now_ms () - s->known_ms < MM_STREAM_TOUCH_MS;
+  return s->in_touch
+         || mm_clock_now_ms () - s->known_ms < MM_STREAM_CONTACT_MS;
 }
 
 mm_time_ms
--- a/src/mm_suspects.c
+++ b/src/mm_suspects.c
@@ -347,8 +347,9 @@
 static bool
 is_expired (const loss *l, mm_time_ms now)
 {
-  mm_time_ms keep_ms = l->verdict == MM_LOSS_CRASHED ? MM_SUSPECTS_KEEP_MS
-                                                     : MM_SUSPECTS_OPEN_MS;
+  mm_time_ms keep_ms = l->verdict == MM_LOSS_CRASHED
+                           ? MM_SUSPECTS_KEEP_MS
+                           : MM_SUSPECTS_OPEN_KEEP_MS;
   return now - l->verdict_ms >= keep_ms;
 }
 
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -44,10 +44,10 @@
 START_TEST (job_waits_for_a_new_owner_only_if_it_has_slack)
 {
   mm_load load = { .mean_task_ms = 200 };
-  mm_admission a = mm_admission_decide (&load, 1, MM_OWNER_GAP_MS - 1);
+  mm_admission a = mm_admission_decide (&load, 1, MM_NO_OWNER_WAIT_MS - 1);
   ck_assert (!a.take);
   ck_assert_uint_ge (a.retry_after_s, 1);
-  a = mm_admission_decide (&load, 1, MM_OWNER_GAP_MS);
+  a = mm_admission_decide (&load, 1, MM_NO_OWNER_WAIT_MS);
   ck_assert (a.take);
 }
 END_TEST
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -430,7 +430,7 @@
   /* The store is unreachable again, for longer than it was reachable.  */
   mm_stream_pause (mm_list_share_stream (fx->list_share[3]));
   fx->unanswered = 3;
-  run_for (fx, MM_STREAM_TOUCH_MS + MM_LIST_DROP_MS);
+  run_for (fx, MM_STREAM_CONTACT_MS + MM_LIST_DROP_MS);
   ck_assert (!mm_list_share_complete (fx->list_share[3]));
   fx->unanswered = -1;
   run_for (fx, 2 * MM_LIST_DROP_MS);
--- a/tests/test_logs.c
+++ b/tests/test_logs.c
@@ -136,7 +136,7 @@
   mm_explain *x = mm_explain_create (job);
   for (; *lines; lines += 2)
     mm_explain_add (x, lines[0], lines[1]);
-  char *story = mm_explain_story (x);
+  char *story = mm_explain_report (x);
   mm_explain_destroy (x);
   return story;
 }
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -16,7 +16,7 @@
 #define NODES 3
 #define CALL_MS 4
 /* Two hand-overs, one after the other, that nobody cuts short.  */
-#define HANDOVERS_MS (2 * (MM_HANDOVER_MS + MM_GROUP_BEAT_MS))
+#define HANDOVERS_MS (2 * (MM_HANDOVER_MS + MM_GROUP_HEARTBEAT_MS))
 
 static mm_time_ms now_ms;
 
@@ -786,7 +786,7 @@
   thin_store k = { .end = 5 };
   reading r = { 0 };
   mm_stream *s = thin_stream (&k, &r, 900);
-  ck_assert_uint_le (k.max_bytes * 8 / 2000, 2 * MM_STREAM_PIECE_MS);
+  ck_assert_uint_le (k.max_bytes * 8 / 2000, 2 * MM_STREAM_CHUNK_MS);
   mm_stream_pause (s);
   uint32_t calls = k.tail_calls;
   k.end += k.max_bytes / THIN_RECORD_BYTES + 10;
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -698,9 +698,10 @@
   mm_owner_acknowledge_end (fx.owner, &id, mm_run_hash ("a", 1));
   fixture_run (&fx, 1000);
   ck_assert_uint_eq (fake_unacked_ends (a), 0);
-  /* An end that is never acknowledged is dropped after MM_KEPT_END_MS.  */
+  /* An end that is never acknowledged is dropped after MM_UNACKED_END_TTL_MS.
+   */
   submit_kept (&fx, &r, "kept", 1, 100);
-  fixture_run (&fx, MM_KEPT_END_MS + 2000);
+  fixture_run (&fx, MM_UNACKED_END_TTL_MS + 2000);
   ck_assert_uint_eq (fake_unacked_ends (a), 0);
   fixture_destroy (&fx);
 }
@@ -871,7 +872,7 @@
       g_hash_table_destroy (ids);
       if (answered)
         mm_owner_forget_job (fx.owner, "orphan");
-      fixture_run (&fx, MM_KEPT_END_MS - 2000);
+      fixture_run (&fx, MM_UNACKED_END_TTL_MS - 2000);
       ck_assert_uint_eq (fake_unacked_ends (a), answered ? 0 : 1);
       fixture_run (&fx, 4000);
       ck_assert_uint_eq (fake_unacked_ends (a), 0);
@@ -1029,7 +1030,7 @@
   ck_assert_int_eq (mm_rto_floor_ms (&f, 3000), 0);
   mm_rto_floor_late (&f, &b, 200, 3000);
   ck_assert_int_ge (mm_rto_floor_ms (&f, 3000), 200);
-  ck_assert_int_eq (mm_rto_floor_ms (&f, 3000 + MM_RTO_FLOOR_MS), 0);
+  ck_assert_int_eq (mm_rto_floor_ms (&f, 3000 + MM_RTO_FLOOR_TTL_MS), 0);
 }
 END_TEST
 
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -256,7 +256,7 @@
   mm_owner_add_upstream (s.next, fake_info (a), 6);
   succession_run (&s, MM_ADOPT_TIMEOUT_MS + 100);
   ck_assert_uint_eq (fake_running (a), 0);
-  succession_run (&s, MM_HOLD_WAIT_MS + MM_ORPHAN_MS + 50);
+  succession_run (&s, MM_HOLD_WAIT_MS + MM_ORPHAN_TIMEOUT_MS + 50);
   ck_assert_uint_eq (r.answers, 1);
   ck_assert_int_eq (r.how, MM_END_STOPPED);
   assert_invariants (&s.fx);
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -112,7 +112,7 @@
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_RUN);
       record_loss (s, number + 2, MM_LOSS_OPEN, &id, 1); /* never answers */
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_ISOLATE);
-      now_ms += MM_SUSPECTS_OPEN_MS;
+      now_ms += MM_SUSPECTS_OPEN_KEEP_MS;
       mm_suspects_tick (s);
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_RUN);
     }
