--- a/daemons/ctl.c
+++ b/daemons/ctl.c
@@ -1,4 +1,4 @@
-/* ctl: what masticctl's commands share.  */
+/* ctl: functions that masticctl's commands share.  */
 #include "ctl.h"
 
 #include <stdio.h>
@@ -7,7 +7,7 @@
 const char *ctl_entry_url = "http://127.0.0.1:7100";
 
 int
-ctl_fail (GError *err)
+ctl_print_error (GError *err)
 {
   fprintf (stderr, "masticctl: %s: %s\n", mm_error_code_name (err->code),
            err->message);
@@ -18,24 +18,25 @@
 int
 ctl_usage (void)
 {
-  fprintf (stderr,
-           "Usage: masticctl [--platform URL] [--entry URL] COMMAND ...\n"
-           "  job submit FILE\n"
-           "  config publish BASE [SITE=OVERLAY]... [--wait-ms N]\n"
-           "  config show\n"
-           "  status [--json]\n"
-           "  dump HOST:PORT\n"
-           "  queues set FILE        what instances serve (JSON)\n"
-           "  explain ID [FILE]...   one request's story, from the logs of\n"
-           "                         several instances (or standard input)\n"
-           "  top HOST:PORT...       live metrics of instances\n"
-           "  events                 the events that instances log\n"
-           "  fault HOST:PORT JSON   (platform: /v1/faults, upstream: "
-           "/v1/mode)\n"
-           "  bench [--jobs N] [--tasks N] [--concurrency N] [--run-ms N]\n"
-           "        [--deadline-ms N] [--non-idempotent F] [--seed N]\n"
-           "        [--entries URL,URL]\n"
-           "        [--site lima|buenos-aires --seconds N [--scale F]]\n");
+  fprintf (
+      stderr,
+      "Usage: masticctl [--platform URL] [--entry URL] COMMAND ...\n"
+      "  job submit FILE\n"
+      "  config publish BASE [SITE=OVERLAY]... [--wait-ms N]\n"
+      "  config show\n"
+      "  status [--json]\n"
+      "  dump HOST:PORT\n"
+      "  queues set FILE        what instances serve (JSON)\n"
+      "  explain ID [FILE]...   why a job ended as it did, from the logs\n"
+      "                         of several instances (or standard input)\n"
+      "  top HOST:PORT...       live metrics of instances\n"
+      "  events                 list the events that instances log\n"
+      "  fault HOST:PORT JSON   (platform: /v1/faults, upstream: "
+      "/v1/mode)\n"
+      "  bench [--jobs N] [--tasks N] [--concurrency N] [--run-ms N]\n"
+      "        [--deadline-ms N] [--non-idempotent F] [--seed N]\n"
+      "        [--entries URL,URL]\n"
+      "        [--site lima|buenos-aires --seconds N [--scale F]]\n");
   return 2;
 }
 
@@ -55,7 +56,7 @@
 }
 
 char *
-ctl_read (const char *file, GError **error)
+ctl_read_file (const char *file, GError **error)
 {
   char *text = NULL;
   GError *err = NULL;
@@ -68,15 +69,15 @@
 }
 
 int
-ctl_send (const char *method, const char *url, const char *text,
-          int64_t timeout_ms)
+ctl_request (const char *method, const char *url, const char *text,
+             int64_t timeout_ms)
 {
   GError *err = NULL;
   long status = 0;
   char *answer
       = mm_http_call_sync (method, url, text, timeout_ms, &status, &err);
   if (!answer)
-    return ctl_fail (err);
+    return ctl_print_error (err);
   printf ("%s\n", answer);
   g_free (answer);
   return status == 200 ? 0 : 1;
@@ -90,13 +91,13 @@
   g_free (url);
   if (!body)
     return NULL;
-  cJSON *o = cJSON_Parse (body);
+  cJSON *list = cJSON_Parse (body);
   g_free (body);
-  return o;
+  return list;
 }
 
 const char *
-ctl_text (const cJSON *o, const char *key)
+ctl_json_text (const cJSON *o, const char *key)
 {
   const char *t = cJSON_GetStringValue (cJSON_GetObjectItem (o, key));
   return t ? t : "-";
--- a/daemons/ctl_bench.c
+++ b/daemons/ctl_bench.c
@@ -1,4 +1,6 @@
-/* masticctl bench: load runs, with the waste they caused.  */
+/* masticctl bench: runs a load, and counts the work that was wasted: retries,
+   answers for jobs that had already failed or ended, and tasks sent again that
+   had not run.  */
 #include "ctl.h"
 
 #include <getopt.h>
@@ -11,22 +13,22 @@
   char *url = g_strdup_printf ("%s/v1/state", entry);
   char *body = ctl_get (url, NULL);
   g_free (url);
-  cJSON *o = cJSON_Parse (body ? body : "");
+  cJSON *state = cJSON_Parse (body ? body : "");
   g_free (body);
-  const cJSON *c
-      = cJSON_GetObjectItem (cJSON_GetObjectItem (o, "counters"), name);
-  int64_t v = cJSON_IsNumber (c) ? (int64_t)c->valuedouble : 0;
-  cJSON_Delete (o);
-  return v;
+  const cJSON *counter
+      = cJSON_GetObjectItem (cJSON_GetObjectItem (state, "counters"), name);
+  int64_t value = cJSON_IsNumber (counter) ? (int64_t)counter->valuedouble : 0;
+  cJSON_Delete (state);
+  return value;
 }
 
 static int64_t
 sum_counter (char **entries, const char *name)
 {
-  int64_t n = 0;
+  int64_t sum = 0;
   for (char **e = entries; *e; e++)
-    n += entry_counter (*e, name);
-  return n;
+    sum += entry_counter (*e, name);
+  return sum;
 }
 
 static const char *const waste_counters[]
@@ -35,17 +37,17 @@
 int
 ctl_bench (int argc, char **argv)
 {
-  mm_bench_plan p = { .jobs = 20,
-                      .tasks = 50,
-                      .concurrency = 4,
-                      .run_ms = 100,
-                      .deadline_ms = 10000,
-                      .non_idempotent = 0.1,
-                      .seed = 1,
-                      .max_ms = 120000,
-                      .scale = 1 };
+  mm_bench_plan plan = { .jobs = 20,
+                         .tasks = 50,
+                         .concurrency = 4,
+                         .run_ms = 100,
+                         .deadline_ms = 10000,
+                         .non_idempotent = 0.1,
+                         .seed = 1,
+                         .max_ms = 120000,
+                         .scale = 1 };
   const char *entries = ctl_entry_url;
-  static const struct option opts[]
+  static const struct option options[]
       = { { "jobs", required_argument, NULL, 'j' },
           { "tasks", required_argument, NULL, 't' },
           { "concurrency", required_argument, NULL, 'c' },
@@ -60,81 +62,87 @@
           { NULL, 0, NULL, 0 } };
   int c;
   optind = 1;
-  while ((c = getopt_long (argc, argv, "j:t:c:r:d:n:s:e:S:T:x:", opts, NULL))
-         != -1)
+  while (
+      (c = getopt_long (argc, argv, "j:t:c:r:d:n:s:e:S:T:x:", options, NULL))
+      != -1)
     switch (c)
       {
       case 'j':
-        p.jobs = (uint32_t)atoi (optarg);
+        plan.jobs = (uint32_t)atoi (optarg);
         break;
       case 't':
-        p.tasks = (uint32_t)atoi (optarg);
+        plan.tasks = (uint32_t)atoi (optarg);
         break;
       case 'c':
-        p.concurrency = (uint32_t)atoi (optarg);
+        plan.concurrency = (uint32_t)atoi (optarg);
         break;
       case 'r':
-        p.run_ms = atoi (optarg);
+        plan.run_ms = atoi (optarg);
         break;
       case 'd':
-        p.deadline_ms = atoi (optarg);
+        plan.deadline_ms = atoi (optarg);
         break;
       case 'n':
-        p.non_idempotent = atof (optarg);
+        plan.non_idempotent = atof (optarg);
         break;
       case 's':
-        p.seed = (uint32_t)atoi (optarg);
+        plan.seed = (uint32_t)atoi (optarg);
         break;
       case 'e':
         entries = optarg;
         break;
       case 'S':
-        p.kinds = mm_bench_site (optarg);
-        if (!p.kinds)
+        plan.kinds = mm_bench_site (optarg);
+        if (!plan.kinds)
           return ctl_usage ();
-        p.concurrency = 1000;
+        plan.concurrency = 1000;
         break;
       case 'T':
-        p.max_ms = atoll (optarg) * 1000;
+        plan.max_ms = atoll (optarg) * 1000;
         break;
       case 'x':
-        p.scale = atof (optarg);
+        plan.scale = atof (optarg);
         break;
       default:
         return ctl_usage ();
       }
-  if (!p.jobs || !p.tasks || !p.concurrency)
+  if (!plan.jobs || !plan.tasks || !plan.concurrency)
     return ctl_usage ();
-  p.entries = g_strsplit (entries, ",", -1);
-  int64_t before[8] = { 0 }, sent0 = sum_counter (p.entries, "tasks_sent");
+  plan.entries = g_strsplit (entries, ",", -1);
+  int64_t counters_before[8] = { 0 },
+          sent_before = sum_counter (plan.entries, "tasks_sent");
   for (int i = 0; waste_counters[i]; i++)
-    before[i] = sum_counter (p.entries, waste_counters[i]);
-  mm_bench_report r;
+    counters_before[i] = sum_counter (plan.entries, waste_counters[i]);
+  mm_bench_report report;
   GError *err = NULL;
-  if (!mm_bench_run (&p, &r, &err))
-    return ctl_fail (err);
-  int64_t sent = sum_counter (p.entries, "tasks_sent") - sent0;
-  int64_t waste = 0;
+  if (!mm_bench_run (&plan, &report, &err))
+    return ctl_print_error (err);
+  int64_t sent = sum_counter (plan.entries, "tasks_sent") - sent_before;
+  int64_t wasted = 0;
   printf ("{\"jobs_complete\":%u,\"jobs_failed\":%u,\"jobs_refused\":%u,"
           "\"tasks\":%u,\"wall_ms\":%" G_GINT64_FORMAT ",\"ratio_p50\":%.3f,"
           "\"ratio_p99\":%.3f,\"ratio_p999\":%.3f,\"tasks_sent\":"
           "%" G_GINT64_FORMAT,
-          r.jobs_complete, r.jobs_failed, r.jobs_refused, r.tasks, r.wall_ms,
-          r.ratio_p50, r.ratio_p99, r.ratio_p999, sent);
+          report.jobs_complete, report.jobs_failed, report.jobs_refused,
+          report.tasks, report.wall_ms, report.ratio_p50, report.ratio_p99,
+          report.ratio_p999, sent);
   for (int i = 0; waste_counters[i]; i++)
     {
-      int64_t d = sum_counter (p.entries, waste_counters[i]) - before[i];
-      waste += d;
-      printf (",\"%s\":%" G_GINT64_FORMAT, waste_counters[i], d);
+      int64_t delta
+          = sum_counter (plan.entries, waste_counters[i]) - counters_before[i];
+      wasted += delta;
+      printf (",\"%s\":%" G_GINT64_FORMAT, waste_counters[i], delta);
     }
   printf (",\"wasted_per_1000_tasks\":%.2f",
-          r.tasks ? 1000.0 * (double)waste / (double)(r.tasks) : 0.0);
-  for (int i = 0; p.kinds && p.kinds[i].name; i++)
+          report.tasks ? 1000.0 * (double)wasted / (double)(report.tasks)
+                       : 0.0);
+  for (int i = 0; plan.kinds && plan.kinds[i].name; i++)
     printf (",\"%s\":{\"complete\":%u,\"not_served\":%u,\"ratio_p50\":"
             "%.3f,\"ratio_p99\":%.3f}",
-            p.kinds[i].name, r.kinds[i].complete, r.kinds[i].not_served,
-            r.kinds[i].ratio_p50, r.kinds[i].ratio_p99);
+            plan.kinds[i].name, report.kinds[i].complete,
+            report.kinds[i].not_served, report.kinds[i].ratio_p50,
+            report.kinds[i].ratio_p99);
   printf ("}\n");
-  g_strfreev (p.entries);
-  return r.jobs_complete ? 0 : 1;
+  g_strfreev (plan.entries);
+  return report.jobs_complete ? 0 : 1;
 }
--- a/daemons/ctl_explain.c
+++ b/daemons/ctl_explain.c
@@ -1,4 +1,5 @@
-/* masticctl explain ID [FILE...]: why a request ended as it did.  */
+/* masticctl explain ID [FILE...]: tells from logs why a job ended as it did.
+   masticctl events: lists the events that instances log.  */
 #include "ctl.h"
 
 #include "mm_event.h"
@@ -9,19 +10,19 @@
 #include <string.h>
 
 static void
-read_log (mm_explain *x, const char *source, FILE *in)
+read_log (mm_explain *explain, const char *source, FILE *in)
 {
   char *text = NULL;
   size_t size = 0;
   while (getline (&text, &size, in) >= 0)
-    mm_explain_add (x, source, text);
+    mm_explain_add (explain, source, text);
   free (text);
 }
 
 static int
-read_files (mm_explain *x, int n, char **files)
+read_files (mm_explain *explain, int n_files, char **files)
 {
-  for (int i = 0; i < n; i++)
+  for (int i = 0; i < n_files; i++)
     {
       FILE *in = fopen (files[i], "r");
       if (!in)
@@ -29,30 +30,30 @@
           fprintf (stderr, "masticctl: cannot read %s\n", files[i]);
           return 1;
         }
-      read_log (x, files[i], in);
+      read_log (explain, files[i], in);
       fclose (in);
     }
-  if (n == 0)
-    read_log (x, "stdin", stdin);
+  if (n_files == 0)
+    read_log (explain, "stdin", stdin);
   return 0;
 }
 
 int
 ctl_explain (int argc, char **argv)
 {
-  mm_explain *x = mm_explain_create (argv[0]);
-  int rc = read_files (x, argc - 1, argv + 1);
-  char *story = rc == 0 ? mm_explain_story (x) : NULL;
+  mm_explain *explain = mm_explain_create (argv[0]);
+  int exit_status = read_files (explain, argc - 1, argv + 1);
+  char *story = exit_status == 0 ? mm_explain_story (explain) : NULL;
   if (story)
     fputs (story, stdout);
-  else if (rc == 0)
+  else if (exit_status == 0)
     {
-      fprintf (stderr, "masticctl: no line names job %s\n", argv[0]);
-      rc = 1;
+      fprintf (stderr, "masticctl: no log line mentions job %s\n", argv[0]);
+      exit_status = 1;
     }
   g_free (story);
-  mm_explain_destroy (x);
-  return rc;
+  mm_explain_destroy (explain);
+  return exit_status;
 }
 
 int
--- a/daemons/ctl_status.c
+++ b/daemons/ctl_status.c
@@ -1,17 +1,18 @@
-/* masticctl status: the member list.  */
+/* masticctl status: prints the member list.  */
 #include "ctl.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 
-/* The member list, one line each; the list lags behind its members.  */
+/* Prints the member list, one line for each member.  The list lags behind the
+   members' actual state.  */
 int
 ctl_status (bool json)
 {
   GError *err = NULL;
   cJSON *list = ctl_members (&err);
   if (!list)
-    return ctl_fail (err);
+    return ctl_print_error (err);
   if (json)
     {
       char *text = cJSON_Print (list);
@@ -21,17 +22,19 @@
   else
     printf ("%-20s %-9s %-14s %-8s %-22s %s\n", "NAME", "KIND", "DATACENTRE",
             "STATE", "ADDRESS", "CONFIG/SLOTS");
-  const cJSON *m;
-  cJSON_ArrayForEach (m, cJSON_GetObjectItem (list, "members"))
+  const cJSON *member;
+  cJSON_ArrayForEach (member, cJSON_GetObjectItem (list, "members"))
     {
-      bool entry = g_str_equal (ctl_text (m, "kind"), "entry");
-      const cJSON *n
-          = cJSON_GetObjectItem (m, entry ? "config_offset" : "slots");
+      bool entry = g_str_equal (ctl_json_text (member, "kind"), "entry");
+      const cJSON *number
+          = cJSON_GetObjectItem (member, entry ? "config_offset" : "slots");
       if (!json)
-        printf ("%-20s %-9s %-14s %-8s %-22s %.0f\n", ctl_text (m, "name"),
-                ctl_text (m, "kind"), ctl_text (m, "datacentre"),
-                ctl_text (m, "state"), ctl_text (m, "addr"),
-                cJSON_IsNumber (n) ? n->valuedouble : 0.0);
+        printf ("%-20s %-9s %-14s %-8s %-22s %.0f\n",
+                ctl_json_text (member, "name"), ctl_json_text (member, "kind"),
+                ctl_json_text (member, "datacentre"),
+                ctl_json_text (member, "state"),
+                ctl_json_text (member, "addr"),
+                cJSON_IsNumber (number) ? number->valuedouble : 0.0);
     }
   cJSON_Delete (list);
   return 0;
--- a/daemons/ctl_top.c
+++ b/daemons/ctl_top.c
@@ -1,4 +1,5 @@
-/* masticctl top HOST:PORT...: live metrics of instances in one table.  */
+/* masticctl top HOST:PORT...: prints the current metrics of instances in one
+   table.  */
 #include "ctl.h"
 
 #include <stdio.h>
@@ -7,7 +8,7 @@
 
 static const struct
 {
-  const char *head;
+  const char *title;
   const char *series;
 } columns[] = {
   { "OPEN", "masticmill_jobs_open" },
@@ -23,9 +24,10 @@
   { "CONFIG", "masticmill_config_version" },
 };
 
-/* The value of a series in the text format, NULL when it is missing.  */
+/* Return: the value of @series in metrics in the text format, g_free(); NULL
+   when it is missing.  */
 static char *
-value_of (const char *text, const char *series)
+series_value (const char *text, const char *series)
 {
   size_t len = strlen (series);
   for (const char *p = text; p && *p; p = strchr (p, '\n'))
@@ -53,7 +55,7 @@
     }
   for (size_t i = 0; i < G_N_ELEMENTS (columns); i++)
     {
-      char *value = value_of (text, columns[i].series);
+      char *value = series_value (text, columns[i].series);
       printf (" %8s", value ? value : "-");
       g_free (value);
     }
@@ -67,7 +69,7 @@
 {
   printf ("%-24s", "INSTANCE");
   for (size_t i = 0; i < G_N_ELEMENTS (columns); i++)
-    printf (" %8s", columns[i].head);
+    printf (" %8s", columns[i].title);
   printf ("\n");
   bool ok = true;
   for (int i = 0; i < argc; i++)
--- a/daemons/masticctl.c
+++ b/daemons/masticctl.c
@@ -4,15 +4,16 @@
      job submit FILE           submit a job (JSON) and print the answer
      config publish BASE [SITE=OVERLAY]...
                                publish base + overlays; wait until in force
-     config show               the configuration in force
-     status [--json]           the member list
-     dump ADDR                 a process's state (host:port)
+     config show               print the configuration in force
+     status [--json]           print the member list
+     dump ADDR                 print the state of a process (host:port)
      fault ADDR JSON           set platform faults or an upstream's mode
-     queues set FILE           what instances serve
-     explain ID [FILE]...      one request's story, from several logs
-     top ADDR...               live metrics of instances in one table
-     events                    the events that instances log
-     bench [options]           load run: latency over ideal, messages/task  */
+     queues set FILE           set the queues that instances serve
+     explain ID [FILE]...      why a job ended as it did, from several logs
+     top ADDR...               print current metrics of instances in one table
+     events                    list the events that instances log
+     bench [options]           run a load and print the ratio of latency to the
+                               ideal, and the wasted work per 1000 tasks  */
 #include "ctl.h"
 
 #include <getopt.h>
@@ -24,14 +25,14 @@
 cmd_job_submit (const char *file)
 {
   GError *err = NULL;
-  char *text = ctl_read (file, &err);
+  char *text = ctl_read_file (file, &err);
   if (!text)
-    return ctl_fail (err);
+    return ctl_print_error (err);
   char *url = g_strdup_printf ("%s/v1/jobs", ctl_entry_url);
-  int rc = ctl_send ("POST", url, text, 60000);
+  int exit_status = ctl_request ("POST", url, text, 60000);
   g_free (url);
   g_free (text);
-  return rc;
+  return exit_status;
 }
 
 static int
@@ -40,7 +41,7 @@
   GError *err = NULL;
   char *body = ctl_get (url, &err);
   if (!body)
-    return ctl_fail (err);
+    return ctl_print_error (err);
   printf ("%s\n", body);
   g_free (body);
   return 0;
@@ -54,22 +55,23 @@
   char *state = ctl_get (url, &err);
   g_free (url);
   if (!state)
-    return ctl_fail (err);
-  /* A platform's dump has "streams"; an upstream's has "mode".  */
+    return ctl_print_error (err);
+  /* Only the state of a platform has "streams"; that of an upstream has
+     "mode".  */
   bool platform = strstr (state, "\"streams\"") != NULL;
   g_free (state);
   url = g_strdup_printf ("http://%s%s", addr,
                          platform ? "/v1/faults" : "/v1/mode");
-  int rc = ctl_send ("POST", url, json, 5000);
+  int exit_status = ctl_request ("POST", url, json, 5000);
   g_free (url);
-  return rc;
+  return exit_status;
 }
 
 int
 main (int argc, char **argv)
 {
   mm_log_init_stderr ("masticctl");
-  static const struct option opts[]
+  static const struct option options[]
       = { { "platform", required_argument, NULL, 'p' },
           { "entry", required_argument, NULL, 'e' },
           { "wait-ms", required_argument, NULL, 'w' },
@@ -78,8 +80,9 @@
           { NULL, 0, NULL, 0 } };
   int64_t wait_ms = 10000;
   int c;
-  /* Options stop at the command, so each command parses its own.  */
-  while ((c = getopt_long (argc, argv, "+p:e:w:hV", opts, NULL)) != -1)
+  /* The leading + ends option parsing at the command, so that each command
+     parses its own options.  */
+  while ((c = getopt_long (argc, argv, "+p:e:w:hV", options, NULL)) != -1)
     switch (c)
       {
       case 'p':
@@ -116,9 +119,9 @@
   if (argc >= 2 && g_str_equal (argv[0], "dump"))
     {
       char *url = g_strdup_printf ("http://%s/v1/state", argv[1]);
-      int rc = cmd_print (url);
+      int exit_status = cmd_print (url);
       g_free (url);
-      return rc;
+      return exit_status;
     }
   if (argc >= 3 && g_str_equal (argv[0], "fault"))
     return cmd_fault (argv[1], argv[2]);
--- a/daemons/masticmill_entry.c
+++ b/daemons/masticmill_entry.c
@@ -1,5 +1,5 @@
-/* masticmill-entry: an entry instance, as a daemon.  SIGTERM is a
-   graceful shutdown: nothing in flight is cut off.  */
+/* masticmill-entry: an entry instance, as a daemon.  SIGTERM and SIGINT start
+   a graceful shutdown, which waits for the jobs in flight.  */
 #include <masticmill.h>
 
 #include <signal.h>
@@ -8,16 +8,16 @@
 static struct ev_loop *loop;
 
 static void
-stopped (void *ctx)
+on_shutdown_done (void *ctx)
 {
   ev_break (loop, EVBREAK_ALL);
 }
 
 static void
-on_signal (struct ev_loop *l, ev_signal *w, int revents)
+on_signal (struct ev_loop *signal_loop, ev_signal *w, int revents)
 {
   g_message ("signal %d: graceful shutdown", w->signum);
-  mm_entry_shutdown (w->data, stopped, NULL);
+  mm_entry_shutdown (w->data, on_shutdown_done, NULL);
 }
 
 int
@@ -42,8 +42,8 @@
     }
   signal (SIGPIPE, SIG_IGN);
   loop = EV_DEFAULT;
-  mm_entry *e = mm_entry_create (loop, &s, &err);
-  if (!e)
+  mm_entry *entry = mm_entry_create (loop, &s, &err);
+  if (!entry)
     {
       g_critical ("%s", err->message);
       return 1;
@@ -51,11 +51,11 @@
   ev_signal term, intr;
   ev_signal_init (&term, on_signal, SIGTERM);
   ev_signal_init (&intr, on_signal, SIGINT);
-  term.data = intr.data = e;
+  term.data = intr.data = entry;
   ev_signal_start (loop, &term);
   ev_signal_start (loop, &intr);
   g_message ("entry %s listening on port %" G_GINT64_FORMAT, s.name, s.port);
   ev_run (loop, 0);
-  mm_entry_destroy (e);
+  mm_entry_destroy (entry);
   return 0;
 }
--- a/daemons/masticmill_node.c
+++ b/daemons/masticmill_node.c
@@ -1,6 +1,6 @@
-/* masticmill-node: an instance of the dispatcher, on the prepared platform
-   or on our own stand-ins.  SIGTERM is a graceful shutdown; SIGHUP says
-   that the settings may have changed.  */
+/* masticmill-node: an instance of the dispatcher, as a daemon.  It works with
+   the users' platform or with this project's stand-ins for it.  SIGTERM and
+   SIGINT start a graceful shutdown; SIGHUP is only logged (see on_reload).  */
 #include "mm_own.h"
 #include "platform.h"
 
@@ -16,72 +16,76 @@
   struct ev_loop *loop;
   mm_node *node;
   mm_front *front;
-  mm_http_handler on_request; /* of callers */
-  mm_http_client *to_upstreams;
-  mm_http_client *to_store;
+  mm_http_handler on_request; /* handles callers' requests */
+  mm_http_client *upstream_client;
+  mm_http_client *store_client;
   mm_exec_http *exec;
-  mm_store_http *store_calls;
+  mm_store_http *store_http;
   mm_store_port store;
   ev_timer leave_timer;
-  mm_time_ms leave_ms;
+  mm_time_ms leave_started_ms; /* when the shutdown started, 0: not yet */
 } process;
 
 static bool
-choose_interface (process *p, const mm_node_settings *s, GError **error)
+choose_interface (process *p, const mm_node_settings *settings, GError **error)
 {
-  if (strcmp (s->interface, "platform") == 0)
+  if (strcmp (settings->interface, "platform") == 0)
     {
-      p->exec = mm_exec_http_create (p->to_upstreams, &pf_exec_wire);
-      p->store = pf_store_port (p->store_calls);
+      p->exec = mm_exec_http_create (p->upstream_client, &pf_exec_wire);
+      p->store = pf_store_port (p->store_http);
       p->on_request = pf_front_request;
       return true;
     }
-  if (strcmp (s->interface, "own") == 0)
+  if (strcmp (settings->interface, "own") == 0)
     {
-      p->exec = mm_exec_http_create (p->to_upstreams, &mm_own_exec_wire);
-      p->store = mm_own_store_port (p->store_calls);
+      p->exec = mm_exec_http_create (p->upstream_client, &mm_own_exec_wire);
+      p->store = mm_own_store_port (p->store_http);
       p->on_request = mm_own_front_request;
       return true;
     }
   g_set_error (error, MM_ERROR, MM_ERROR_CONFIG_RANGE,
-               "node.interface is %s, not own or platform", s->interface);
+               "node.interface is %s, not own or platform",
+               settings->interface);
   return false;
 }
 
 static void
-leave_cb (struct ev_loop *loop, ev_timer *w, int revents)
+check_left_cb (struct ev_loop *loop, ev_timer *watcher, int revents)
 {
-  process *p = w->data;
-  if (mm_clock_now_ms () - p->leave_ms >= MM_LEAVE_DRAIN_MS)
+  process *p = watcher->data;
+  if (mm_clock_now_ms () - p->leave_started_ms >= MM_LEAVE_DRAIN_MS)
     mm_front_set_leaving (p->front);
   if (mm_node_left (p->node, mm_front_connections (p->front)))
     ev_break (loop, EVBREAK_ALL);
 }
 
 static void
-on_stop (struct ev_loop *loop, ev_signal *w, int revents)
+on_stop (struct ev_loop *loop, ev_signal *watcher, int revents)
 {
-  process *p = w->data;
-  if (p->leave_ms)
+  process *p = watcher->data;
+  if (p->leave_started_ms)
     return;
-  mm_log_event (MM_EV_STOPPING, MM_INT (w->signum));
-  p->leave_ms = mm_clock_now_ms ();
+  mm_log_event (MM_EV_STOPPING, MM_INT (watcher->signum));
+  p->leave_started_ms = mm_clock_now_ms ();
   mm_node_leave (p->node);
-  ev_timer_init (&p->leave_timer, leave_cb, 0., MM_LEAVE_CHECK_MS / 1000.);
+  ev_timer_init (&p->leave_timer, check_left_cb, 0.,
+                 MM_LEAVE_CHECK_MS / 1000.);
   p->leave_timer.data = p;
   ev_timer_start (loop, &p->leave_timer);
 }
 
-/* Addresses and bounds are fixed for a process's life; a change of the
-   rest is taken at the next start.  */
+/* SIGHUP says that the settings may have changed.  They are not read again:
+   addresses and limits are fixed while a process runs, and a change of any
+   other setting takes effect at the next start.  */
 static void
-on_reload (struct ev_loop *loop, ev_signal *w, int revents)
+on_reload (struct ev_loop *loop, ev_signal *watcher, int revents)
 {
-  mm_log_event (MM_EV_RELOAD, MM_INT (w->signum),
+  mm_log_event (MM_EV_RELOAD, MM_INT (watcher->signum),
                 MM_TEXT ("settings stay as at the start"));
 }
 
-/* GET /metrics, or the state as JSON.  */
+/* Answers GET /metrics with the metrics, and any other path with the state as
+   JSON.  */
 static void
 on_state (mm_http_request *req, void *ctx)
 {
@@ -108,41 +112,42 @@
 }
 
 static bool
-start (process *p, const mm_node_settings *s, GError **error)
+start (process *p, const mm_node_settings *settings, GError **error)
 {
-  p->to_upstreams
+  p->upstream_client
       = mm_http_client_create (p->loop, MM_DEFAULT_UPSTREAM_CONNECTIONS);
-  p->to_store = mm_http_client_create (p->loop, MM_PLATFORM_CONNECTIONS);
-  mm_http_client_set_member (p->to_store, s->name);
-  p->store_calls = mm_store_http_create (p->to_store, s->store);
-  if (!choose_interface (p, s, error))
+  p->store_client = mm_http_client_create (p->loop, MM_PLATFORM_CONNECTIONS);
+  mm_http_client_set_member (p->store_client, settings->name);
+  p->store_http = mm_store_http_create (p->store_client, settings->store);
+  if (!choose_interface (p, settings, error))
     return false;
-  p->store.link_mbps = s->link_mbps;
+  p->store.link_mbps = settings->link_mbps;
   mm_exec_port exec = mm_exec_http_port (p->exec);
-  p->node = mm_node_create (p->loop, s, &exec, &p->store, error);
+  p->node = mm_node_create (p->loop, settings, &exec, &p->store, error);
   if (p->node)
-    p->front = mm_front_create (p->loop, s, p->node, p->on_request, error);
+    p->front
+        = mm_front_create (p->loop, settings, p->node, p->on_request, error);
   return p->front
          && mm_http_server_create (
-             p->loop, s->address, (uint16_t)s->state_port,
+             p->loop, settings->address, (uint16_t)settings->state_port,
              MM_STATE_MAX_BODY_BYTES, on_state, p, error);
 }
 
 static int
-run (const mm_node_settings *s)
+run (const mm_node_settings *settings)
 {
   process p = { .loop = EV_DEFAULT };
   GError *error = NULL;
   ev_signal watchers[3];
   watch_signals (&p, watchers);
-  if (!start (&p, s, &error))
+  if (!start (&p, settings, &error))
     {
       g_critical ("cannot start: %s", error->message);
       mm_log_close ();
       return 1;
     }
-  mm_log_event (MM_EV_STARTED, MM_TEXT (s->name), MM_TEXT (s->datacentre),
-                MM_TEXT (s->front));
+  mm_log_event (MM_EV_STARTED, MM_TEXT (settings->name),
+                MM_TEXT (settings->datacentre), MM_TEXT (settings->front));
   ev_run (p.loop, 0);
   mm_log_event (MM_EV_STOPPED, MM_INT (mm_jobs_count (mm_node_jobs (p.node))),
                 MM_INT (mm_front_connections (p.front)));
@@ -157,13 +162,13 @@
 {
   mm_log_init ("masticmill-node");
   mm_daemon_catch_crashes ();
-  mm_node_settings s;
-  mm_node_settings_defaults (&s);
+  mm_node_settings settings;
+  mm_node_settings_defaults (&settings);
   GError *error = NULL;
   switch (mm_daemon_args (argc, argv,
                           "Instance of the dispatcher: takes jobs, runs "
                           "their tasks on upstreams.",
-                          mm_node_setting_specs, &s, &error))
+                          mm_node_setting_specs, &settings, &error))
     {
     case MM_DAEMON_EXIT:
       return 0;
@@ -173,5 +178,5 @@
     case MM_DAEMON_RUN:
       break;
     }
-  return run (&s);
+  return run (&settings);
 }
--- a/daemons/masticmill_platform.c
+++ b/daemons/masticmill_platform.c
@@ -1,13 +1,13 @@
-/* masticmill-platform: the platform service stand-in, as a daemon.  */
+/* masticmill-platform: the stand-in for the platform, as a daemon.  */
 #include <masticmill.h>
 
 #include <signal.h>
 #include <stdio.h>
 
 static void
-on_signal (struct ev_loop *l, ev_signal *w, int revents)
+on_signal (struct ev_loop *signal_loop, ev_signal *w, int revents)
 {
-  ev_break (l, EVBREAK_ALL);
+  ev_break (signal_loop, EVBREAK_ALL);
 }
 
 int
@@ -31,8 +31,8 @@
     }
   signal (SIGPIPE, SIG_IGN);
   struct ev_loop *loop = EV_DEFAULT;
-  mm_platform *p = mm_platform_create (loop, &s, &err);
-  if (!p)
+  mm_platform *platform = mm_platform_create (loop, &s, &err);
+  if (!platform)
     {
       g_critical ("%s", err->message);
       return 1;
@@ -44,6 +44,6 @@
   ev_signal_start (loop, &intr);
   g_message ("platform listening on port %" G_GINT64_FORMAT, s.port);
   ev_run (loop, 0);
-  mm_platform_destroy (p);
+  mm_platform_destroy (platform);
   return 0;
 }
--- a/daemons/masticmill_upstream.c
+++ b/daemons/masticmill_upstream.c
@@ -1,4 +1,5 @@
-/* masticmill-upstream: the upstream executor stand-in, as a daemon.  */
+/* masticmill-upstream: the stand-in for an upstream, as a daemon.  SIGTERM and
+   SIGINT drain it: running tasks end before the process does.  */
 #define _GNU_SOURCE
 #include <masticmill.h>
 
@@ -9,8 +10,10 @@
 static struct ev_loop *loop;
 static char **arguments;
 
-/* Its connections are reset, and nothing listens until it is back: the same
-   process, which nobody has to start again, without anything it knew.  */
+/* Simulates a crash and a restart.  Closing all descriptors resets the
+   connections, and nothing listens for back_ms.  The program is then executed
+   again in the same process, without any of its state, so that no other
+   process has to restart it.  */
 static void
 crash (void *ctx)
 {
@@ -24,16 +27,16 @@
 }
 
 static void
-drained (void *ctx)
+on_drained (void *ctx)
 {
   ev_break (loop, EVBREAK_ALL);
 }
 
 static void
-on_signal (struct ev_loop *l, ev_signal *w, int revents)
+on_signal (struct ev_loop *signal_loop, ev_signal *w, int revents)
 {
   g_message ("signal %d: draining", w->signum);
-  mm_upstream_drain (w->data, drained, NULL);
+  mm_upstream_drain (w->data, on_drained, NULL);
 }
 
 int
@@ -58,22 +61,22 @@
     }
   signal (SIGPIPE, SIG_IGN);
   loop = EV_DEFAULT;
-  mm_upstream *u = mm_upstream_create (loop, &s, &err);
-  if (!u)
+  mm_upstream *upstream = mm_upstream_create (loop, &s, &err);
+  if (!upstream)
     {
       g_critical ("%s", err->message);
       return 1;
     }
-  mm_upstream_on_crash (u, crash, &s);
+  mm_upstream_on_crash (upstream, crash, &s);
   ev_signal term, intr;
   ev_signal_init (&term, on_signal, SIGTERM);
   ev_signal_init (&intr, on_signal, SIGINT);
-  term.data = intr.data = u;
+  term.data = intr.data = upstream;
   ev_signal_start (loop, &term);
   ev_signal_start (loop, &intr);
   g_message ("upstream %s listening on port %" G_GINT64_FORMAT, s.name,
              s.port);
   ev_run (loop, 0);
-  mm_upstream_destroy (u);
+  mm_upstream_destroy (upstream);
   return 0;
 }
