--- a/src/mm_daemon.c
+++ b/src/mm_daemon.c
@@ -1,8 +1,8 @@
-/* mm_daemon: the command line every daemon shares (getopt_long).
+/* mm_daemon: the command line that all daemons share (getopt_long).
 
    PROG [--config FILE] [--set KEY=VALUE]... [--check] [--help] [--version]
 
-   --set takes one TOML line, so values are typed as in the file
+   --set takes one TOML line, so its value has a type as in a file
    (--set entry.port=7101, --set 'entry.name="e2"').  */
 #include "masticmill.h"
 
@@ -13,37 +13,37 @@
 #include <string.h>
 
 /**
- * mm_daemon_print_settings_help() - list every settings key.
- * @specs: the daemon's table.
+ * mm_daemon_print_settings_help() - print every settings key with its help.
+ * @specs: the daemon's settings table.
  */
 void
 mm_daemon_print_settings_help (const mm_setting_spec *specs)
 {
   printf ("\nSettings (TOML keys):\n");
-  for (const mm_setting_spec *s = specs; s->key; s++)
-    printf ("  %-28s %s\n", s->key, s->help);
+  for (const mm_setting_spec *spec = specs; spec->key; spec++)
+    printf ("  %-28s %s\n", spec->key, spec->help);
 }
 
 static bool
 apply_set (const mm_setting_spec *specs, void *settings, const char *arg,
            GError **error)
 {
-  const char *eq = strchr (arg, '=');
-  if (!eq || eq == arg)
+  const char *equals = strchr (arg, '=');
+  if (!equals || equals == arg)
     {
       g_set_error (error, MM_ERROR, MM_ERROR_CONFIG_SYNTAX,
                    "--set %s: want KEY=VALUE", arg);
       return false;
     }
-  /* "a.b=1" becomes a table [a] holding b = 1.  */
-  char *key = g_strndup (arg, (gsize)(eq - arg));
+  /* "a.b=1" becomes a table [a] that contains b = 1.  */
+  char *key = g_strndup (arg, (gsize)(equals - arg));
   char *dot = strrchr (key, '.');
   char *text = dot ? g_strdup_printf ("[%.*s]\n%s = %s\n", (int)(dot - key),
-                                      key, dot + 1, eq + 1)
-                   : g_strdup_printf ("%s = %s\n", key, eq + 1);
-  mm_toml *t = mm_toml_parse_string (text, "--set", error);
-  bool ok = t && mm_settings_apply (specs, settings, t, error);
-  mm_toml_destroy (t);
+                                      key, dot + 1, equals + 1)
+                   : g_strdup_printf ("%s = %s\n", key, equals + 1);
+  mm_toml *document = mm_toml_parse_string (text, "--set", error);
+  bool ok = document && mm_settings_apply (specs, settings, document, error);
+  mm_toml_destroy (document);
   g_free (text);
   g_free (key);
   return ok;
@@ -51,11 +51,11 @@
 
 /**
  * mm_daemon_args() - parse a daemon's command line and settings.
- * @argc: from main.
- * @argv: from main.
- * @summary: one line saying what the daemon is.
+ * @argc: argument of main().
+ * @argv: argument of main().
+ * @summary: one line for --help that says what the daemon does.
  * @specs: its settings table.
- * @settings: its settings struct, holding the defaults.
+ * @settings: its settings struct, which contains the defaults.
  * @error: set when MM_DAEMON_ERROR is returned.
  *
  * Return: whether to run, exit or fail.
@@ -72,7 +72,7 @@
           { "version", no_argument, NULL, 'V' },
           { NULL, 0, NULL, 0 } };
   bool check_only = false;
-  GPtrArray *sets = g_ptr_array_new ();
+  GPtrArray *set_args = g_ptr_array_new ();
   const char *config = NULL;
   int c;
   optind = 1;
@@ -83,7 +83,7 @@
         config = optarg;
         break;
       case 's':
-        g_ptr_array_add (sets, optarg);
+        g_ptr_array_add (set_args, optarg);
         break;
       case 'k':
         check_only = true;
@@ -98,22 +98,22 @@
                 "  -V, --version       the version\n",
                 argv[0], summary);
         mm_daemon_print_settings_help (specs);
-        g_ptr_array_free (sets, TRUE);
+        g_ptr_array_free (set_args, TRUE);
         return MM_DAEMON_EXIT;
       case 'V':
         printf ("%s %s\n", argv[0], MM_VERSION);
-        g_ptr_array_free (sets, TRUE);
+        g_ptr_array_free (set_args, TRUE);
         return MM_DAEMON_EXIT;
       default:
         g_set_error (error, MM_ERROR, MM_ERROR_CONFIG_SYNTAX,
                      "bad arguments; see --help");
-        g_ptr_array_free (sets, TRUE);
+        g_ptr_array_free (set_args, TRUE);
         return MM_DAEMON_ERROR;
       }
   bool ok = !config || mm_settings_load_file (specs, settings, config, error);
-  for (guint i = 0; ok && i < sets->len; i++)
-    ok = apply_set (specs, settings, sets->pdata[i], error);
-  g_ptr_array_free (sets, TRUE);
+  for (guint i = 0; ok && i < set_args->len; i++)
+    ok = apply_set (specs, settings, set_args->pdata[i], error);
+  g_ptr_array_free (set_args, TRUE);
   if (ok && optind < argc)
     {
       g_set_error (error, MM_ERROR, MM_ERROR_CONFIG_SYNTAX,
@@ -130,10 +130,10 @@
   return MM_DAEMON_RUN;
 }
 
-/* A crash leaves its stack on stderr, so that the log says where.
-   backtrace() is not async-signal-safe; in a handler for a fatal signal
-   that is accepted: the process is dying either way, and the stack is
-   worth the risk of a garbled line (it found a use-after-free).  */
+/* Prints the stack to stderr, so that the log shows where the process crashed.
+   backtrace() is not async-signal-safe.  That is accepted in the handler of a
+   fatal signal: the process ends in any case, and the stack is worth the risk
+   of a garbled line (one such stack revealed a use-after-free).  */
 static void
 on_crash (int sig)
 {
@@ -145,7 +145,8 @@
 }
 
 /**
- * mm_daemon_catch_crashes() - let a crash leave its stack on stderr.
+ * mm_daemon_catch_crashes() - print the stack to stderr on SIGSEGV and
+ * SIGABRT.
  */
 void
 mm_daemon_catch_crashes (void)
--- a/src/mm_http_client.c
+++ b/src/mm_http_client.c
@@ -1,5 +1,6 @@
-/* mm_http_client: libcurl multi driven by a libev loop (one ev_io per
-   socket curl asks for, one ev_timer for curl's timeout).  */
+/* mm_http_client: libcurl's multi interface, driven by a libev loop with one
+   ev_io for each socket that curl watches and one ev_timer for curl's
+   timeout.  */
 #include "masticmill.h"
 
 #include "config.h"
@@ -16,7 +17,7 @@
   char *member_header; /* "X-Masticmill-Member: NAME", or NULL */
 };
 
-/* A request body that goes out once: see read_body_once.  */
+/* A request body that is sent at most once, see read_body_once().  */
 typedef struct
 {
   const char *data;
@@ -33,7 +34,7 @@
   char *body;
   body_cursor cursor;
   ev_timer overdue_timer;
-  bool overdue; /* told so */
+  bool overdue; /* @done was called because the answer is overdue */
   mm_http_done done;
   void *ctx;
 } call;
@@ -42,10 +43,11 @@
 {
   ev_io io;
   mm_http_client *client;
-} sock_watch;
+} socket_watch;
 
-/* Its answer may come yet, and then tells how long answers take: the caller
-   goes on without it meanwhile.  */
+/* Reports a call as timed out but leaves it open.  The caller continues
+   without the answer; an answer that still comes is reported as late, which
+   shows how long answers take.  */
 static void
 overdue_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
@@ -68,8 +70,8 @@
   curl_easy_getinfo (c->easy, CURLINFO_HTTP_CONNECTCODE, &connect_code);
   long uploaded = 0;
   curl_easy_getinfo (c->easy, CURLINFO_REQUEST_SIZE, &uploaded);
-  /* A request counts as sent once curl wrote any of it; a refused or
-     failed connect means the upstream never saw it.  */
+  /* A request counts as sent as soon as curl has written any of it.  After a
+     refused or failed connect the upstream cannot have received it.  */
   res.sent = uploaded > 0 && code != CURLE_COULDNT_CONNECT
              && code != CURLE_COULDNT_RESOLVE_HOST;
   if (code != CURLE_OK)
@@ -107,13 +109,13 @@
 }
 
 static void
-sock_cb_ev (struct ev_loop *loop, ev_io *w, int revents)
+socket_event_cb (struct ev_loop *loop, ev_io *w, int revents)
 {
-  sock_watch *sw = (sock_watch *)w;
-  /* curl may close this socket inside socket_action, and our socket
-     callback then frees sw: a crash under load when read after.  Keep
-     what we need first.  */
-  mm_http_client *client = sw->client;
+  socket_watch *watch = (socket_watch *)w;
+  /* curl may close this socket inside curl_multi_socket_action(), and
+     curl_sock_cb() then frees @watch.  Reading it afterwards crashed under
+     load, so what is needed from it is copied first.  */
+  mm_http_client *client = watch->client;
   int fd = w->fd;
   int action = (revents & EV_READ ? CURL_CSELECT_IN : 0)
                | (revents & EV_WRITE ? CURL_CSELECT_OUT : 0);
@@ -123,7 +125,7 @@
 }
 
 static void
-timer_cb_ev (struct ev_loop *loop, ev_timer *w, int revents)
+timer_event_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_http_client *client = w->data;
   int running;
@@ -135,29 +137,29 @@
 curl_sock_cb (CURL *e, curl_socket_t s, int what, void *cbp, void *sockp)
 {
   mm_http_client *client = cbp;
-  sock_watch *sw = sockp;
+  socket_watch *watch = sockp;
   if (what == CURL_POLL_REMOVE)
     {
-      if (sw)
+      if (watch)
         {
-          ev_io_stop (client->loop, &sw->io);
-          g_free (sw);
+          ev_io_stop (client->loop, &watch->io);
+          g_free (watch);
           curl_multi_assign (client->multi, s, NULL);
         }
       return 0;
     }
   int events = (what & CURL_POLL_IN ? EV_READ : 0)
                | (what & CURL_POLL_OUT ? EV_WRITE : 0);
-  if (!sw)
+  if (!watch)
     {
-      sw = g_new0 (sock_watch, 1);
-      sw->client = client;
-      curl_multi_assign (client->multi, s, sw);
+      watch = g_new0 (socket_watch, 1);
+      watch->client = client;
+      curl_multi_assign (client->multi, s, watch);
     }
   else
-    ev_io_stop (client->loop, &sw->io);
-  ev_io_init (&sw->io, sock_cb_ev, s, events);
-  ev_io_start (client->loop, &sw->io);
+    ev_io_stop (client->loop, &watch->io);
+  ev_io_init (&watch->io, socket_event_cb, s, events);
+  ev_io_start (client->loop, &watch->io);
   return 0;
 }
 
@@ -184,7 +186,7 @@
 /**
  * mm_http_client_create() - an HTTP client on a libev loop.
  * @loop: the loop.
- * @max_host_connections: connections kept per host (an upstream's limit).
+ * @max_host_connections: most connections to one host (an upstream's limit).
  *
  * Return: the client; free with mm_http_client_destroy().
  */
@@ -200,7 +202,7 @@
   mm_http_client *c = g_new0 (mm_http_client, 1);
   c->loop = loop;
   c->multi = curl_multi_init ();
-  ev_timer_init (&c->timer, timer_cb_ev, 0., 0.);
+  ev_timer_init (&c->timer, timer_event_cb, 0., 0.);
   c->timer.data = c;
   curl_multi_setopt (c->multi, CURLMOPT_SOCKETFUNCTION, curl_sock_cb);
   curl_multi_setopt (c->multi, CURLMOPT_SOCKETDATA, c);
@@ -225,9 +227,9 @@
 }
 
 /**
- * mm_http_client_set_member() - name ourselves in every call.
+ * mm_http_client_set_member() - send a member name with every call.
  * @c: the client.
- * @name: our member name, sent as X-Masticmill-Member.
+ * @name: member name of this process, sent as X-Masticmill-Member.
  */
 void
 mm_http_client_set_member (mm_http_client *c, const char *name)
@@ -242,28 +244,28 @@
   return c->in_flight;
 }
 
-/* Guards against a task started twice by one call: when a kept
-   connection dies before the first byte of the answer, libcurl resends
-   the request by itself on another connection, although the upstream may
-   have taken it already (seen as three requests for two calls,
-   tests/test_http.c).  The guard: a body is handed out once; a second
-   pass over it aborts the transfer, so what a resend delivers is never a
-   whole request, and the caller learns of a lost answer.  */
+/* Prevents one call from starting a task twice.  When a reused connection is
+   closed before the first byte of the answer, libcurl sends the request again
+   on another connection, although the upstream may already have accepted it
+   (three requests for two calls, see tests/test_http.c).  The body is
+   therefore passed to curl only once.  A second read aborts the transfer, so
+   that a resent request is never complete and the caller is told that the
+   answer is lost.  */
 static size_t
 read_body_once (char *buf, size_t size, size_t n, void *userdata)
 {
-  body_cursor *b = userdata;
-  size_t left = b->len_bytes - b->sent_bytes;
+  body_cursor *position = userdata;
+  size_t left = position->len_bytes - position->sent_bytes;
   if (left == 0)
     return CURL_READFUNC_ABORT;
   size_t take = MIN (left, size * n);
-  memcpy (buf, b->data + b->sent_bytes, take);
-  b->sent_bytes += take;
+  memcpy (buf, position->data + position->sent_bytes, take);
+  position->sent_bytes += take;
   return take;
 }
 
 static body_cursor
-body_of (const char *data, size_t len_bytes)
+make_cursor (const char *data, size_t len_bytes)
 {
   body_cursor b = { .data = data, .len_bytes = len_bytes };
   return b;
@@ -273,25 +275,25 @@
 make_easy (const char *method, const char *url, body_cursor *body,
            mm_time_ms timeout_ms, struct curl_slist **headers, GString *out)
 {
-  CURL *e = curl_easy_init ();
-  curl_easy_setopt (e, CURLOPT_URL, url);
-  curl_easy_setopt (e, CURLOPT_CUSTOMREQUEST, method);
-  curl_easy_setopt (e, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
-  curl_easy_setopt (e, CURLOPT_CONNECTTIMEOUT_MS,
+  CURL *handle = curl_easy_init ();
+  curl_easy_setopt (handle, CURLOPT_URL, url);
+  curl_easy_setopt (handle, CURLOPT_CUSTOMREQUEST, method);
+  curl_easy_setopt (handle, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
+  curl_easy_setopt (handle, CURLOPT_CONNECTTIMEOUT_MS,
                     (long)MIN (timeout_ms, 2000));
-  curl_easy_setopt (e, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (e, CURLOPT_WRITEFUNCTION, write_cb);
-  curl_easy_setopt (e, CURLOPT_WRITEDATA, out);
+  curl_easy_setopt (handle, CURLOPT_NOSIGNAL, 1L);
+  curl_easy_setopt (handle, CURLOPT_WRITEFUNCTION, write_cb);
+  curl_easy_setopt (handle, CURLOPT_WRITEDATA, out);
   *headers = curl_slist_append (NULL, "Content-Type: application/json");
   *headers = curl_slist_append (*headers, "Expect:");
   if (body->len_bytes || strcmp (method, "POST") == 0)
     {
-      curl_easy_setopt (e, CURLOPT_POST, 1L);
-      curl_easy_setopt (e, CURLOPT_READFUNCTION, read_body_once);
-      curl_easy_setopt (e, CURLOPT_READDATA, body);
-      curl_easy_setopt (e, CURLOPT_POSTFIELDSIZE, (long)body->len_bytes);
+      curl_easy_setopt (handle, CURLOPT_POST, 1L);
+      curl_easy_setopt (handle, CURLOPT_READFUNCTION, read_body_once);
+      curl_easy_setopt (handle, CURLOPT_READDATA, body);
+      curl_easy_setopt (handle, CURLOPT_POSTFIELDSIZE, (long)body->len_bytes);
     }
-  return e;
+  return handle;
 }
 
 /**
@@ -299,41 +301,42 @@
  * @c: the client.
  * @spec: what to send; copied.
  * @done: called once from the loop with the result and @ctx; twice when the
- *        answer is overdue and the call stays open (@late_ms of @spec).
+ *        answer is overdue and the call stays open (late_ms of @spec).
  * @ctx: context pointer for @done.
  */
 void
 mm_http_client_send (mm_http_client *c, const mm_http_call *spec,
                      mm_http_done done, void *ctx)
 {
-  call *k = g_new0 (call, 1);
-  k->client = c;
-  k->answer = g_string_new (NULL);
+  call *new_call = g_new0 (call, 1);
+  new_call->client = c;
+  new_call->answer = g_string_new (NULL);
   size_t len_bytes = spec->body_bytes;
   if (!len_bytes && spec->body)
     len_bytes = strlen (spec->body);
-  k->body = g_memdup2 (spec->body, len_bytes);
-  k->done = done;
-  k->ctx = ctx;
-  k->cursor = body_of (k->body, len_bytes);
-  k->easy
-      = make_easy (spec->method, spec->url, &k->cursor,
-                   spec->timeout_ms + spec->late_ms, &k->headers, k->answer);
+  new_call->body = g_memdup2 (spec->body, len_bytes);
+  new_call->done = done;
+  new_call->ctx = ctx;
+  new_call->cursor = make_cursor (new_call->body, len_bytes);
+  new_call->easy = make_easy (spec->method, spec->url, &new_call->cursor,
+                              spec->timeout_ms + spec->late_ms,
+                              &new_call->headers, new_call->answer);
   if (c->member_header)
-    k->headers = curl_slist_append (k->headers, c->member_header);
+    new_call->headers
+        = curl_slist_append (new_call->headers, c->member_header);
   if (spec->header)
-    k->headers = curl_slist_append (k->headers, spec->header);
+    new_call->headers = curl_slist_append (new_call->headers, spec->header);
   if (spec->fresh)
-    curl_easy_setopt (k->easy, CURLOPT_FRESH_CONNECT, 1L);
-  curl_easy_setopt (k->easy, CURLOPT_HTTPHEADER, k->headers);
-  curl_easy_setopt (k->easy, CURLOPT_PRIVATE, k);
-  ev_timer_init (&k->overdue_timer, overdue_cb,
+    curl_easy_setopt (new_call->easy, CURLOPT_FRESH_CONNECT, 1L);
+  curl_easy_setopt (new_call->easy, CURLOPT_HTTPHEADER, new_call->headers);
+  curl_easy_setopt (new_call->easy, CURLOPT_PRIVATE, new_call);
+  ev_timer_init (&new_call->overdue_timer, overdue_cb,
                  (double)spec->timeout_ms / 1000., 0.);
-  k->overdue_timer.data = k;
+  new_call->overdue_timer.data = new_call;
   if (spec->late_ms > 0)
-    ev_timer_start (c->loop, &k->overdue_timer);
+    ev_timer_start (c->loop, &new_call->overdue_timer);
   c->in_flight++;
-  curl_multi_add_handle (c->multi, k->easy);
+  curl_multi_add_handle (c->multi, new_call->easy);
 }
 
 /**
@@ -358,10 +361,10 @@
 }
 
 /**
- * mm_http_failure_text() - why a call was not answered well.
- * @res: its result.
+ * mm_http_failure_text() - describe why a call failed.
+ * @res: result of the call.
  *
- * Return: for logs, g_free().
+ * Return: text for logs, g_free().
  */
 char *
 mm_http_failure_text (const mm_http_result *res)
@@ -372,15 +375,15 @@
 }
 
 /**
- * mm_http_call_sync() - a blocking HTTP call, for the command line.
+ * mm_http_call_sync() - make a blocking HTTP call, for the command line.
  * @method: "GET", "POST", ...
  * @url: full URL.
  * @body: JSON body or NULL.
  * @timeout_ms: whole-call timeout.
  * @status: set to the HTTP status.
- * @error: MM_ERROR_IO or MM_ERROR_TIMEOUT when no answer came.
+ * @error: MM_ERROR_IO or MM_ERROR_TIMEOUT when no answer was received.
  *
- * Return: the answer body (g_free it), or NULL with @error set.
+ * Return: the body of the answer, g_free(), or NULL with @error set.
  */
 char *
 mm_http_call_sync (const char *method, const char *url, const char *body,
@@ -388,12 +391,12 @@
 {
   GString *out = g_string_new (NULL);
   struct curl_slist *headers = NULL;
-  body_cursor cursor = body_of (body, body ? strlen (body) : 0);
-  CURL *e = make_easy (method, url, &cursor, timeout_ms, &headers, out);
-  curl_easy_setopt (e, CURLOPT_HTTPHEADER, headers);
-  CURLcode code = curl_easy_perform (e);
-  curl_easy_getinfo (e, CURLINFO_RESPONSE_CODE, status);
-  curl_easy_cleanup (e);
+  body_cursor cursor = make_cursor (body, body ? strlen (body) : 0);
+  CURL *handle = make_easy (method, url, &cursor, timeout_ms, &headers, out);
+  curl_easy_setopt (handle, CURLOPT_HTTPHEADER, headers);
+  CURLcode code = curl_easy_perform (handle);
+  curl_easy_getinfo (handle, CURLINFO_RESPONSE_CODE, status);
+  curl_easy_cleanup (handle);
   curl_slist_free_all (headers);
   if (code != CURLE_OK)
     {
--- a/src/mm_http_server.c
+++ b/src/mm_http_server.c
@@ -1,10 +1,10 @@
-/* mm_http_server: libmicrohttpd driven by a libev loop.
+/* mm_http_server: libmicrohttpd (MHD), driven by a libev loop.
 
-   MHD runs in external mode with its own epoll set; we watch that one fd
-   and MHD's timeout.  A handler may answer at once or later: a request
-   not answered when the handler returns is suspended, and resumed when
-   mm_http_reply() is called.  Suspended connections are not polled by
-   MHD, so a request stays valid until it is answered.  */
+   MHD runs in external mode with its own epoll set; the loop watches the
+   descriptor of that set and MHD's timeout.  A handler may answer at once or
+   later: a request that is not answered when the handler returns is suspended,
+   and resumed when mm_http_reply() is called.  MHD does not poll suspended
+   connections, so a request stays valid until it is answered.  */
 #include "masticmill.h"
 
 #include "config.h"
@@ -22,14 +22,14 @@
   struct MHD_Daemon *daemon;
   ev_io io;
   ev_timer timer;
-  ev_idle kick;
+  ev_idle run_soon; /* runs MHD when the loop has nothing else to do */
   mm_http_handler handler;
   void *ctx;
   size_t max_body_bytes;
-  uint32_t in_flight;
+  uint32_t in_flight;      /* requests passed to the handler, not completed */
   GHashTable *connections; /* set of struct MHD_Connection */
   GHashTable *suspended;   /* set of mm_http_request */
-  bool leaving;
+  bool leaving;            /* see mm_http_server_set_leaving() */
   uint16_t port;
 };
 
@@ -41,14 +41,14 @@
   char *path;
   GByteArray *body;
   bool too_large;
-  bool dispatched;
+  bool dispatched; /* passed to the handler, or answered 413 */
   bool in_handler;
   bool suspended;
   bool answered;
   unsigned status;
   char *answer;
   uint32_t retry_after_s;
-  ev_io left_io; /* watches the caller's socket while we keep it waiting */
+  ev_io caller_socket_io; /* watches the caller's socket until the answer */
   mm_http_left_cb left;
   void *left_ctx;
 };
@@ -68,7 +68,7 @@
 }
 
 static void
-kick_cb (struct ev_loop *loop, ev_idle *w, int revents)
+run_soon_cb (struct ev_loop *loop, ev_idle *w, int revents)
 {
   ev_idle_stop (loop, w);
   server_run (w->data);
@@ -154,7 +154,8 @@
     }
   if (r->answered)
     return queue_answer (r);
-  /* Not answered yet (first time, or a spurious resume): wait.  */
+  /* Not answered yet: this is the first call, or a spurious resume.  The
+     connection waits for mm_http_reply().  */
   r->suspended = true;
   g_hash_table_add (s->suspended, r);
   MHD_suspend_connection (conn);
@@ -170,7 +171,7 @@
     return;
   if (r->dispatched && r->server->in_flight > 0)
     r->server->in_flight--;
-  ev_io_stop (r->server->loop, &r->left_io);
+  ev_io_stop (r->server->loop, &r->caller_socket_io);
   g_free (r->method);
   g_free (r->path);
   g_byte_array_free (r->body, TRUE);
@@ -179,7 +180,8 @@
   *con_cls = NULL;
 }
 
-/* A leaving server closes connections that stay idle.  */
+/* Makes a leaving server close the connection after MM_HTTP_LEAVING_IDLE_S
+   without a request.  */
 static void
 limit_idle (mm_http_server *s, struct MHD_Connection *conn)
 {
@@ -204,12 +206,12 @@
 
 /**
  * mm_http_server_create() - listen for HTTP on a libev loop.
- * @loop: the loop that drives it.
+ * @loop: the loop that drives the server.
  * @host: address to bind, e.g. "127.0.0.1".
  * @port: port, 0 for any free port (see mm_http_server_port()).
  * @max_body_bytes: larger bodies are answered 413.
- * @handler: called once per request with @ctx; must call mm_http_reply()
- *           sooner or later.
+ * @handler: called once per request with @ctx; must call mm_http_reply(), at
+ *           once or later.
  * @ctx: context pointer for @handler.
  * @error: MM_ERROR_IO when the port cannot be bound.
  *
@@ -261,19 +263,21 @@
   ev_io_start (loop, &s->io);
   ev_timer_init (&s->timer, timer_cb, 0., 0.);
   s->timer.data = s;
-  ev_idle_init (&s->kick, kick_cb);
-  s->kick.data = s;
+  ev_idle_init (&s->run_soon, run_soon_cb);
+  s->run_soon.data = s;
   return s;
 }
 
 /**
- * mm_http_server_listen() - as mm_http_server_create(), at "ip:port".
- * @loop: the loop that drives it.
+ * mm_http_server_listen() - like mm_http_server_create(), with one address.
+ * @loop: the loop that drives the server.
  * @addr: "ip:port".
  * @max_body_bytes: larger bodies are answered 413.
  * @handler: called once per request with @ctx.
  * @ctx: context pointer for @handler.
  * @error: MM_ERROR_IO.
+ *
+ * Return: the server, or NULL with @error set.
  */
 mm_http_server *
 mm_http_server_listen (struct ev_loop *loop, const char *addr,
@@ -298,7 +302,7 @@
 
 /**
  * mm_http_server_quiesce() - stop accepting connections.
- * @s: the server; open requests go on until answered.
+ * @s: the server; open requests stay open until they are answered.
  */
 void
 mm_http_server_quiesce (mm_http_server *s)
@@ -320,9 +324,9 @@
   return s->port;
 }
 
-/* libmicrohttpd aborts the process when it is stopped with suspended
-   connections: whoever still waits is told that we go.  Not by a 503,
-   which would claim that nothing was done.  */
+/* Answers all suspended requests, since libmicrohttpd aborts the process when
+   it is stopped with suspended connections.  The status is not 503, which
+   would claim that the request had no effect.  */
 static void
 answer_suspended (mm_http_server *s)
 {
@@ -345,7 +349,7 @@
     return;
   ev_io_stop (s->loop, &s->io);
   ev_timer_stop (s->loop, &s->timer);
-  ev_idle_stop (s->loop, &s->kick);
+  ev_idle_stop (s->loop, &s->run_soon);
   answer_suspended (s);
   MHD_stop_daemon (s->daemon);
   g_hash_table_destroy (s->suspended);
@@ -385,17 +389,18 @@
   return MHD_lookup_connection_value (r->conn, MHD_HEADER_KIND, name);
 }
 
-/* A suspended connection is not polled by MHD: a caller that closes would
-   go unnoticed until the answer, and its work would run on for nobody.  */
+/* Detects that the caller of a suspended request has closed its connection.
+   MHD does not poll suspended connections, so the close would go unnoticed
+   until the answer, and tasks would run on although no caller waits.  */
 static void
-left_cb (struct ev_loop *loop, ev_io *w, int revents)
+caller_socket_cb (struct ev_loop *loop, ev_io *w, int revents)
 {
   mm_http_request *r = w->data;
   char byte;
   ssize_t n = recv (w->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
     return;
-  ev_io_stop (loop, w); /* closed, or its next request came early */
+  ev_io_stop (loop, w); /* closed, or the next request came early */
   if (n > 0 || !r->left)
     return;
   mm_http_left_cb left = r->left;
@@ -404,10 +409,11 @@
 }
 
 /**
- * mm_http_request_on_left() - learn that the caller closed its connection.
+ * mm_http_request_on_left() - watch for the caller closing its connection.
  * @r: a request that is not answered yet.
- * @left: called at most once; the request still wants mm_http_reply().
- * @ctx: for @left.
+ * @left: called at most once; the request must still be answered with
+ *        mm_http_reply().
+ * @ctx: context pointer for @left.
  */
 void
 mm_http_request_on_left (mm_http_request *r, mm_http_left_cb left, void *ctx)
@@ -418,19 +424,20 @@
     return;
   r->left = left;
   r->left_ctx = ctx;
-  ev_io_init (&r->left_io, left_cb, info->connect_fd, EV_READ);
-  r->left_io.data = r;
-  ev_io_start (r->server->loop, &r->left_io);
+  ev_io_init (&r->caller_socket_io, caller_socket_cb, info->connect_fd,
+              EV_READ);
+  r->caller_socket_io.data = r;
+  ev_io_start (r->server->loop, &r->caller_socket_io);
 }
 
 /**
- * mm_http_server_set_leaving() - see callers off.
+ * mm_http_server_set_leaving() - make callers connect to another instance.
  * @s: the server; each connection is closed with its next answer, or after
- *     MM_HTTP_LEAVING_IDLE_S without a request, so that its caller comes
- *     back elsewhere.
+ *     MM_HTTP_LEAVING_IDLE_S without a request, so that its caller connects
+ *     elsewhere for its next request.
  *
- * Without the second, a caller's spare connection brought requests until
- * the very end of a shutdown, and some were cut off by it.
+ * Without the idle limit, spare connections of callers brought requests until
+ * the very end of a shutdown, and some of these were aborted by it.
  */
 void
 mm_http_server_set_leaving (mm_http_server *s)
@@ -443,7 +450,7 @@
   g_hash_table_iter_init (&it, s->connections);
   while (g_hash_table_iter_next (&it, &conn, NULL))
     limit_idle (s, conn);
-  ev_idle_start (s->loop, &s->kick);
+  ev_idle_start (s->loop, &s->run_soon);
 }
 
 uint32_t
@@ -469,7 +476,7 @@
     return;
   r->answered = true;
   r->left = NULL;
-  ev_io_stop (r->server->loop, &r->left_io);
+  ev_io_stop (r->server->loop, &r->caller_socket_io);
   r->status = status;
   r->answer = g_strdup (body);
   r->retry_after_s = retry_after_s;
@@ -478,5 +485,5 @@
   r->suspended = false;
   g_hash_table_remove (r->server->suspended, r);
   MHD_resume_connection (r->conn);
-  ev_idle_start (r->server->loop, &r->server->kick);
+  ev_idle_start (r->server->loop, &r->server->run_soon);
 }
--- a/src/mm_settings.c
+++ b/src/mm_settings.c
@@ -1,26 +1,27 @@
-/* mm_settings: copy a TOML document into a settings struct, checking
-   every key against a table of specs.  An unknown key, a wrong type or a
-   value out of range stops with a GError that names source, line, key
-   and reason.  */
+/* mm_settings: copies a TOML document into a settings struct and checks every
+   key against a table of specs.  A document with an unknown key, a wrong type
+   or a value out of range is rejected with a GError that names source, line,
+   key and reason.  */
 #include "masticmill.h"
 
 #include <string.h>
 
-/* "teams.*" takes any key under "teams.".  */
+/* Returns whether @key belongs to the table of @setting: the spec "teams.*"
+   accepts any key that begins with "teams.".  */
 static bool
-in_table (const mm_setting_spec *s, const char *key)
+in_table (const mm_setting_spec *setting, const char *key)
 {
-  size_t prefix = strlen (s->key) - 1;
-  return strncmp (s->key, key, prefix) == 0 && key[prefix];
+  size_t prefix = strlen (setting->key) - 1;
+  return strncmp (setting->key, key, prefix) == 0 && key[prefix];
 }
 
 static const mm_setting_spec *
 find_spec (const mm_setting_spec *specs, const char *key)
 {
-  for (const mm_setting_spec *s = specs; s->key; s++)
-    if (strcmp (s->key, key) == 0
-        || (s->type == MM_SETTING_INT_TABLE && in_table (s, key)))
-      return s;
+  for (const mm_setting_spec *setting = specs; setting->key; setting++)
+    if (strcmp (setting->key, key) == 0
+        || (setting->type == MM_SETTING_INT_TABLE && in_table (setting, key)))
+      return setting;
   return NULL;
 }
 
@@ -46,27 +47,27 @@
 }
 
 static bool
-type_matches (mm_setting_type want, mm_toml_type have)
+type_matches (mm_setting_type expected, mm_toml_type actual)
 {
-  switch (want)
+  switch (expected)
     {
     case MM_SETTING_INT:
     case MM_SETTING_INT_TABLE:
-      return have == MM_TOML_INT;
+      return actual == MM_TOML_INT;
     case MM_SETTING_BOOL:
-      return have == MM_TOML_BOOL;
+      return actual == MM_TOML_BOOL;
     case MM_SETTING_STRING:
-      return have == MM_TOML_STRING;
+      return actual == MM_TOML_STRING;
     case MM_SETTING_STRINGS:
-      return have == MM_TOML_STRING_ARRAY;
+      return actual == MM_TOML_STRING_ARRAY;
     case MM_SETTING_FLOAT:
-      return have == MM_TOML_FLOAT || have == MM_TOML_INT;
+      return actual == MM_TOML_FLOAT || actual == MM_TOML_INT;
     }
   return false;
 }
 
 static void
-store (const mm_setting_spec *spec, void *target, const mm_toml_entry *e)
+store_value (const mm_setting_spec *spec, void *target, const mm_toml_entry *e)
 {
   char *field = (char *)target + spec->offset;
   switch (spec->type)
@@ -102,21 +103,22 @@
 
 /**
  * mm_settings_apply() - check a document and copy it into @target.
- * @specs: table ended by an entry whose key is NULL.
- * @target: struct the specs' offsets point into; string fields must be
- *          NULL or g_malloc'ed, since they are replaced.
+ * @specs: table that ends with an entry whose key is NULL.
+ * @target: struct that the specs' offsets refer to; its string fields must be
+ *          NULL or allocated with g_malloc(), since they are freed and
+ *          replaced.
  * @t: the document.
  * @error: MM_ERROR_CONFIG_UNKNOWN_KEY, MM_ERROR_CONFIG_TYPE or
  *         MM_ERROR_CONFIG_RANGE, naming "source:line: key: reason".
  *
- * Nothing is copied unless every entry checks, so a bad file leaves the
- * running settings whole.  Return: true on success.
+ * Nothing is copied unless every entry is valid, so an invalid file leaves the
+ * settings in @target unchanged.  Return: true on success.
  */
 bool
 mm_settings_apply (const mm_setting_spec *specs, void *target,
                    const mm_toml *t, GError **error)
 {
-  const char *src = mm_toml_source (t);
+  const char *source = mm_toml_source (t);
   for (size_t i = 0; i < mm_toml_count (t); i++)
     {
       const mm_toml_entry *e = mm_toml_at (t, i);
@@ -124,13 +126,13 @@
       if (!spec)
         {
           g_set_error (error, MM_ERROR, MM_ERROR_CONFIG_UNKNOWN_KEY,
-                       "%s:%u: %s: unknown key", src, e->line, e->key);
+                       "%s:%u: %s: unknown key", source, e->line, e->key);
           return false;
         }
       if (!type_matches (spec->type, e->type))
         {
           g_set_error (error, MM_ERROR, MM_ERROR_CONFIG_TYPE,
-                       "%s:%u: %s: must be %s", src, e->line, e->key,
+                       "%s:%u: %s: must be %s", source, e->line, e->key,
                        type_name (spec->type));
           return false;
         }
@@ -141,14 +143,14 @@
               error, MM_ERROR, MM_ERROR_CONFIG_RANGE,
               "%s:%u: %s: %" G_GINT64_FORMAT
               " is out of range %" G_GINT64_FORMAT "..%" G_GINT64_FORMAT,
-              src, e->line, e->key, e->int_value, spec->min, spec->max);
+              source, e->line, e->key, e->int_value, spec->min, spec->max);
           return false;
         }
     }
   for (size_t i = 0; i < mm_toml_count (t); i++)
     {
       const mm_toml_entry *e = mm_toml_at (t, i);
-      store (find_spec (specs, e->key), target, e);
+      store_value (find_spec (specs, e->key), target, e);
     }
   return true;
 }
@@ -158,7 +160,8 @@
  * @specs: as for mm_settings_apply().
  * @target: as for mm_settings_apply().
  * @path: the TOML file.
- * @error: MM_ERROR_IO, MM_ERROR_CONFIG_SYNTAX or a check failure.
+ * @error: MM_ERROR_IO, MM_ERROR_CONFIG_SYNTAX or an error of
+ *         mm_settings_apply().
  *
  * Return: true on success.
  */
@@ -166,10 +169,10 @@
 mm_settings_load_file (const mm_setting_spec *specs, void *target,
                        const char *path, GError **error)
 {
-  mm_toml *t = mm_toml_parse_file (path, error);
-  if (!t)
+  mm_toml *document = mm_toml_parse_file (path, error);
+  if (!document)
     return false;
-  bool ok = mm_settings_apply (specs, target, t, error);
-  mm_toml_destroy (t);
+  bool ok = mm_settings_apply (specs, target, document, error);
+  mm_toml_destroy (document);
   return ok;
 }
--- a/src/mm_toml.cc
+++ b/src/mm_toml.cc
@@ -1,5 +1,6 @@
-// mm_toml: the one C++ file.  toml++ parses; the C side sees a flat list
-// of leaf entries with dotted keys, so settings checks stay in C.
+// mm_toml: parses TOML with toml++; the only C++ file of the project.  The C
+// code gets a flat list of leaf entries with dotted keys, so that settings are
+// checked in C.
 #include "masticmill.h"
 
 #include <cstring>
@@ -71,7 +72,7 @@
   else
     {
       g_set_error (error, MM_ERROR, MM_ERROR_CONFIG_TYPE,
-                   "%s:%u: %s: dates and times are not settings",
+                   "%s:%u: %s: dates and times are not allowed",
                    t->source.c_str (), e.line, key.c_str ());
       return false;
     }
@@ -116,9 +117,9 @@
 /**
  * mm_toml_parse_string() - parse TOML text.
  * @text: the document.
- * @source: name used in errors (file name or a label).
+ * @source: name used in error messages (a file name or a label).
  * @error: MM_ERROR_CONFIG_SYNTAX with line and column on bad TOML,
- *         MM_ERROR_CONFIG_TYPE for values settings cannot hold.
+ *         MM_ERROR_CONFIG_TYPE for a value of a type that no setting has.
  *
  * Return: the document, or NULL with @error set.
  */
@@ -203,9 +204,10 @@
 }
 
 /**
- * mm_toml_overlay() - lay an overlay over a base document.
- * @base: changed in place.
- * @overlay: its keys replace the base's; new keys are added.
+ * mm_toml_overlay() - apply an overlay to a base document.
+ * @base: document that is changed in place.
+ * @overlay: document whose entries replace those of @base with the same key;
+ *           entries with other keys are added.
  */
 void
 mm_toml_overlay (mm_toml *base, const mm_toml *overlay)
