--- a/tests/explain.sh
+++ b/tests/explain.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# An on-call engineer has a request's id and the instances' logs, nothing
-# else.  For each of three kinds of failed request, made by
-# scripts/explain.sh, masticctl explain must name the cause.
+# Guards against masticctl explain naming no cause, or a wrong one, for a failed
+# request: an on-call engineer has only the job's id and the instances' logs.
+# scripts/explain.sh makes three kinds of failed request, and explains each.
 set -euo pipefail
 here=$(cd "$(dirname "$0")/.." && pwd)
 log=$(mktemp -d)
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -1,4 +1,4 @@
-/* Test harness: see harness.h.  */
+/* harness: see harness.h.  */
 #include "harness.h"
 
 #include <arpa/inet.h>
@@ -15,24 +15,25 @@
 const char *h_platform_extra, *h_entry_extra, *h_upstream_extra;
 const char *h_datacentres[8];
 int h_platform_port, h_upstream_ports[8], h_entry_ports[8];
-static int n_up, n_en;
+static int n_started_upstreams, n_started_instances;
 
-/* Test cases run side by side, each in a block of ports of its own, below the
-   ephemeral range (32768 up), so that no client socket holds one.  The last
-   port of a block is listened on for as long as the case runs: two cases
-   whose process ids fell on one block started on each other's stand-ins.  */
+/* Test cases run in parallel.  Each uses its own block of ports, below the
+   ephemeral range (32768 and up), so that no client socket occupies one.  The
+   last port of a block is listened on while the case runs, which marks the
+   block as used: without that, two cases whose process ids map to the same
+   block used each other's stand-ins.  */
 #define FIRST_PORT 10000
 #define PORT_BLOCKS 500
 #define PORTS_PER_BLOCK 40
 
 static bool
-take_port (int port)
+listen_on_port (int port)
 {
-  struct sockaddr_in a = { .sin_family = AF_INET,
-                           .sin_port = htons ((uint16_t)port),
-                           .sin_addr = { htonl (INADDR_LOOPBACK) } };
+  struct sockaddr_in addr = { .sin_family = AF_INET,
+                              .sin_port = htons ((uint16_t)port),
+                              .sin_addr = { htonl (INADDR_LOOPBACK) } };
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  if (fd >= 0 && bind (fd, (struct sockaddr *)&a, sizeof a) == 0
+  if (fd >= 0 && bind (fd, (struct sockaddr *)&addr, sizeof addr) == 0
       && listen (fd, 1) == 0)
     return true;
   if (fd >= 0)
@@ -40,19 +41,20 @@
   return false;
 }
 
+/* Each test case runs in its own process, so that it chooses a block again. */
 int
 h_port_base (void)
 {
   static int base;
-  static pid_t owner; /* each test case is a process of its own */
-  if (owner == getpid ())
+  static pid_t base_pid; /* process that chose @base */
+  if (base_pid == getpid ())
     return base;
-  owner = getpid ();
-  int block = owner % PORT_BLOCKS;
-  for (int tried = 0; tried < PORT_BLOCKS; tried++)
+  base_pid = getpid ();
+  int block = base_pid % PORT_BLOCKS;
+  for (int n_tried = 0; n_tried < PORT_BLOCKS; n_tried++)
     {
       base = FIRST_PORT + block * PORTS_PER_BLOCK;
-      if (take_port (base + PORTS_PER_BLOCK - 1))
+      if (listen_on_port (base + PORTS_PER_BLOCK - 1))
         return base;
       block = (block + 1) % PORT_BLOCKS;
     }
@@ -60,18 +62,19 @@
   return 0;
 }
 
-/* A test that fails once is traced by what its processes logged.  */
+/* Appends the output of a child process to a file, so that a test that fails
+   only once can be traced from the logs of its processes.  */
 static void
-log_to_file (int port_base, const char *program)
+redirect_output (int port_base, const char *program)
 {
-  char *folder = g_strdup_printf ("%s/test-logs", MM_BIN_DIR);
-  char *path = g_strdup_printf ("%s/%d-%s-%d.log", folder, port_base, program,
-                                (int)getpid ());
-  g_mkdir_with_parents (folder, 0755);
+  char *directory = g_strdup_printf ("%s/test-logs", MM_BIN_DIR);
+  char *path = g_strdup_printf ("%s/%d-%s-%d.log", directory, port_base,
+                                program, (int)getpid ());
+  g_mkdir_with_parents (directory, 0755);
   freopen (path, "a", stderr);
   freopen (path, "a", stdout);
   g_free (path);
-  g_free (folder);
+  g_free (directory);
 }
 
 pid_t
@@ -80,25 +83,25 @@
   char *path = g_strdup_printf ("%s/%s", MM_BIN_DIR, program);
   GPtrArray *args = g_ptr_array_new ();
   g_ptr_array_add (args, path);
-  va_list ap;
-  va_start (ap, program);
-  const char *a;
-  while ((a = va_arg (ap, const char *)))
+  va_list arg_list;
+  va_start (arg_list, program);
+  const char *arg;
+  while ((arg = va_arg (arg_list, const char *)))
     {
       g_ptr_array_add (args, (char *)"--set");
-      g_ptr_array_add (args, (char *)a);
+      g_ptr_array_add (args, (char *)arg);
     }
-  va_end (ap);
+  va_end (arg_list);
   g_ptr_array_add (args, NULL);
   int port_base = h_port_base ();
   pid_t pid = fork ();
   if (pid == 0)
     {
-      /* Daemons die with the test process, even when an assertion ends
-         it early.  */
+      /* Daemons are killed when the test process ends, also when a failed
+         assertion ends it early.  */
       prctl (PR_SET_PDEATHSIG, SIGKILL);
       if (!g_getenv ("MM_TEST_LOGS"))
-        log_to_file (port_base, program);
+        redirect_output (port_base, program);
       execv (path, (char **)args->pdata);
       _exit (127);
     }
@@ -127,14 +130,14 @@
 bool
 h_wait_port (int port, mm_time_ms timeout_ms)
 {
-  mm_time_ms until = mm_clock_now_ms () + timeout_ms;
-  while (mm_clock_now_ms () < until)
+  mm_time_ms timeout_at_ms = mm_clock_now_ms () + timeout_ms;
+  while (mm_clock_now_ms () < timeout_at_ms)
     {
       int fd = socket (AF_INET, SOCK_STREAM, 0);
-      struct sockaddr_in a
+      struct sockaddr_in addr
           = { .sin_family = AF_INET, .sin_port = htons ((uint16_t)port) };
-      inet_pton (AF_INET, "127.0.0.1", &a.sin_addr);
-      int rc = connect (fd, (struct sockaddr *)&a, sizeof a);
+      inet_pton (AF_INET, "127.0.0.1", &addr.sin_addr);
+      int rc = connect (fd, (struct sockaddr *)&addr, sizeof addr);
       close (fd);
       if (rc == 0)
         return true;
@@ -148,13 +151,14 @@
         long *status)
 {
   char *url = g_strdup_printf ("http://127.0.0.1:%d%s", port, path);
-  long st = 0;
-  char *ans = mm_http_call_sync (method, url, body, 30000, &st, NULL);
+  long http_status = 0;
+  char *answer
+      = mm_http_call_sync (method, url, body, 30000, &http_status, NULL);
   g_free (url);
   if (status)
-    *status = st;
-  cJSON *o = ans ? cJSON_Parse (ans) : NULL;
-  g_free (ans);
+    *status = http_status;
+  cJSON *o = answer ? cJSON_Parse (answer) : NULL;
+  g_free (answer);
   return o;
 }
 
@@ -162,35 +166,36 @@
 h_job_json (const char *job_id, int n, int run_ms, int deadline_ms,
             bool idempotent)
 {
-  GString *s = g_string_new (NULL);
-  g_string_append_printf (s, "{\"job_id\":\"%s\",\"team\":\"t\",\"tasks\":[",
+  GString *out = g_string_new (NULL);
+  g_string_append_printf (out, "{\"job_id\":\"%s\",\"team\":\"t\",\"tasks\":[",
                           job_id);
   for (int i = 0; i < n; i++)
-    g_string_append_printf (s,
+    g_string_append_printf (out,
                             "%s{\"id\":\"%s-t%d\",\"payload\":\"p\","
                             "\"run_ms\":%d,\"deadline_ms\":%d,"
                             "\"idempotent\":%s}",
                             i ? "," : "", job_id, i, run_ms, deadline_ms,
                             idempotent ? "true" : "false");
-  g_string_append (s, "]}");
-  return g_string_free (s, FALSE);
+  g_string_append (out, "]}");
+  return g_string_free (out, FALSE);
 }
 
-/* Tasks of a job started on one upstream, and the most starts of one.  */
+/* Returns how many tasks of a job have started on one upstream.  Raises
+   @max_count, if not NULL, to the most starts of one of these tasks.  */
 int
 h_starts_of (int upstream_port, const char *job_id, int *max_count)
 {
   cJSON *o = h_call ("GET", upstream_port, "/v1/starts", NULL, NULL);
   int n = 0;
-  const cJSON *s;
+  const cJSON *count;
   char *prefix = g_strdup_printf ("%s/", job_id);
-  cJSON_ArrayForEach (s, cJSON_GetObjectItem (o, "starts"))
+  cJSON_ArrayForEach (count, cJSON_GetObjectItem (o, "starts"))
     {
-      if (!g_str_has_prefix (s->string, prefix))
+      if (!g_str_has_prefix (count->string, prefix))
         continue;
       n++;
-      if (max_count && (int)s->valuedouble > *max_count)
-        *max_count = (int)s->valuedouble;
+      if (max_count && (int)count->valuedouble > *max_count)
+        *max_count = (int)count->valuedouble;
     }
   g_free (prefix);
   cJSON_Delete (o);
@@ -201,36 +206,37 @@
 h_starts (const char *job_id, int *max_count)
 {
   int n = 0;
-  for (int i = 0; i < n_up; i++)
+  for (int i = 0; i < n_started_upstreams; i++)
     n += h_starts_of (h_upstream_ports[i], job_id, max_count);
   return n;
 }
 
 enum
 {
-  SUBMIT_COMPLETE = 100 /* added to the status class in the exit code */
+  SUBMIT_COMPLETE = 100 /* added to the status class in the exit code when the
+                           job is complete */
 };
 
 pid_t
-h_submit (int entry, const char *job)
+h_submit (int instance, const char *job)
 {
   pid_t pid = fork ();
   if (pid)
     return pid;
   long st = 0;
-  cJSON *o = h_call ("POST", h_entry_ports[entry], "/v1/jobs", job, &st);
+  cJSON *o = h_call ("POST", h_entry_ports[instance], "/v1/jobs", job, &st);
   const char *status
       = cJSON_GetStringValue (cJSON_GetObjectItem (o, "status"));
   if (st == 200 && status && g_str_equal (status, "complete"))
     _exit (SUBMIT_COMPLETE + 2);
   char *text = cJSON_PrintUnformatted (o);
-  fprintf (stderr, "instance %d answered %ld: %.300s\n", entry, st,
+  fprintf (stderr, "instance %d answered %ld: %.300s\n", instance, st,
            text ? text : "(none)");
   _exit ((int)(st / 100));
 }
 
 static int
-exit_of (pid_t pid)
+wait_exit_code (pid_t pid)
 {
   int st;
   waitpid (pid, &st, 0);
@@ -240,13 +246,13 @@
 bool
 h_answered (pid_t submit)
 {
-  return exit_of (submit) == SUBMIT_COMPLETE + 2;
+  return wait_exit_code (submit) == SUBMIT_COMPLETE + 2;
 }
 
 int
 h_status_class (pid_t submit)
 {
-  return exit_of (submit) % SUBMIT_COMPLETE;
+  return wait_exit_code (submit) % SUBMIT_COMPLETE;
 }
 
 void
@@ -269,8 +275,8 @@
 h_wait_json (int port, const char *path, const char *key, double want,
              mm_time_ms timeout_ms)
 {
-  mm_time_ms until = mm_clock_now_ms () + timeout_ms;
-  while (mm_clock_now_ms () < until)
+  mm_time_ms timeout_at_ms = mm_clock_now_ms () + timeout_ms;
+  while (mm_clock_now_ms () < timeout_at_ms)
     {
       cJSON *o = h_call ("GET", port, path, NULL, NULL);
       double v = cJSON_GetNumberValue (cJSON_GetObjectItem (o, key));
@@ -282,25 +288,25 @@
   return false;
 }
 
-/* Entry instance i of the cluster, on its own ports.  */
+/* Starts entry instance @i of the cluster on its own ports.  */
 void
 h_start_entry (int i)
 {
   int base = h_port_base ();
-  char port[64], name[64], peer[64], plat[80];
-  g_snprintf (plat, sizeof plat, "entry.platform_url=\"http://127.0.0.1:%d\"",
-              base);
+  char port[64], name[64], peer[64], platform_setting[80];
+  g_snprintf (platform_setting, sizeof platform_setting,
+              "entry.platform_url=\"http://127.0.0.1:%d\"", base);
   h_entry_ports[i] = base + 20 + i;
   g_snprintf (port, 64, "entry.port=%d", h_entry_ports[i]);
   g_snprintf (name, 64, "entry.name=\"entry%d\"", i);
   g_snprintf (peer, 64, "entry.peer_port=%d", base + 30 + i);
-  h_entries[i] = h_start ("masticmill-entry", port, name, peer, plat,
-                          "entry.heartbeat_ms=200", "entry.member_poll_ms=200",
-                          h_entry_extra, NULL);
-  n_en = MAX (n_en, i + 1);
+  h_entries[i] = h_start ("masticmill-entry", port, name, peer,
+                          platform_setting, "entry.heartbeat_ms=200",
+                          "entry.member_poll_ms=200", h_entry_extra, NULL);
+  n_started_instances = MAX (n_started_instances, i + 1);
 }
 
-/* Instance i of the dispatcher, on its own ports.  */
+/* Starts instance @i of the dispatcher on its own ports.  */
 void
 h_start_node (int i)
 {
@@ -318,7 +324,7 @@
   h_entries[i]
       = h_start ("masticmill-node", set[0], set[1], set[2], set[3], set[4],
                  set[5], set[6], "node.datacentres=[\"dc1\",\"dc2\"]", NULL);
-  n_en = MAX (n_en, i + 1);
+  n_started_instances = MAX (n_started_instances, i + 1);
 }
 
 int
@@ -327,9 +333,10 @@
   return h_port_base () + 32 + i;
 }
 
-/* Upstreams that all instances own together; each instance's peers.  */
+/* Returns how many usable upstreams the instances own together, and sets
+   @all_linked to whether each instance is linked to all others.  */
 static int
-owned_together (int n_nodes, bool *all_linked)
+count_owned (int n_nodes, bool *all_linked)
 {
   int owned = 0;
   *all_linked = true;
@@ -337,10 +344,10 @@
     {
       cJSON *o = h_call ("GET", h_node_state_port (i), "/", NULL, NULL);
       double peers = cJSON_GetNumberValue (cJSON_GetObjectItem (o, "peers"));
-      const cJSON *u = cJSON_GetObjectItem (cJSON_GetObjectItem (o, "owner"),
-                                            "upstreams");
+      const cJSON *upstreams = cJSON_GetObjectItem (
+          cJSON_GetObjectItem (o, "owner"), "upstreams");
       const cJSON *row;
-      cJSON_ArrayForEach (row, u)
+      cJSON_ArrayForEach (row, upstreams)
         owned += cJSON_IsTrue (cJSON_GetObjectItem (row, "usable"));
       *all_linked = *all_linked && peers == n_nodes - 1;
       cJSON_Delete (o);
@@ -351,20 +358,21 @@
 bool
 h_wait_nodes (int n_nodes, int n_upstreams, mm_time_ms timeout_ms)
 {
-  mm_time_ms until = mm_clock_now_ms () + timeout_ms;
+  mm_time_ms timeout_at_ms = mm_clock_now_ms () + timeout_ms;
   bool linked = false;
-  while (mm_clock_now_ms () < until)
+  while (mm_clock_now_ms () < timeout_at_ms)
     {
-      if (owned_together (n_nodes, &linked) == n_upstreams && linked)
+      if (count_owned (n_nodes, &linked) == n_upstreams && linked)
         return true;
       g_usleep (50000);
     }
   return false;
 }
 
-/* A process's log so far, whole at its exit at the latest.  */
+/* Returns what a process has logged so far, g_free().  The log is complete
+   when the process has exited.  */
 static char *
-log_of (const char *program, pid_t pid)
+read_log (const char *program, pid_t pid)
 {
   char *path = g_strdup_printf ("%s/test-logs/%d-%s-%d.log", MM_BIN_DIR,
                                 h_port_base (), program, (int)pid);
@@ -376,9 +384,9 @@
 }
 
 static int
-lines_of (const char *program, pid_t pid, const char *text)
+count_lines (const char *program, pid_t pid, const char *text)
 {
-  char *log = log_of (program, pid);
+  char *log = read_log (program, pid);
   int n = 0;
   for (const char *p = log; (p = strstr (p, text)); p++)
     n++;
@@ -389,31 +397,31 @@
 int
 h_log_lines (pid_t pid, const char *text)
 {
-  return lines_of ("masticmill-node", pid, text);
+  return count_lines ("masticmill-node", pid, text);
 }
 
 int
 h_upstream_log_lines (int i, const char *text)
 {
-  return lines_of ("masticmill-upstream", h_upstreams[i], text);
+  return count_lines ("masticmill-upstream", h_upstreams[i], text);
 }
 
 mm_time_ms
-h_log_time_ms (pid_t pid, const char *text, const char *also)
+h_log_time_ms (pid_t pid, const char *text, const char *second_text)
 {
-  char *log = log_of ("masticmill-node", pid);
+  char *log = read_log ("masticmill-node", pid);
   char **lines = g_strsplit (log, "\n", 0);
-  double at_ms = -1;
-  for (char **l = lines; *l && at_ms < 0; l++)
-    if (strstr (*l, text) && strstr (*l, also))
+  double logged_ms = -1;
+  for (char **l = lines; *l && logged_ms < 0; l++)
+    if (strstr (*l, text) && strstr (*l, second_text))
       {
         cJSON *o = cJSON_Parse (*l);
-        at_ms = cJSON_GetNumberValue (cJSON_GetObjectItem (o, "ts_ms"));
+        logged_ms = cJSON_GetNumberValue (cJSON_GetObjectItem (o, "ts_ms"));
         cJSON_Delete (o);
       }
   g_strfreev (lines);
   g_free (log);
-  return (mm_time_ms)at_ms;
+  return (mm_time_ms)logged_ms;
 }
 
 static void
@@ -432,7 +440,7 @@
   h_upstreams[i]
       = h_start ("masticmill-upstream", set[0], set[1], set[2], set[3], set[4],
                  "upstream.heartbeat_ms=200", h_upstream_extra, NULL);
-  n_up = MAX (n_up, i + 1);
+  n_started_upstreams = MAX (n_started_upstreams, i + 1);
 }
 
 void
@@ -451,7 +459,7 @@
       "\"attempts\":3,\"stretch\":3,\"slo_ms\":500}]}",
       &status));
   ck_assert_int_eq (status, 200);
-  n_en = n_up = 0;
+  n_started_instances = n_started_upstreams = 0;
   for (int i = 0; i < n_upstreams; i++)
     start_upstream (i, slots);
   for (int i = 0; i < n_nodes; i++)
@@ -459,7 +467,7 @@
   ck_assert (h_wait_nodes (n_nodes, n_upstreams, 10000));
 }
 
-/* A platform, n upstreams and n entry instances on ports from the base. */
+/* Starts a platform, upstreams and entry instances on ports from the base.  */
 void
 h_cluster (int n_upstreams, int n_entries, int member_lag_ms)
 {
@@ -472,31 +480,33 @@
   h_platform = h_start ("masticmill-platform", buf[0], buf[1],
                         "platform.member_ttl_ms=1500", h_platform_extra, NULL);
   ck_assert (h_wait_port (base, 5000));
-  char plat[64];
-  g_snprintf (plat, sizeof plat,
+  char platform_setting[64];
+  g_snprintf (platform_setting, sizeof platform_setting,
               "upstream.platform_url=\"http://127.0.0.1:%d\"", base);
-  n_up = n_upstreams;
+  n_started_upstreams = n_upstreams;
   for (int i = 0; i < n_upstreams; i++)
     {
       h_upstream_ports[i] = base + 10 + i;
       g_snprintf (buf[2], 64, "upstream.port=%d", h_upstream_ports[i]);
       g_snprintf (buf[3], 64, "upstream.name=\"up%d\"", i);
-      h_upstreams[i] = h_start ("masticmill-upstream", buf[2], buf[3], plat,
-                                "upstream.heartbeat_ms=200", NULL);
+      h_upstreams[i]
+          = h_start ("masticmill-upstream", buf[2], buf[3], platform_setting,
+                     "upstream.heartbeat_ms=200", NULL);
     }
-  n_en = 0;
+  n_started_instances = 0;
   for (int i = 0; i < n_entries; i++)
     h_start_entry (i);
   for (int i = 0; i < n_upstreams; i++)
     ck_assert (h_wait_port (h_upstream_ports[i], 5000));
   for (int i = 0; i < n_entries; i++)
     ck_assert (h_wait_port (h_entry_ports[i], 5000));
-  /* Every entry instance knows every upstream from the member list.  */
+  /* Wait until every entry instance has read all upstreams from the member
+     list.  */
   for (int i = 0; i < n_entries; i++)
     {
-      mm_time_ms until = mm_clock_now_ms () + 5000;
+      mm_time_ms timeout_at_ms = mm_clock_now_ms () + 5000;
       int known = 0;
-      while (known < n_upstreams && mm_clock_now_ms () < until)
+      while (known < n_upstreams && mm_clock_now_ms () < timeout_at_ms)
         {
           cJSON *o = h_call ("GET", h_entry_ports[i], "/v1/state", NULL, NULL);
           known = cJSON_GetArraySize (cJSON_GetObjectItem (o, "upstreams"));
@@ -510,12 +520,12 @@
 void
 h_cluster_stop (void)
 {
-  for (int i = 0; i < n_en; i++)
+  for (int i = 0; i < n_started_instances; i++)
     h_stop (h_entries[i], SIGKILL);
-  for (int i = 0; i < n_up; i++)
+  for (int i = 0; i < n_started_upstreams; i++)
     h_stop (h_upstreams[i], SIGKILL);
   h_stop (h_platform, SIGKILL);
-  n_en = n_up = 0;
+  n_started_instances = n_started_upstreams = 0;
 }
 
 GArray *
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,6 +1,6 @@
-/* Test harness: start our daemons as child processes on loopback, talk
-   to them over HTTP, stop them by pid.  No cluster simulator: each test
-   causes its fault through the stand-ins or a signal.  */
+/* harness: starts the daemons as child processes on loopback, calls them over
+   HTTP and stops them by pid.  There is no cluster simulator: each test causes
+   its fault through the stand-ins or with a signal.  */
 #ifndef MM_HARNESS_H
 #define MM_HARNESS_H
 
@@ -9,55 +9,74 @@
 #include <masticmill.h>
 #include <sys/types.h>
 
-int h_port_base (void);                   /* per test process */
-pid_t h_start (const char *program, ...); /* NULL-ended --set args */
-void h_stop (pid_t pid, int sig);         /* signal and reap */
+/* First port of the block of ports of this test process.  */
+int h_port_base (void);
+/* Starts a daemon.  The arguments after @program are values of --set; the last
+   one is NULL.  */
+pid_t h_start (const char *program, ...);
+/* Continues the process if it is stopped, sends @sig and waits for the process
+   to exit; kills it after 5 s.  */
+void h_stop (pid_t pid, int sig);
+/* Waits until a process listens on @port.  */
 bool h_wait_port (int port, mm_time_ms timeout_ms);
 cJSON *h_call (const char *method, int port, const char *path,
-               const char *body, long *status); /* JSON answer or NULL */
+               const char *body, long *status); /* the JSON answer, or NULL */
 char *h_job_json (const char *job_id, int n, int run_ms, int deadline_ms,
-                  bool idempotent); /* a job body */
-/* Hand a job in from a process of its own; h_answered() tells whether a
-   whole complete answer came, h_status_class() the first digit of the
-   HTTP status (0: none).  */
-pid_t h_submit (int entry, const char *job);
+                  bool idempotent); /* a job with @n tasks, g_free() */
+/* Submits a job to instance @instance from a child process.  One of the next
+   two functions then waits for the answer: h_answered() returns whether it
+   says that the job is complete, h_status_class() returns the first digit of
+   its HTTP status, 0 without an answer.  */
+pid_t h_submit (int instance, const char *job);
 bool h_answered (pid_t submit);
 int h_status_class (pid_t submit);
-int h_starts (const char *job_id, int *max_count); /* at all upstreams */
-void h_platform_fault (const char *json);
-int h_run_suite (Suite *s); /* exit status for main */
-/* A run that an upstream stand-in saw.  */
+/* Return: for how many tasks of a job an upstream has counted starts, added up
+   over all upstreams.  @max_count, if not NULL, is raised to the most starts
+   of one task at one upstream.  */
+int h_starts (const char *job_id, int *max_count);
+void h_platform_fault (const char *json); /* body of POST /v1/faults */
+int h_run_suite (Suite *s);               /* exit status for main() */
+/* A run, as an upstream stand-in logged it.  */
 typedef struct
 {
   char task[64];
   double from_ms;
   double to_ms;
-  int upstream;
+  int upstream; /* index of the upstream */
   bool done;
 } h_run;
-/* Runs of the first upstreams; @over_capacity (or NULL) counts starts that
-   brought one over its room.  */
+/* Return: the runs on the first @n_upstreams upstreams.  @over_capacity, if
+   not NULL, is raised by the number of starts that exceeded an upstream's
+   capacity.  */
 GArray *h_runs (int n_upstreams, int *over_capacity);
+/* As h_starts(), for one upstream.  */
 int h_starts_of (int upstream_port, const char *job_id, int *max_count);
+/* Waits until the number @key at the top level of the answer is @want.  */
 bool h_wait_json (int port, const char *path, const char *key, double want,
-                  mm_time_ms timeout_ms); /* top-level number */
+                  mm_time_ms timeout_ms);
+/* Starts a platform, upstreams and entry instances.  */
 void h_cluster (int n_upstreams, int n_entries, int member_lag_ms);
 void h_cluster_stop (void);
-void h_start_entry (int i); /* one more entry instance */
-/* A platform, upstreams and instances of masticmill-node; h_entries and
-   h_entry_ports are the instances'.  */
+void h_start_entry (int i); /* one more entry instance, or instance @i again */
+/* Starts a platform, upstreams and instances of masticmill-node; the instances
+   have their pids in h_entries and their ports in h_entry_ports.  */
 void h_nodes (int n_upstreams, int slots, int n_nodes);
 void h_start_node (int i);
-extern const char *h_datacentres[8]; /* of instance and upstream i, or NULL */
+/* Data centre of instance i and of upstream i; NULL: dc1.  */
+extern const char *h_datacentres[8];
 int h_node_state_port (int i);
-int h_log_lines (pid_t pid, const char *text); /* that hold it */
-/* When it first logged a line with both texts, by the wall clock; -1: never.
- */
-mm_time_ms h_log_time_ms (pid_t pid, const char *text, const char *also);
+/* Return: how often @text occurs in the log of an instance.  */
+int h_log_lines (pid_t pid, const char *text);
+/* Return: when an instance first logged a line that contains both texts, by
+   the wall clock; -1: never.  */
+mm_time_ms h_log_time_ms (pid_t pid, const char *text,
+                          const char *second_text);
+/* Waits until the instances are linked to each other and own all upstreams. */
 bool h_wait_nodes (int n_nodes, int n_upstreams, mm_time_ms timeout_ms);
-/* One more --set each.  */
+/* One more value of --set for each process of its kind, or NULL.  */
 extern const char *h_platform_extra, *h_entry_extra, *h_upstream_extra;
-int h_upstream_log_lines (int i, const char *text); /* that hold it */
+/* Return: how often @text occurs in the log of upstream @i.  */
+int h_upstream_log_lines (int i, const char *text);
 extern pid_t h_platform, h_upstreams[8], h_entries[8];
 extern int h_platform_port, h_upstream_ports[8], h_entry_ports[8];
 
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,5 +1,5 @@
-/* The HTTP client under connection faults: a request is sent at most
-   once by one call, whatever happens to the connection under it.  */
+/* The HTTP client under connection faults: one call sends its request at most
+   once, whatever happens to the connection.  */
 #define _GNU_SOURCE
 #include "harness.h"
 
@@ -9,33 +9,33 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* A server of one thread per connection: it answers the first request
-   of the first connection and, from then on, reads each request whole
-   and closes the connection without an answer, as an executor does that
-   is killed right after it took a task.  */
+/* A server with one thread that answers only the first request.  It reads
+   each later request completely and closes the connection without an answer,
+   like an upstream that is killed right after it has accepted a task.  */
 typedef struct
 {
   int listen_fd;
   uint16_t port;
-  gint requests; /* whole requests read (atomic) */
+  gint requests; /* number of complete requests read (atomic) */
 } closing_server;
 
 static bool
 read_request (int fd)
 {
   char buf[4096];
-  size_t got = 0;
-  while (got < sizeof buf - 1)
+  size_t n_read = 0;
+  while (n_read < sizeof buf - 1)
     {
-      ssize_t n = read (fd, buf + got, sizeof buf - 1 - got);
+      ssize_t n = read (fd, buf + n_read, sizeof buf - 1 - n_read);
       if (n <= 0)
         return false;
-      got += (size_t)n;
-      buf[got] = '\0';
-      char *end = strstr (buf, "\r\n\r\n");
-      char *len = strcasestr (buf, "content-length:");
-      if (end && len
-          && got >= (size_t)(end + 4 - buf) + (size_t)atoi (len + 15))
+      n_read += (size_t)n;
+      buf[n_read] = '\0';
+      char *header_end = strstr (buf, "\r\n\r\n");
+      char *length_header = strcasestr (buf, "content-length:");
+      if (header_end && length_header
+          && n_read >= (size_t)(header_end + 4 - buf)
+                           + (size_t)atoi (length_header + 15))
         return true;
     }
   return false;
@@ -88,17 +88,17 @@
 static void
 call_done (const mm_http_result *res, void *ctx)
 {
-  call_result *r = ctx;
-  r->status = res->status;
-  r->sent = res->sent;
-  ev_break (r->loop, EVBREAK_ALL);
+  call_result *result = ctx;
+  result->status = res->status;
+  result->sent = res->sent;
+  ev_break (result->loop, EVBREAK_ALL);
 }
 
-/* A kept connection to an upstream dies right after the upstream took a
-   task.  The library under the client resends such a request by itself
-   on a new connection, so the task starts twice although the dispatcher
-   sent it once.  The caller must see one request and an answer lost
-   after sending.  */
+/* Guards against a task that starts twice although the client sent it once.
+   An upstream closes a reused connection right after it has accepted a task,
+   and libcurl sends such a request again on a new connection.  The upstream
+   must receive one request, and the caller must be told that the request was
+   sent but not answered.  */
 START_TEST (request_on_a_dying_kept_connection_is_sent_once)
 {
   closing_server s = { 0 };
@@ -106,14 +106,16 @@
   struct ev_loop *loop = ev_loop_new (0);
   mm_http_client *c = mm_http_client_create (loop, 4);
   char *url = g_strdup_printf ("http://127.0.0.1:%u/v1/tasks", s.port);
-  call_result r = { .loop = loop };
-  mm_http_client_call (c, "POST", url, "{\"task\":1}", 2000, call_done, &r);
+  call_result result = { .loop = loop };
+  mm_http_client_call (c, "POST", url, "{\"task\":1}", 2000, call_done,
+                       &result);
   ev_run (loop, 0);
-  ck_assert_int_eq (r.status, 200);
-  mm_http_client_call (c, "POST", url, "{\"task\":2}", 2000, call_done, &r);
+  ck_assert_int_eq (result.status, 200);
+  mm_http_client_call (c, "POST", url, "{\"task\":2}", 2000, call_done,
+                       &result);
   ev_run (loop, 0);
-  ck_assert_int_eq (r.status, 0);
-  ck_assert (r.sent);
+  ck_assert_int_eq (result.status, 0);
+  ck_assert (result.sent);
   ck_assert_int_eq (g_atomic_int_get (&s.requests), 2);
   mm_http_client_destroy (c);
   g_free (url);
