--- a/daemons/masticmill_entry.c
+++ b/daemons/masticmill_entry.c
@@ -28,9 +28,9 @@
   mm_entry_settings s;
   mm_entry_settings_defaults (&s);
   GError *err = NULL;
-  switch (mm_daemon_args (argc, argv,
-                          "Entry instance: takes jobs, dispatches tasks.",
-                          mm_entry_setting_specs, &s, &err))
+  switch (mm_daemon_args (
+      argc, argv, "Entry instance: accepts jobs, dispatches their tasks.",
+      mm_entry_setting_specs, &s, &err))
     {
     case MM_DAEMON_EXIT:
       return 0;
--- a/daemons/masticmill_node.c
+++ b/daemons/masticmill_node.c
@@ -166,7 +166,7 @@
   mm_node_settings_defaults (&settings);
   GError *error = NULL;
   switch (mm_daemon_args (argc, argv,
-                          "Instance of the dispatcher: takes jobs, runs "
+                          "Instance of the dispatcher: accepts jobs, runs "
                           "their tasks on upstreams.",
                           mm_node_setting_specs, &settings, &error))
     {
--- a/src/mm_http_client.c
+++ b/src/mm_http_client.c
@@ -345,7 +345,7 @@
  * @method: "GET", "POST", ...
  * @url: full URL.
  * @body: JSON body or NULL; copied.
- * @timeout_ms: whole-call timeout.
+ * @timeout_ms: timeout of the whole call.
  * @done: called once from the loop with the result and @ctx.
  * @ctx: context pointer for @done.
  */
@@ -379,7 +379,7 @@
  * @method: "GET", "POST", ...
  * @url: full URL.
  * @body: JSON body or NULL.
- * @timeout_ms: whole-call timeout.
+ * @timeout_ms: timeout of the whole call.
  * @status: set to the HTTP status.
  * @error: MM_ERROR_IO or MM_ERROR_TIMEOUT when no answer was received.
  *
