--- a/src/config.h
+++ b/src/config.h
@@ -329,7 +329,7 @@
 #define MM_HTTP_LEAVING_IDLE_S 1 /* the shortest that libmicrohttpd has */
 
 /* Idle connections kept by an HTTP client: four to each of 100 upstreams.  */
-#define MM_HTTP_KEPT_CONNECTIONS 400
+#define MM_HTTP_CACHED_CONNECTIONS 400
 
 /* Kept jobs, which are stored before they are accepted and run to their end
    whatever instance dies (mm_job_log, mm_kept, mm_kept_run).  */
--- a/src/mm_http_client.c
+++ b/src/mm_http_client.c
@@ -209,7 +209,7 @@
   curl_multi_setopt (c->multi, CURLMOPT_TIMERFUNCTION, curl_timer_cb);
   curl_multi_setopt (c->multi, CURLMOPT_TIMERDATA, c);
   curl_multi_setopt (c->multi, CURLMOPT_MAXCONNECTS,
-                     (long)MM_HTTP_KEPT_CONNECTIONS);
+                     (long)MM_HTTP_CACHED_CONNECTIONS);
   curl_multi_setopt (c->multi, CURLMOPT_MAX_HOST_CONNECTIONS,
                      (long)max_host_connections);
   return c;
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -11,10 +11,11 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-pid_t h_platform, h_upstreams[8], h_entries[8];
-const char *h_platform_extra, *h_entry_extra, *h_upstream_extra;
+pid_t h_platform, h_upstreams[8], h_instances[8];
+const char *h_platform_extra_setting, *h_entry_extra_setting,
+    *h_upstream_extra_setting;
 const char *h_datacentres[8];
-int h_platform_port, h_upstream_ports[8], h_entry_ports[8];
+int h_platform_port, h_upstream_ports[8], h_instance_ports[8];
 static int n_started_upstreams, n_started_instances;
 
 /* Test cases run in parallel.  Each uses its own block of ports, below the
@@ -183,7 +184,7 @@
 /* Returns how many tasks of a job have started on one upstream.  Raises
    @max_count, if not NULL, to the most starts of one of these tasks.  */
 int
-h_starts_of (int upstream_port, const char *job_id, int *max_count)
+h_count_upstream_starts (int upstream_port, const char *job_id, int *max_count)
 {
   cJSON *o = h_call ("GET", upstream_port, "/v1/starts", NULL, NULL);
   int n = 0;
@@ -203,11 +204,11 @@
 }
 
 int
-h_starts (const char *job_id, int *max_count)
+h_count_starts (const char *job_id, int *max_count)
 {
   int n = 0;
   for (int i = 0; i < n_started_upstreams; i++)
-    n += h_starts_of (h_upstream_ports[i], job_id, max_count);
+    n += h_count_upstream_starts (h_upstream_ports[i], job_id, max_count);
   return n;
 }
 
@@ -224,7 +225,7 @@
   if (pid)
     return pid;
   long st = 0;
-  cJSON *o = h_call ("POST", h_entry_ports[instance], "/v1/jobs", job, &st);
+  cJSON *o = h_call ("POST", h_instance_ports[instance], "/v1/jobs", job, &st);
   const char *status
       = cJSON_GetStringValue (cJSON_GetObjectItem (o, "status"));
   if (st == 200 && status && g_str_equal (status, "complete"))
@@ -244,19 +245,19 @@
 }
 
 bool
-h_answered (pid_t submit)
+h_submit_completed (pid_t submit)
 {
   return wait_exit_code (submit) == SUBMIT_COMPLETE + 2;
 }
 
 int
-h_status_class (pid_t submit)
+h_submit_status_class (pid_t submit)
 {
   return wait_exit_code (submit) % SUBMIT_COMPLETE;
 }
 
 void
-h_platform_fault (const char *json)
+h_set_platform_faults (const char *json)
 {
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/faults", json, NULL));
 }
@@ -296,13 +297,14 @@
   char port[64], name[64], peer[64], platform_setting[80];
   g_snprintf (platform_setting, sizeof platform_setting,
               "entry.platform_url=\"http://127.0.0.1:%d\"", base);
-  h_entry_ports[i] = base + 20 + i;
-  g_snprintf (port, 64, "entry.port=%d", h_entry_ports[i]);
+  h_instance_ports[i] = base + 20 + i;
+  g_snprintf (port, 64, "entry.port=%d", h_instance_ports[i]);
   g_snprintf (name, 64, "entry.name=\"entry%d\"", i);
   g_snprintf (peer, 64, "entry.peer_port=%d", base + 30 + i);
-  h_entries[i] = h_start ("masticmill-entry", port, name, peer,
-                          platform_setting, "entry.heartbeat_ms=200",
-                          "entry.member_poll_ms=200", h_entry_extra, NULL);
+  h_instances[i]
+      = h_start ("masticmill-entry", port, name, peer, platform_setting,
+                 "entry.heartbeat_ms=200", "entry.member_poll_ms=200",
+                 h_entry_extra_setting, NULL);
   n_started_instances = MAX (n_started_instances, i + 1);
 }
 
@@ -314,14 +316,14 @@
   char set[7][80];
   const char *dc = h_datacentres[i] ? h_datacentres[i] : "dc1";
   g_snprintf (set[6], 80, "node.datacentre=\"%s\"", dc);
-  h_entry_ports[i] = base + 20 + i;
+  h_instance_ports[i] = base + 20 + i;
   g_snprintf (set[0], 80, "node.name=\"node%d\"", i);
   g_snprintf (set[1], 80, "node.front=\"127.0.0.1:%d\"", base + 20 + i);
   g_snprintf (set[2], 80, "node.ready=\"127.0.0.1:%d\"", base + 24 + i);
   g_snprintf (set[3], 80, "node.mesh_port=%d", base + 28 + i);
   g_snprintf (set[4], 80, "node.state_port=%d", base + 32 + i);
   g_snprintf (set[5], 80, "store.address=\"127.0.0.1:%d\"", base);
-  h_entries[i]
+  h_instances[i]
       = h_start ("masticmill-node", set[0], set[1], set[2], set[3], set[4],
                  set[5], set[6], "node.datacentres=[\"dc1\",\"dc2\"]", NULL);
   n_started_instances = MAX (n_started_instances, i + 1);
@@ -395,13 +397,13 @@
 }
 
 int
-h_log_lines (pid_t pid, const char *text)
+h_count_in_log (pid_t pid, const char *text)
 {
   return count_lines ("masticmill-node", pid, text);
 }
 
 int
-h_upstream_log_lines (int i, const char *text)
+h_count_in_upstream_log (int i, const char *text)
 {
   return count_lines ("masticmill-upstream", h_upstreams[i], text);
 }
@@ -439,12 +441,12 @@
   g_snprintf (set[3], 64, "upstream.slots=%d", slots);
   h_upstreams[i]
       = h_start ("masticmill-upstream", set[0], set[1], set[2], set[3], set[4],
-                 "upstream.heartbeat_ms=200", h_upstream_extra, NULL);
+                 "upstream.heartbeat_ms=200", h_upstream_extra_setting, NULL);
   n_started_upstreams = MAX (n_started_upstreams, i + 1);
 }
 
 void
-h_nodes (int n_upstreams, int slots, int n_nodes)
+h_start_nodes (int n_upstreams, int slots, int n_nodes)
 {
   signal (SIGPIPE, SIG_IGN);
   char set[64];
@@ -469,7 +471,7 @@
 
 /* Starts a platform, upstreams and entry instances on ports from the base.  */
 void
-h_cluster (int n_upstreams, int n_entries, int member_lag_ms)
+h_start_cluster (int n_upstreams, int n_entries, int member_lag_ms)
 {
   signal (SIGPIPE, SIG_IGN);
   int base = h_port_base ();
@@ -478,7 +480,8 @@
   g_snprintf (buf[0], 64, "platform.port=%d", base);
   g_snprintf (buf[1], 64, "platform.member_lag_ms=%d", member_lag_ms);
   h_platform = h_start ("masticmill-platform", buf[0], buf[1],
-                        "platform.member_ttl_ms=1500", h_platform_extra, NULL);
+                        "platform.member_ttl_ms=1500",
+                        h_platform_extra_setting, NULL);
   ck_assert (h_wait_port (base, 5000));
   char platform_setting[64];
   g_snprintf (platform_setting, sizeof platform_setting,
@@ -499,7 +502,7 @@
   for (int i = 0; i < n_upstreams; i++)
     ck_assert (h_wait_port (h_upstream_ports[i], 5000));
   for (int i = 0; i < n_entries; i++)
-    ck_assert (h_wait_port (h_entry_ports[i], 5000));
+    ck_assert (h_wait_port (h_instance_ports[i], 5000));
   /* Wait until every entry instance has read all upstreams from the member
      list.  */
   for (int i = 0; i < n_entries; i++)
@@ -508,7 +511,8 @@
       int known = 0;
       while (known < n_upstreams && mm_clock_now_ms () < timeout_at_ms)
         {
-          cJSON *o = h_call ("GET", h_entry_ports[i], "/v1/state", NULL, NULL);
+          cJSON *o
+              = h_call ("GET", h_instance_ports[i], "/v1/state", NULL, NULL);
           known = cJSON_GetArraySize (cJSON_GetObjectItem (o, "upstreams"));
           cJSON_Delete (o);
           g_usleep (50000);
@@ -518,10 +522,10 @@
 }
 
 void
-h_cluster_stop (void)
+h_stop_cluster (void)
 {
   for (int i = 0; i < n_started_instances; i++)
-    h_stop (h_entries[i], SIGKILL);
+    h_stop (h_instances[i], SIGKILL);
   for (int i = 0; i < n_started_upstreams; i++)
     h_stop (h_upstreams[i], SIGKILL);
   h_stop (h_platform, SIGKILL);
@@ -529,7 +533,7 @@
 }
 
 GArray *
-h_runs (int n_upstreams, int *over_capacity)
+h_read_runs (int n_upstreams, int *over_capacity)
 {
   GArray *runs = g_array_new (FALSE, TRUE, sizeof (h_run));
   for (int i = 0; i < n_upstreams; i++)
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -24,18 +24,18 @@
 char *h_job_json (const char *job_id, int n, int run_ms, int deadline_ms,
                   bool idempotent); /* a job with @n tasks, g_free() */
 /* Submits a job to instance @instance from a child process.  One of the next
-   two functions then waits for the answer: h_answered() returns whether it
-   says that the job is complete, h_status_class() returns the first digit of
-   its HTTP status, 0 without an answer.  */
+   two functions then waits for the answer: h_submit_completed() returns
+   whether it says that the job is complete, h_submit_status_class() returns
+   the first digit of its HTTP status, 0 without an answer.  */
 pid_t h_submit (int instance, const char *job);
-bool h_answered (pid_t submit);
-int h_status_class (pid_t submit);
+bool h_submit_completed (pid_t submit);
+int h_submit_status_class (pid_t submit);
 /* Return: for how many tasks of a job an upstream has counted starts, added up
    over all upstreams.  @max_count, if not NULL, is raised to the most starts
    of one task at one upstream.  */
-int h_starts (const char *job_id, int *max_count);
-void h_platform_fault (const char *json); /* body of POST /v1/faults */
-int h_run_suite (Suite *s);               /* exit status for main() */
+int h_count_starts (const char *job_id, int *max_count);
+void h_set_platform_faults (const char *json); /* body of POST /v1/faults */
+int h_run_suite (Suite *s);                    /* exit status for main() */
 /* A run, as an upstream stand-in logged it.  */
 typedef struct
 {
@@ -48,25 +48,26 @@
 /* Return: the runs on the first @n_upstreams upstreams.  @over_capacity, if
    not NULL, is raised by the number of starts that exceeded an upstream's
    capacity.  */
-GArray *h_runs (int n_upstreams, int *over_capacity);
-/* As h_starts(), for one upstream.  */
-int h_starts_of (int upstream_port, const char *job_id, int *max_count);
+GArray *h_read_runs (int n_upstreams, int *over_capacity);
+/* As h_count_starts(), for one upstream.  */
+int h_count_upstream_starts (int upstream_port, const char *job_id,
+                             int *max_count);
 /* Waits until the number @key at the top level of the answer is @want.  */
 bool h_wait_json (int port, const char *path, const char *key, double want,
                   mm_time_ms timeout_ms);
 /* Starts a platform, upstreams and entry instances.  */
-void h_cluster (int n_upstreams, int n_entries, int member_lag_ms);
-void h_cluster_stop (void);
+void h_start_cluster (int n_upstreams, int n_entries, int member_lag_ms);
+void h_stop_cluster (void);
 void h_start_entry (int i); /* one more entry instance, or instance @i again */
 /* Starts a platform, upstreams and instances of masticmill-node; the instances
-   have their pids in h_entries and their ports in h_entry_ports.  */
-void h_nodes (int n_upstreams, int slots, int n_nodes);
+   have their pids in h_instances and their ports in h_instance_ports.  */
+void h_start_nodes (int n_upstreams, int slots, int n_nodes);
 void h_start_node (int i);
 /* Data centre of instance i and of upstream i; NULL: dc1.  */
 extern const char *h_datacentres[8];
 int h_node_state_port (int i);
 /* Return: how often @text occurs in the log of an instance.  */
-int h_log_lines (pid_t pid, const char *text);
+int h_count_in_log (pid_t pid, const char *text);
 /* Return: when an instance first logged a line that contains both texts, by
    the wall clock; -1: never.  */
 mm_time_ms h_log_time_ms (pid_t pid, const char *text,
@@ -74,10 +75,11 @@
 /* Waits until the instances are linked to each other and own all upstreams. */
 bool h_wait_nodes (int n_nodes, int n_upstreams, mm_time_ms timeout_ms);
 /* One more value of --set for each process of its kind, or NULL.  */
-extern const char *h_platform_extra, *h_entry_extra, *h_upstream_extra;
+extern const char *h_platform_extra_setting, *h_entry_extra_setting,
+    *h_upstream_extra_setting;
 /* Return: how often @text occurs in the log of upstream @i.  */
-int h_upstream_log_lines (int i, const char *text);
-extern pid_t h_platform, h_upstreams[8], h_entries[8];
-extern int h_platform_port, h_upstream_ports[8], h_entry_ports[8];
+int h_count_in_upstream_log (int i, const char *text);
+extern pid_t h_platform, h_upstreams[8], h_instances[8];
+extern int h_platform_port, h_upstream_ports[8], h_instance_ports[8];
 
 #endif
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -47,14 +47,14 @@
 over_capacity (void)
 {
   int over = 0;
-  GArray *runs = h_runs (UPSTREAMS, &over);
+  GArray *runs = h_read_runs (UPSTREAMS, &over);
   g_array_free (runs, TRUE);
   return over;
 }
 
 START_TEST (changing_capacity_is_respected_and_used_again)
 {
-  h_nodes (UPSTREAMS, SLOTS, 2);
+  h_start_nodes (UPSTREAMS, SLOTS, 2);
   GRand *rng = g_rand_new_with_seed (23);
   pid_t p[CHANGES];
   for (int i = 0; i < CHANGES; i++)
@@ -65,54 +65,55 @@
       sleep_ms (g_rand_int_range (rng, 50, 400));
     }
   for (int i = 0; i < CHANGES; i++)
-    h_answered (p[i]);
+    h_submit_completed (p[i]);
   ck_assert_int_eq (over_capacity (), 0);
   for (int i = 0; i < UPSTREAMS; i++)
     set_slots (i, SLOTS);
   sleep_ms (BOUND_MS);
   pid_t all = submit ("all", 0, UPSTREAMS * SLOTS, 700);
   mm_time_ms from_ms = mm_clock_now_ms ();
-  ck_assert (h_answered (all));
+  ck_assert (h_submit_completed (all));
   ck_assert_int_lt (mm_clock_now_ms () - from_ms, 2 * 700);
   g_rand_free (rng);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
 START_TEST (reduced_capacity_stops_no_running_task)
 {
-  h_nodes (UPSTREAMS, SLOTS, 2);
+  h_start_nodes (UPSTREAMS, SLOTS, 2);
   pid_t p = submit ("long", 0, UPSTREAMS * SLOTS, 2500);
   sleep_ms (300);
   for (int i = 0; i < UPSTREAMS; i++)
     set_slots (i, 0);
-  ck_assert (h_answered (p));
-  GArray *runs = h_runs (UPSTREAMS, NULL);
+  ck_assert (h_submit_completed (p));
+  GArray *runs = h_read_runs (UPSTREAMS, NULL);
   for (guint i = 0; i < runs->len; i++)
     ck_assert (g_array_index (runs, h_run, i).done);
   ck_assert_uint_eq (runs->len, UPSTREAMS * SLOTS);
   g_array_free (runs, TRUE);
   int logged = 0;
   for (int i = 0; i < 2; i++)
-    logged += h_log_lines (h_entries[i], "\"event\":\"upstream_capacity\"");
+    logged
+        += h_count_in_log (h_instances[i], "\"event\":\"upstream_capacity\"");
   ck_assert_int_ge (logged, UPSTREAMS);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
 START_TEST (huge_and_zero_capacity_get_an_answer)
 {
-  h_nodes (UPSTREAMS, SLOTS, 1);
+  h_start_nodes (UPSTREAMS, SLOTS, 1);
   set_slots (0, 1000000);
   for (int i = 1; i < UPSTREAMS; i++)
     set_slots (i, 0);
   sleep_ms (BOUND_MS);
-  ck_assert (h_answered (submit ("huge", 0, SLOTS, 200)));
+  ck_assert (h_submit_completed (submit ("huge", 0, SLOTS, 200)));
   set_slots (0, 0);
   sleep_ms (BOUND_MS);
-  ck_assert_int_eq (h_status_class (submit ("none", 0, 1, 200)), 5);
+  ck_assert_int_eq (h_submit_status_class (submit ("none", 0, 1, 200)), 5);
   ck_assert_int_eq (over_capacity (), 0);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -32,7 +32,7 @@
 static int
 budget_at (int entry)
 {
-  cJSON *o = h_call ("GET", h_entry_ports[entry], "/v1/state", NULL, NULL);
+  cJSON *o = h_call ("GET", h_instance_ports[entry], "/v1/state", NULL, NULL);
   int b = (int)cJSON_GetNumberValue (
       cJSON_GetObjectItem (cJSON_GetObjectItem (o, "config"), "retry_budget"));
   cJSON_Delete (o);
@@ -60,7 +60,7 @@
    and each instance's state must show it.  */
 START_TEST (published_config_is_in_force_everywhere_within_3s)
 {
-  h_cluster (1, 3, 100);
+  h_start_cluster (1, 3, 100);
   g_usleep (500000);
   mm_time_ms t0 = mm_clock_now_ms ();
   ck_assert_int_eq (publish_with_ctl ("[dispatch]\nretry_budget = 5\n"), 0);
@@ -68,7 +68,7 @@
   ck_assert_msg (took < 3000, "publish took %ld ms", (long)took);
   for (int i = 0; i < 3; i++)
     ck_assert_int_eq (budget_at (i), 5);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -78,7 +78,7 @@
    record seen again never takes the head back.  */
 START_TEST (racing_operators_end_with_one_winner_everywhere)
 {
-  h_cluster (1, 3, 100);
+  h_start_cluster (1, 3, 100);
   char *r0 = record (-1, 1), *ra = record (0, 3), *rb = record (0, 4);
   long st;
   ck_assert_int_eq (append (r0, &st), 0);
@@ -86,8 +86,8 @@
   ck_assert_int_eq (append (rb, &st), 2);
   for (int i = 0; i < 3; i++)
     {
-      ck_assert (h_wait_json (h_entry_ports[i], "/v1/state", "config_offset",
-                              1, 3000));
+      ck_assert (h_wait_json (h_instance_ports[i], "/v1/state",
+                              "config_offset", 1, 3000));
       ck_assert_int_eq (budget_at (i), 3);
     }
   char *late = record (-1, 9); /* a replay of an edit from nothing */
@@ -99,7 +99,7 @@
   g_free (ra);
   g_free (rb);
   g_free (late);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -108,18 +108,18 @@
    serving jobs; when it comes back, a new change is taken up.  */
 START_TEST (platform_outage_keeps_config_and_service)
 {
-  h_cluster (2, 2, 100);
+  h_start_cluster (2, 2, 100);
   char *r0 = record (-1, 0);
   long st;
   append (r0, &st);
   for (int i = 0; i < 2; i++)
-    ck_assert (
-        h_wait_json (h_entry_ports[i], "/v1/state", "config_offset", 0, 3000));
+    ck_assert (h_wait_json (h_instance_ports[i], "/v1/state", "config_offset",
+                            0, 3000));
   cJSON_Delete (
       h_call ("POST", h_platform_port, "/v1/faults", "{\"down\":true}", NULL));
   g_usleep (1500000);
   char *job = h_job_json ("po1", 10, 50, 5000, true);
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st);
+  cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &st);
   ck_assert_int_eq (st, 200);
   cJSON_Delete (o);
   for (int i = 0; i < 2; i++)
@@ -130,14 +130,14 @@
   append (r1, &st);
   for (int i = 0; i < 2; i++)
     {
-      ck_assert (h_wait_json (h_entry_ports[i], "/v1/state", "config_offset",
-                              1, 3000));
+      ck_assert (h_wait_json (h_instance_ports[i], "/v1/state",
+                              "config_offset", 1, 3000));
       ck_assert_int_eq (budget_at (i), 2);
     }
   g_free (r0);
   g_free (r1);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -146,15 +146,15 @@
    in force (kept alive by snapshots), not on an older one or defaults.  */
 START_TEST (late_instance_gets_config_after_retention)
 {
-  h_platform_extra = "platform.retention_ms=2000";
-  h_entry_extra = "entry.config_snapshot_ms=600";
-  h_cluster (1, 2, 100);
+  h_platform_extra_setting = "platform.retention_ms=2000";
+  h_entry_extra_setting = "entry.config_snapshot_ms=600";
+  h_start_cluster (1, 2, 100);
   char *r0 = record (-1, 7);
   long st;
   append (r0, &st);
   for (int i = 0; i < 2; i++)
-    ck_assert (
-        h_wait_json (h_entry_ports[i], "/v1/state", "config_offset", 0, 3000));
+    ck_assert (h_wait_json (h_instance_ports[i], "/v1/state", "config_offset",
+                            0, 3000));
   g_usleep (3500000);
   cJSON *plat = h_call ("GET", h_platform_port, "/v1/state", NULL, NULL);
   double first = cJSON_GetNumberValue (cJSON_GetObjectItem (
@@ -163,13 +163,13 @@
   cJSON_Delete (plat);
   ck_assert_msg (first > 0, "retention dropped nothing");
   h_start_entry (2);
-  ck_assert (h_wait_port (h_entry_ports[2], 5000));
+  ck_assert (h_wait_port (h_instance_ports[2], 5000));
   mm_time_ms until = mm_clock_now_ms () + 3000;
   while (budget_at (2) != 7 && mm_clock_now_ms () < until)
     g_usleep (50000);
   ck_assert_int_eq (budget_at (2), 7);
   g_free (r0);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -178,14 +178,14 @@
    again and lose to their own record.  */
 START_TEST (publish_with_a_lost_answer_is_found_in_force)
 {
-  h_cluster (1, 2, 100);
+  h_start_cluster (1, 2, 100);
   g_usleep (500000);
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/faults",
                         "{\"lose_answers\":1}", NULL));
   ck_assert_int_eq (publish_with_ctl ("[dispatch]\nretry_budget = 4\n"), 0);
   for (int i = 0; i < 2; i++)
     ck_assert_int_eq (budget_at (i), 4);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -194,8 +194,8 @@
    not a lost race, and the operator must hear that it is in force.  */
 START_TEST (snapshot_after_a_publish_is_not_a_lost_race)
 {
-  h_entry_extra = "entry.config_snapshot_ms=100";
-  h_cluster (1, 2, 300);
+  h_entry_extra_setting = "entry.config_snapshot_ms=100";
+  h_start_cluster (1, 2, 300);
   g_usleep (500000);
   for (int i = 1; i <= 6; i++)
     {
@@ -205,8 +205,8 @@
         ck_assert_int_eq (budget_at (k), i);
       g_free (text);
     }
-  h_entry_extra = NULL;
-  h_cluster_stop ();
+  h_entry_extra_setting = NULL;
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -226,7 +226,7 @@
    change, and is told in the words that were published.  */
 START_TEST (operator_sees_config_and_members)
 {
-  h_cluster (1, 2, 100);
+  h_start_cluster (1, 2, 100);
   g_usleep (500000);
   char *out = ctl_output ("config show");
   ck_assert_msg (strstr (out, "no configuration published") != NULL, "%s",
@@ -239,7 +239,7 @@
   out = ctl_output ("status");
   ck_assert_msg (strstr (out, "entry1") && strstr (out, "up0"), "%s", out);
   g_free (out);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -77,9 +77,10 @@
 static void
 wait_for_line (int node, const char *text)
 {
-  for (int i = 0; i < 300 && h_log_lines (h_entries[node], text) == 0; i++)
+  for (int i = 0; i < 300 && h_count_in_log (h_instances[node], text) == 0;
+       i++)
     sleep_ms (10);
-  ck_assert_int_gt (h_log_lines (h_entries[node], text), 0);
+  ck_assert_int_gt (h_count_in_log (h_instances[node], text), 0);
 }
 
 /* Returns when the instance listed the upstream as draining.  The wall-clock
@@ -91,7 +92,7 @@
   g_snprintf (draining_text, sizeof draining_text,
               "127.0.0.1:%d\",\"draining\":1", h_upstream_ports[upstream]);
   mm_time_ms wall_ms = h_log_time_ms (
-      h_entries[node], "\"event\":\"upstream_listed\"", draining_text);
+      h_instances[node], "\"event\":\"upstream_listed\"", draining_text);
   ck_assert_int_gt (wall_ms, 0);
   return wall_ms - (mm_clock_wall_ms () - mm_clock_now_ms ());
 }
@@ -109,7 +110,7 @@
       sleep_ms (SUBMIT_INTERVAL_MS);
     }
   for (int i = 0; i < n; i++)
-    h_answered (short_callers[i]);
+    h_submit_completed (short_callers[i]);
 }
 
 /* Asserts that no run started more than DRAIN_BOUND_MS after the upstreams
@@ -118,7 +119,7 @@
 static void
 assert_no_late_starts (int node, mm_time_ms drain_ms)
 {
-  GArray *runs = h_runs (UPSTREAMS, NULL);
+  GArray *runs = h_read_runs (UPSTREAMS, NULL);
   for (guint i = 0; i < runs->len; i++)
     {
       const h_run *r = &g_array_index (runs, h_run, i);
@@ -137,7 +138,7 @@
 static void
 drain_during_handover (bool shutdown)
 {
-  h_nodes (UPSTREAMS, SLOTS, 1);
+  h_start_nodes (UPSTREAMS, SLOTS, 1);
   allow_queueing ();
   pid_t callers[2 * UPSTREAMS];
   if (shutdown)
@@ -147,7 +148,7 @@
     }
   fill_slots (0, callers);
   if (shutdown)
-    kill (h_entries[0], SIGTERM);
+    kill (h_instances[0], SIGTERM);
   else
     h_start_node (1);
   if (!shutdown)
@@ -157,8 +158,8 @@
   submit_for (0, 2800);
   assert_no_late_starts (0, drain_ms);
   for (int i = 0; i < 2 * UPSTREAMS; i++)
-    h_answered (callers[i]);
-  h_cluster_stop ();
+    h_submit_completed (callers[i]);
+  h_stop_cluster ();
 }
 
 START_TEST (upstream_that_drains_during_a_handover_gets_no_more_starts)
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -99,7 +99,7 @@
    and libcurl sends such a request again on a new connection.  The upstream
    must receive one request, and the caller must be told that the request was
    sent but not answered.  */
-START_TEST (request_on_a_dying_kept_connection_is_sent_once)
+START_TEST (request_on_a_closing_reused_connection_is_sent_once)
 {
   closing_server s = { 0 };
   closing_server_start (&s);
@@ -129,7 +129,7 @@
   Suite *s = suite_create ("http");
   TCase *tc = tcase_create ("http");
   tcase_set_timeout (tc, 30);
-  tcase_add_test (tc, request_on_a_dying_kept_connection_is_sent_once);
+  tcase_add_test (tc, request_on_a_closing_reused_connection_is_sent_once);
   suite_add_tcase (s, tc);
   return h_run_suite (s);
 }
--- a/tests/test_jobs.c
+++ b/tests/test_jobs.c
@@ -42,17 +42,17 @@
    was started once.  */
 START_TEST (resubmit_to_same_instance_starts_nothing_twice)
 {
-  h_cluster (3, 1, 100);
+  h_start_cluster (3, 1, 100);
   char *job = h_job_json ("rs1", 40, 100, 5000, false);
   long st1 = 0, st2 = 0;
   pid_t child = fork ();
   if (child == 0)
     {
       g_usleep (50000);
-      cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st2);
+      cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &st2);
       _exit (st2 == 200 && tasks_in_state (o, "done") == 40 ? 0 : 1);
     }
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st1);
+  cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &st1);
   int wait_status;
   waitpid (child, &wait_status, 0);
   ck_assert_int_eq (st1, 200);
@@ -60,17 +60,17 @@
   ck_assert_int_eq (tasks_in_state (o, "done"), 40);
   ck_assert (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0);
   int max = 0;
-  ck_assert_int_eq (h_starts ("rs1", &max), 40);
+  ck_assert_int_eq (h_count_starts ("rs1", &max), 40);
   ck_assert_int_eq (max, 1);
-  cJSON *again = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &st1);
+  cJSON *again = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &st1);
   ck_assert_int_eq (st1, 200);
   ck_assert_int_eq (tasks_in_state (again, "done"), 40);
-  ck_assert_int_eq (h_starts ("rs1", &max), 40);
+  ck_assert_int_eq (h_count_starts ("rs1", &max), 40);
   ck_assert_int_eq (max, 1);
   cJSON_Delete (o);
   cJSON_Delete (again);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -79,7 +79,7 @@
    job.  */
 START_TEST (crossed_answers_reach_their_own_callers)
 {
-  h_cluster (3, 1, 100);
+  h_start_cluster (3, 1, 100);
   pid_t children[12];
   for (int i = 0; i < 12; i++)
     if ((children[i] = fork ()) == 0)
@@ -88,7 +88,8 @@
         g_snprintf (id, sizeof id, "x%d", i);
         char *job = h_job_json (id, 3, 50 + (12 - i) * 30, 5000, true);
         long status = 0;
-        cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+        cJSON *o
+            = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
         bool ok = status == 200
                   && g_str_equal (
                       cJSON_GetStringValue (cJSON_GetObjectItem (o, "job_id")),
@@ -112,7 +113,7 @@
       ck_assert_msg (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0,
                      "caller %d got a wrong answer", i);
     }
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -122,13 +123,13 @@
    budget.  */
 START_TEST (job_fails_as_a_whole_when_every_upstream_fails)
 {
-  h_cluster (3, 1, 100);
+  h_start_cluster (3, 1, 100);
   for (int i = 0; i < 3; i++)
     set_mode (i, "fail_all");
   char *job = h_job_json ("f1", 10, 20, 20000, true);
   long status = 0;
   mm_time_ms t0 = mm_clock_now_ms ();
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+  cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
   mm_time_ms took = mm_clock_now_ms () - t0;
   ck_assert_int_eq (status, 502);
   ck_assert_str_eq (status_of (o), "failed");
@@ -137,11 +138,11 @@
              >= 1);
   ck_assert_msg (took < 5000, "failed answer held back %ld ms", (long)took);
   int max = 0;
-  h_starts ("f1", &max);
+  h_count_starts ("f1", &max);
   ck_assert_int_le (max, 3); /* one try and at most two retries */
   cJSON_Delete (o);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -150,28 +151,28 @@
    (not "not run") for it, and the upstreams show exactly one start.  */
 START_TEST (non_idempotent_lost_answer_is_unknown_not_retried)
 {
-  h_cluster (3, 1, 100);
+  h_start_cluster (3, 1, 100);
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/faults", "{}", NULL));
   const char *cfg = "{\"kind\":\"config\",\"parent\":-1,\"base\":"
                     "\"[dispatch]\\ntimeout_ms = 500\\n\",\"overlays\":{}}";
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/log/config", cfg, NULL));
-  ck_assert (
-      h_wait_json (h_entry_ports[0], "/v1/state", "config_offset", 0, 5000));
+  ck_assert (h_wait_json (h_instance_ports[0], "/v1/state", "config_offset", 0,
+                          5000));
   for (int i = 0; i < 3; i++)
     set_mode (i, "freeze");
   char *job = h_job_json ("n1", 1, 50, 20000, false);
   long status = 0;
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+  cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
   ck_assert_int_eq (status, 502);
   ck_assert_int_eq (tasks_in_state (o, "unknown"), 1);
   for (int i = 0; i < 3; i++)
     set_mode (i, "normal");
   int max = 0;
-  ck_assert_int_eq (h_starts ("n1", &max), 1);
+  ck_assert_int_eq (h_count_starts ("n1", &max), 1);
   ck_assert_int_eq (max, 1);
   cJSON_Delete (o);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -182,17 +183,20 @@
    received; the lagging list must not cause more.  */
 START_TEST (leaving_upstream_gets_no_new_work_and_refusals_did_not_run)
 {
-  h_cluster (3, 1, 2000);
+  h_start_cluster (3, 1, 2000);
   set_mode (0, "drain");
   set_mode (1, "drain");
   char *job = h_job_json ("d1", 30, 50, 20000, false);
   long status = 0;
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+  cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
   ck_assert_int_eq (status, 200);
   ck_assert_int_eq (tasks_in_state (o, "done"), 30);
-  ck_assert_int_eq (h_starts_of (h_upstream_ports[0], "d1", NULL), 0);
-  ck_assert_int_eq (h_starts_of (h_upstream_ports[1], "d1", NULL), 0);
-  ck_assert_int_eq (h_starts_of (h_upstream_ports[2], "d1", NULL), 30);
+  ck_assert_int_eq (h_count_upstream_starts (h_upstream_ports[0], "d1", NULL),
+                    0);
+  ck_assert_int_eq (h_count_upstream_starts (h_upstream_ports[1], "d1", NULL),
+                    0);
+  ck_assert_int_eq (h_count_upstream_starts (h_upstream_ports[2], "d1", NULL),
+                    30);
   cJSON *state = h_call ("GET", h_upstream_ports[0], "/v1/state", NULL, NULL);
   double refused = cJSON_GetNumberValue (cJSON_GetObjectItem (
       cJSON_GetObjectItem (state, "counters"), "tasks_refused"));
@@ -201,7 +205,7 @@
   cJSON_Delete (state);
   cJSON_Delete (o);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -209,25 +213,26 @@
    caller must still get the complete answer, with each task started once.  */
 START_TEST (graceful_shutdown_finishes_jobs_in_flight)
 {
-  h_cluster (3, 1, 100);
+  h_start_cluster (3, 1, 100);
   pid_t child = fork ();
   if (child == 0)
     {
       char *job = h_job_json ("g1", 20, 1000, 20000, false);
       long status = 0;
-      cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+      cJSON *o
+          = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
       _exit (status == 200 && tasks_in_state (o, "done") == 20 ? 0 : 1);
     }
   g_usleep (300000);
-  kill (h_entries[0], SIGTERM);
+  kill (h_instances[0], SIGTERM);
   int wait_status;
   waitpid (child, &wait_status, 0);
   ck_assert_msg (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0,
                  "a job in flight was cut off by the shutdown");
   int max = 0;
-  ck_assert_int_eq (h_starts ("g1", &max), 20);
+  ck_assert_int_eq (h_count_starts ("g1", &max), 20);
   ck_assert_int_eq (max, 1);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -237,24 +242,26 @@
    no task of it may start.  */
 START_TEST (job_that_cannot_meet_its_deadline_is_refused_at_once)
 {
-  h_cluster (1, 1, 100);
+  h_start_cluster (1, 1, 100);
   char *warm = h_job_json ("w1", 16, 300, 10000, true);
   long status = 0;
-  cJSON_Delete (h_call ("POST", h_entry_ports[0], "/v1/jobs", warm, &status));
+  cJSON_Delete (
+      h_call ("POST", h_instance_ports[0], "/v1/jobs", warm, &status));
   ck_assert_int_eq (status, 200);
   char *job = h_job_json ("late1", 80, 300, 2000, true);
   mm_time_ms t0 = mm_clock_now_ms ();
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+  cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
   mm_time_ms took = mm_clock_now_ms () - t0;
   ck_assert_int_eq (status, 503);
   ck_assert_msg (took < 500, "answer held back %ld ms", (long)took);
   ck_assert (cJSON_GetNumberValue (cJSON_GetObjectItem (o, "retry_after_s"))
              >= 2);
-  ck_assert_int_eq (h_starts_of (h_upstream_ports[0], "late1", NULL), 0);
+  ck_assert_int_eq (
+      h_count_upstream_starts (h_upstream_ports[0], "late1", NULL), 0);
   cJSON_Delete (o);
   g_free (job);
   g_free (warm);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -262,28 +269,29 @@
    typed error at once, and nothing is queued.  */
 START_TEST (bad_requests_get_typed_errors)
 {
-  h_cluster (1, 1, 100);
+  h_start_cluster (1, 1, 100);
   long status = 0;
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", "{oops", &status);
+  cJSON *o
+      = h_call ("POST", h_instance_ports[0], "/v1/jobs", "{oops", &status);
   ck_assert_int_eq (status, 400);
   ck_assert_str_eq (cJSON_GetStringValue (cJSON_GetObjectItem (
                         cJSON_GetObjectItem (o, "error"), "code")),
                     "bad_request");
   cJSON_Delete (o);
-  o = h_call ("POST", h_entry_ports[0], "/v1/jobs",
+  o = h_call ("POST", h_instance_ports[0], "/v1/jobs",
               "{\"job_id\":\"z\",\"tasks\":[]}", &status);
   ck_assert_int_eq (status, 413);
   cJSON_Delete (o);
   char *big = h_job_json ("big", 300, 1, 100, true);
-  o = h_call ("POST", h_entry_ports[0], "/v1/jobs", big, &status);
+  o = h_call ("POST", h_instance_ports[0], "/v1/jobs", big, &status);
   ck_assert_int_eq (status, 413);
   cJSON_Delete (o);
-  o = h_call ("GET", h_entry_ports[0], "/v1/state", NULL, NULL);
+  o = h_call ("GET", h_instance_ports[0], "/v1/state", NULL, NULL);
   ck_assert_int_eq (
       cJSON_GetNumberValue (cJSON_GetObjectItem (o, "tasks_queued")), 0);
   cJSON_Delete (o);
   g_free (big);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -292,18 +300,19 @@
    done_ttl_ms, here 1 s.  */
 START_TEST (kept_answers_expire_after_their_ttl)
 {
-  h_entry_extra = "entry.done_ttl_ms=1000";
-  h_cluster (1, 1, 100);
+  h_entry_extra_setting = "entry.done_ttl_ms=1000";
+  h_start_cluster (1, 1, 100);
   char *job = h_job_json ("ttl1", 2, 10, 5000, true);
   long status = 0;
-  cJSON_Delete (h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status));
+  cJSON_Delete (
+      h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status));
   ck_assert_int_eq (status, 200);
   ck_assert (
-      h_wait_json (h_entry_ports[0], "/v1/state", "answers_kept", 1, 500));
+      h_wait_json (h_instance_ports[0], "/v1/state", "answers_kept", 1, 500));
   ck_assert (
-      h_wait_json (h_entry_ports[0], "/v1/state", "answers_kept", 0, 3000));
+      h_wait_json (h_instance_ports[0], "/v1/state", "answers_kept", 0, 3000));
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -313,14 +322,15 @@
    are not started again.  */
 START_TEST (killed_upstream_leaves_no_partial_answer)
 {
-  h_cluster (3, 1, 100);
+  h_start_cluster (3, 1, 100);
   char *once = h_job_json ("uk-once", 12, 800, 9000, false);
   char *again = h_job_json ("uk-again", 12, 800, 9000, true);
   pid_t child = fork ();
   if (child == 0)
     {
       long status = 0;
-      cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", again, &status);
+      cJSON *o
+          = h_call ("POST", h_instance_ports[0], "/v1/jobs", again, &status);
       _exit (status == 200 && tasks_in_state (o, "done") == 12 ? 0 : 1);
     }
   pid_t killer = fork ();
@@ -331,7 +341,7 @@
       _exit (0);
     }
   long status = 0;
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", once, &status);
+  cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", once, &status);
   ck_assert_int_eq (status, 502);
   ck_assert_str_eq (status_of (o), "failed");
   ck_assert_int_ge (tasks_in_state (o, "unknown"), 1);
@@ -341,13 +351,13 @@
   waitpid (killer, &wait_status, 0);
   int max = 0, n = 0;
   for (int i = 1; i < 3; i++)
-    n += h_starts_of (h_upstream_ports[i], "uk-once", &max);
+    n += h_count_upstream_starts (h_upstream_ports[i], "uk-once", &max);
   ck_assert_int_eq (max, 1);
   ck_assert_int_lt (n, 12); /* tasks of the killed upstream run nowhere else */
   cJSON_Delete (o);
   g_free (once);
   g_free (again);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -356,17 +366,18 @@
    once, and the process exits by itself.  */
 START_TEST (graceful_stop_of_an_upstream_finishes_its_tasks)
 {
-  h_cluster (3, 1, 100);
+  h_start_cluster (3, 1, 100);
   pid_t child = fork ();
   if (child == 0)
     {
       char *job = h_job_json ("ug1", 30, 900, 9000, false);
       long status = 0;
-      cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+      cJSON *o
+          = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
       _exit (status == 200 && tasks_in_state (o, "done") == 30 ? 0 : 1);
     }
   g_usleep (300000);
-  int before = h_starts_of (h_upstream_ports[0], "ug1", NULL);
+  int before = h_count_upstream_starts (h_upstream_ports[0], "ug1", NULL);
   kill (h_upstreams[0], SIGTERM);
   int wait_status;
   waitpid (child, &wait_status, 0);
@@ -374,13 +385,13 @@
   ck_assert_int_gt (before, 0);
   int max = 0, n = before;
   for (int i = 1; i < 3; i++)
-    n += h_starts_of (h_upstream_ports[i], "ug1", &max);
+    n += h_count_upstream_starts (h_upstream_ports[i], "ug1", &max);
   ck_assert_int_eq (max, 1);
   ck_assert_int_eq (n, 30);
   ck_assert_int_eq (waitpid (h_upstreams[0], &wait_status, 0), h_upstreams[0]);
   h_upstreams[0] = 0;
   ck_assert (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -390,12 +401,12 @@
    start records must confirm.  */
 START_TEST (passed_deadline_fails_the_job_and_not_run_is_true)
 {
-  h_cluster (1, 1, 100);
+  h_start_cluster (1, 1, 100);
   set_mode (0, "freeze");
   char *job = h_job_json ("dl1", 20, 100, 1500, false);
   long status = 0;
   mm_time_ms t0 = mm_clock_now_ms ();
-  cJSON *o = h_call ("POST", h_entry_ports[0], "/v1/jobs", job, &status);
+  cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
   mm_time_ms took = mm_clock_now_ms () - t0;
   ck_assert_int_eq (status, 504);
   ck_assert_msg (took < 2500, "answered after %ld ms", (long)took);
@@ -405,10 +416,11 @@
              >= 1);
   set_mode (0, "normal");
   g_usleep (500000);
-  ck_assert_int_eq (h_starts_of (h_upstream_ports[0], "dl1", NULL), 8);
+  ck_assert_int_eq (h_count_upstream_starts (h_upstream_ports[0], "dl1", NULL),
+                    8);
   cJSON_Delete (o);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -419,13 +431,13 @@
    team is served.  */
 START_TEST (teams_quota_holds_over_the_data_centre)
 {
-  h_cluster (3, 3, 100);
+  h_start_cluster (3, 3, 100);
   const char *cfg = "{\"kind\":\"config\",\"parent\":-1,\"base\":"
                     "\"[teams]\\nt = 40\\n\",\"overlays\":{}}";
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/log/config", cfg, NULL));
   for (int i = 0; i < 3; i++)
-    ck_assert (
-        h_wait_json (h_entry_ports[i], "/v1/state", "config_offset", 0, 5000));
+    ck_assert (h_wait_json (h_instance_ports[i], "/v1/state", "config_offset",
+                            0, 5000));
   g_usleep (500000);
   pid_t children[6];
   for (int j = 0; j < 6; j++)
@@ -438,7 +450,7 @@
       g_usleep (700000);
     }
   long status = 0;
-  cJSON_Delete (h_call ("POST", h_entry_ports[0], "/v1/jobs",
+  cJSON_Delete (h_call ("POST", h_instance_ports[0], "/v1/jobs",
                         "{\"job_id\":\"other\",\"team\":\"u\",\"tasks\":[{"
                         "\"id\":\"a\",\"run_ms\":5,\"deadline_ms\":15000,"
                         "\"idempotent\":true}]}",
@@ -449,12 +461,12 @@
     {
       char id[16];
       g_snprintf (id, sizeof id, "quota%d", j);
-      bool ok = h_answered (children[j]);
+      bool ok = h_submit_completed (children[j]);
       served += ok;
-      ck_assert_int_eq (h_starts (id, NULL), ok ? 20 : 0);
+      ck_assert_int_eq (h_count_starts (id, NULL), ok ? 20 : 0);
     }
   ck_assert_msg (served == 2, "%d jobs of 20 within a quota of 40", served);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -28,7 +28,7 @@
   char *kept = g_strdup_printf ("{\"kept\":true,%s", job + 1);
   long status = 0;
   cJSON_Delete (
-      h_call ("POST", h_entry_ports[node], "/v1/jobs", kept, &status));
+      h_call ("POST", h_instance_ports[node], "/v1/jobs", kept, &status));
   g_free (kept);
   g_free (job);
   return status;
@@ -39,7 +39,7 @@
 {
   char *path = g_strdup_printf ("/v1/jobs/%s", id);
   long status = 0;
-  cJSON *o = h_call (method, h_entry_ports[node], path, NULL, &status);
+  cJSON *o = h_call (method, h_instance_ports[node], path, NULL, &status);
   const char *s = cJSON_GetStringValue (cJSON_GetObjectItem (o, "state"));
   g_strlcpy (state, s ? s : "", 16);
   cJSON_Delete (o);
@@ -92,7 +92,7 @@
 static GArray *
 runs_of_job (int n_upstreams, const char *job)
 {
-  GArray *runs = h_runs (n_upstreams, NULL);
+  GArray *runs = h_read_runs (n_upstreams, NULL);
   for (guint i = runs->len; i-- > 0;)
     if (!g_str_has_prefix (g_array_index (runs, h_run, i).task, job))
       g_array_remove_index (runs, i);
@@ -127,7 +127,7 @@
 
 START_TEST (every_instance_answers_the_state_of_a_kept_job)
 {
-  h_nodes (3, 4, 3);
+  h_start_nodes (3, 4, 3);
   char state[16];
   ck_assert (submit_until_accepted (0, "show", 6, 300));
   long status = 503;
@@ -140,7 +140,7 @@
   for (int i = 0; i < 3; i++)
     ck_assert (wait_state (i, "show", "completed", 5000));
   assert_done_once (3, "show", 6);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -155,13 +155,13 @@
    upstream, the task must run there again all the same.  */
 START_TEST (hung_task_ends_once_its_only_upstream_recovers)
 {
-  h_nodes (1, 4, 1);
+  h_start_nodes (1, 4, 1);
   set_hang (0, true);
   ck_assert (submit_until_accepted (0, "hung", 2, 300));
   sleep_ms (1500);
   set_hang (0, false);
   ck_assert (wait_state (0, "hung", "completed", 8000));
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -174,7 +174,7 @@
   {
     JOBS = 6
   };
-  h_nodes (4, 4, 3);
+  h_start_nodes (4, 4, 3);
   set_hang (0, true);
   char id[16];
   for (int i = 0; i < JOBS; i++)
@@ -187,7 +187,7 @@
       g_snprintf (id, sizeof id, "passed-%d", i);
       ck_assert_msg (wait_state (0, id, "completed", 10000), "%s", id);
     }
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -196,7 +196,7 @@
    Each task must still run exactly once.  */
 START_TEST (job_resubmitted_elsewhere_starts_no_task_twice)
 {
-  h_nodes (3, 4, 3);
+  h_start_nodes (3, 4, 3);
   ck_assert (submit_until_accepted (0, "again", 8, 500));
   ck_assert_int_eq (submit_kept (1, "again", 8, 500, true), 202);
   ck_assert_int_eq (submit_kept (2, "again", 8, 500, true), 202);
@@ -206,7 +206,7 @@
   GArray *runs = runs_of_job (3, "again");
   ck_assert_uint_eq (runs->len, 8);
   g_array_free (runs, TRUE);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -219,7 +219,7 @@
     REBALANCES = 3,
     JOBS = 6
   };
-  h_nodes (3, 4, 3);
+  h_start_nodes (3, 4, 3);
   ck_assert (submit_until_accepted (0, "first", 1, 50));
   char id[32], state[16];
   for (int i = 0; i < REBALANCES * JOBS; i++)
@@ -233,7 +233,7 @@
       ck_assert_int_eq (call_job ((i + 2) % 3, "DELETE", id, state), 200);
       ck_assert_str_eq (state, "cancelled");
     }
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -242,16 +242,16 @@
    accepted jobs must complete, each task succeeding once.  */
 START_TEST (killed_instances_lose_no_accepted_job_and_repeat_no_task)
 {
-  h_nodes (4, 4, 3);
+  h_start_nodes (4, 4, 3);
   char id[32];
   for (int i = 0; i < 10; i++)
     {
       g_snprintf (id, sizeof id, "killed-%d-", i);
       ck_assert (submit_until_accepted (i % 3, id, 4, 400));
     }
-  h_stop (h_entries[0], SIGKILL);
+  h_stop (h_instances[0], SIGKILL);
   sleep_ms (700);
-  h_stop (h_entries[1], SIGKILL);
+  h_stop (h_instances[1], SIGKILL);
   for (int i = 0; i < 10; i++)
     {
       g_snprintf (id, sizeof id, "killed-%d-", i);
@@ -259,7 +259,7 @@
                      id);
       assert_done_once (4, id, 4);
     }
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -268,7 +268,7 @@
    them until they are acknowledged.  */
 START_TEST (accepted_jobs_finish_after_all_instances_are_killed)
 {
-  h_nodes (3, 8, 2);
+  h_start_nodes (3, 8, 2);
   char id[32];
   for (int i = 0; i < 4; i++)
     {
@@ -276,8 +276,8 @@
       ck_assert (submit_until_accepted (i % 2, id, 5, 250 + 50 * i));
     }
   sleep_ms (200);
-  h_stop (h_entries[0], SIGKILL);
-  h_stop (h_entries[1], SIGKILL);
+  h_stop (h_instances[0], SIGKILL);
+  h_stop (h_instances[1], SIGKILL);
   h_start_node (0);
   h_start_node (1);
   for (int i = 0; i < 4; i++)
@@ -287,7 +287,7 @@
                      id);
       assert_done_once (3, id, 5);
     }
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -296,9 +296,9 @@
    the store is back.  */
 START_TEST (unreachable_store_refuses_jobs_at_once_and_loses_none)
 {
-  h_nodes (3, 4, 2);
+  h_start_nodes (3, 4, 2);
   ck_assert (submit_until_accepted (0, "before", 4, 2500));
-  h_platform_fault ("{\"down\":true}");
+  h_set_platform_faults ("{\"down\":true}");
   sleep_ms (800);
   gint64 sent_us = g_get_monotonic_time ();
   long status = submit_kept (0, "meanwhile", 2, 100, true);
@@ -307,13 +307,13 @@
   ck_assert_int_lt (took_ms,
                     MM_KEPT_ACCEPT_MS + MM_KEPT_REQUEST_TIMEOUT_MS + 500);
   sleep_ms (1500);
-  h_platform_fault ("{\"down\":false}");
+  h_set_platform_faults ("{\"down\":false}");
   ck_assert (wait_state (1, "before", "completed", 15000));
   ck_assert (submit_until_accepted (1, "meanwhile", 2, 100));
   ck_assert (wait_state (0, "meanwhile", "completed", 8000));
   assert_done_once (3, "before", 4);
   assert_done_once (3, "meanwhile", 2);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -321,13 +321,13 @@
    another instance becomes the home.  */
 START_TEST (cancelled_job_stays_cancelled_when_its_home_dies)
 {
-  h_nodes (1, 2, 2);
+  h_start_nodes (1, 2, 2);
   ck_assert (submit_until_accepted (0, "cancel", 8, 2500));
   sleep_ms (300);
   ck_assert (cancel_until_confirmed (1, "cancel"));
   sleep_ms (300);
   GArray *before = runs_of_job (1, "cancel");
-  h_stop (h_entries[0], SIGKILL);
+  h_stop (h_instances[0], SIGKILL);
   ck_assert (wait_state (1, "cancel", "cancelled", 10000));
   sleep_ms (2500);
   GArray *after = runs_of_job (1, "cancel");
@@ -335,7 +335,7 @@
   ck_assert_uint_lt (after->len, 8);
   g_array_free (before, TRUE);
   g_array_free (after, TRUE);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
--- a/tests/test_logs.c
+++ b/tests/test_logs.c
@@ -279,7 +279,7 @@
   {
     KILLS = 5
   };
-  h_nodes (1, 4, 1);
+  h_start_nodes (1, 4, 1);
   for (int i = 0; i < KILLS; i++)
     {
       char id[16];
@@ -287,18 +287,18 @@
       g_snprintf (id, sizeof id, "last-%d", i);
       g_snprintf (line, sizeof line, "\"job_answered\",\"job\":\"%s\"", id);
       char *job = h_job_json (id, 1, 10, 5000, true);
-      ck_assert (h_answered (h_submit (0, job)));
+      ck_assert (h_submit_completed (h_submit (0, job)));
       g_free (job);
       /* The instance answers this call in a later turn of its event loop than
          the job, and so after the flush of the job's lines.  */
       cJSON_Delete (h_call ("GET", h_node_state_port (0), "/", NULL, NULL));
-      pid_t killed = h_entries[0];
+      pid_t killed = h_instances[0];
       h_stop (killed, SIGKILL);
-      ck_assert_int_eq (h_log_lines (killed, line), 1);
+      ck_assert_int_eq (h_count_in_log (killed, line), 1);
       h_start_node (0);
       ck_assert (h_wait_nodes (1, 1, 8000));
     }
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -33,7 +33,7 @@
 assert_no_overload_or_double_run (int n_upstreams)
 {
   int over_capacity = 0;
-  GArray *runs = h_runs (n_upstreams, &over_capacity);
+  GArray *runs = h_read_runs (n_upstreams, &over_capacity);
   ck_assert_int_eq (over_capacity, 0);
   for (guint i = 0; i < runs->len; i++)
     for (guint k = i + 1; k < runs->len; k++)
@@ -74,7 +74,7 @@
 {
   for (int i = 0; i < 5; i++)
     {
-      if (h_answered (submit (node, id, tasks, run_ms, true)))
+      if (h_submit_completed (submit (node, id, tasks, run_ms, true)))
         return true;
       sleep_ms (1000);
     }
@@ -84,7 +84,7 @@
 static int
 count_runs (int n_upstreams, const char *job)
 {
-  GArray *runs = h_runs (n_upstreams, NULL);
+  GArray *runs = h_read_runs (n_upstreams, NULL);
   int n = 0;
   for (guint i = 0; i < runs->len; i++)
     n += g_str_has_prefix (g_array_index (runs, h_run, i).task, job);
@@ -107,15 +107,15 @@
 
 START_TEST (jobs_at_all_instances_are_answered_whole)
 {
-  h_nodes (4, 4, 3);
+  h_start_nodes (4, 4, 3);
   pid_t p[9];
   for (int i = 0; i < 9; i++)
     p[i] = submit_numbered (i % 3, "job", i, 5, 100, true);
   for (int i = 0; i < 9; i++)
-    ck_assert (h_answered (p[i]));
+    ck_assert (h_submit_completed (p[i]));
   assert_no_overload_or_double_run (4);
   ck_assert_int_eq (count_runs (4, "job-"), 45);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -126,19 +126,19 @@
    the same time.  */
 START_TEST (killed_instance_leaves_no_task_running_twice)
 {
-  h_nodes (4, 4, 2);
+  h_start_nodes (4, 4, 2);
   pid_t p[2] = { submit (0, "keep", 12, 900, true),
                  submit (1, "lose", 4, 900, true) };
   sleep_ms (300);
-  h_stop (h_entries[1], SIGKILL);
-  bool kept_answered = h_answered (p[0]);
-  ck_assert (!h_answered (p[1]));
+  h_stop (h_instances[1], SIGKILL);
+  bool kept_answered = h_submit_completed (p[0]);
+  ck_assert (!h_submit_completed (p[1]));
   sleep_ms (RESEND_MS);
   ck_assert (served_with_retries (0, "lose", 4, 300));
   ck_assert (kept_answered || served_with_retries (0, "keep", 12, 300));
   sleep_ms (1200);
   assert_no_overload_or_double_run (4);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -150,15 +150,15 @@
    at the same time.  */
 START_TEST (job_is_answered_whole_though_an_owner_of_its_tasks_dies)
 {
-  h_nodes (4, 4, 2);
+  h_start_nodes (4, 4, 2);
   int killed = owns_no_upstream (1) ? 0 : 1;
   pid_t p = submit (1 - killed, "whole", 16, 900, true);
   sleep_ms (300);
-  h_stop (h_entries[killed], SIGKILL);
-  ck_assert (h_answered (p));
+  h_stop (h_instances[killed], SIGKILL);
+  ck_assert (h_submit_completed (p));
   ck_assert_int_gt (count_runs (4, "whole"), 16);
   assert_no_overload_or_double_run (4);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -167,26 +167,26 @@
    not start the tasks that it had queued.  */
 START_TEST (frozen_instance_starts_no_queued_task)
 {
-  h_nodes (2, 2, 2);
+  h_start_nodes (2, 2, 2);
   pid_t p[3];
   for (int i = 0; i < 3; i++)
     p[i] = submit_numbered (1, "froz", i, 2, 800, true);
   sleep_ms (100);
-  kill (h_entries[1], SIGSTOP);
+  kill (h_instances[1], SIGSTOP);
   sleep_ms (RESEND_MS);
   pid_t again[3];
   for (int i = 0; i < 3; i++)
     again[i] = submit_numbered (0, "froz", i, 2, 800, true);
   sleep_ms (700);
-  kill (h_entries[1], SIGCONT);
+  kill (h_instances[1], SIGCONT);
   for (int i = 0; i < 3; i++)
     {
-      h_answered (p[i]);
-      h_answered (again[i]);
+      h_submit_completed (p[i]);
+      h_submit_completed (again[i]);
     }
   sleep_ms (1500);
   assert_no_overload_or_double_run (2);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -195,7 +195,7 @@
    capacity.  */
 START_TEST (late_starts_do_not_exceed_capacity)
 {
-  h_nodes (3, 2, 2);
+  h_start_nodes (3, 2, 2);
   for (int i = 0; i < 3; i++)
     upstream_fault (i, "{\"lose_starts\":4,\"late_ms\":2000}");
   pid_t p[12];
@@ -206,11 +206,11 @@
     }
   int answered = 0;
   for (int i = 0; i < 12; i++)
-    answered += h_answered (p[i]);
+    answered += h_submit_completed (p[i]);
   ck_assert_int_ge (answered, 10);
   sleep_ms (2500);
   assert_no_overload_or_double_run (3);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -218,20 +218,20 @@
    the other instances take over its upstreams.  */
 START_TEST (graceful_stop_interrupts_no_job)
 {
-  h_nodes (4, 4, 2);
+  h_start_nodes (4, 4, 2);
   pid_t p[4];
   for (int i = 0; i < 4; i++)
     p[i] = submit_numbered (1, "term", i, 4, 600, false);
   sleep_ms (200);
-  kill (h_entries[1], SIGTERM);
+  kill (h_instances[1], SIGTERM);
   for (int i = 0; i < 4; i++)
-    ck_assert (h_answered (p[i]));
-  h_stop (h_entries[1], SIGTERM);
+    ck_assert (h_submit_completed (p[i]));
+  h_stop (h_instances[1], SIGTERM);
   ck_assert (h_wait_nodes (1, 4, 5000));
   pid_t after = submit (0, "after", 16, 100, true);
-  ck_assert (h_answered (after));
+  ck_assert (h_submit_completed (after));
   assert_no_overload_or_double_run (4);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -240,7 +240,7 @@
    the job ran).  */
 START_TEST (job_longer_than_the_grace_time_is_not_answered_as_not_run)
 {
-  h_nodes (1, 4, 2);
+  h_start_nodes (1, 4, 2);
   int node = owns_no_upstream (0) ? 0 : 1;
   pid_t p = fork ();
   if (p == 0)
@@ -248,16 +248,16 @@
       char *job = h_job_json ("long", 1, 9000, 20000, true);
       long status = 0;
       cJSON_Delete (
-          h_call ("POST", h_entry_ports[node], "/v1/jobs", job, &status));
+          h_call ("POST", h_instance_ports[node], "/v1/jobs", job, &status));
       _exit (status == 502 ? 0 : 1);
     }
   sleep_ms (300);
-  kill (h_entries[node], SIGTERM);
+  kill (h_instances[node], SIGTERM);
   int st = 0;
   waitpid (p, &st, 0);
   ck_assert (WIFEXITED (st));
   ck_assert_int_eq (WEXITSTATUS (st), 0);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -269,21 +269,21 @@
 {
   static const int signals[] = { SIGKILL, SIGTERM };
   h_datacentres[1] = h_datacentres[3] = "dc2";
-  h_nodes (4, 2, 2);
+  h_start_nodes (4, 2, 2);
   for (int i = 0; i < 2; i++)
     {
-      h_stop (h_entries[1], signals[i]);
+      h_stop (h_instances[1], signals[i]);
       ck_assert (h_wait_nodes (1, 4, 5000));
-      ck_assert (h_answered (submit (0, "all-four", 8, 100, true)));
+      ck_assert (h_submit_completed (submit (0, "all-four", 8, 100, true)));
       h_start_node (1);
       ck_assert (h_wait_nodes (2, 4, 8000));
       sleep_ms (3000);
       ck_assert (h_wait_nodes (2, 4, 100));
       ck_assert (!owns_no_upstream (1));
-      ck_assert (h_answered (submit (1, "again", 8, 100, true)));
+      ck_assert (h_submit_completed (submit (1, "again", 8, 100, true)));
     }
   assert_no_overload_or_double_run (4);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -292,32 +292,33 @@
    the store is back.  */
 START_TEST (store_outage_affects_no_caller)
 {
-  h_nodes (4, 4, 2);
-  h_platform_fault ("{\"down\":true}");
+  h_start_nodes (4, 4, 2);
+  h_set_platform_faults ("{\"down\":true}");
   for (int i = 0; i < 8; i++)
     {
-      ck_assert (h_answered (submit_numbered (i % 2, "out", i, 4, 50, true)));
+      ck_assert (
+          h_submit_completed (submit_numbered (i % 2, "out", i, 4, 50, true)));
       sleep_ms (400);
     }
-  h_platform_fault ("{\"down\":false}");
+  h_set_platform_faults ("{\"down\":false}");
   sleep_ms (2500);
-  ck_assert (h_answered (submit (0, "back", 8, 50, true)));
+  ck_assert (h_submit_completed (submit (0, "back", 8, 50, true)));
   assert_no_overload_or_double_run (4);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
 /* The store drops its history and reassigns all partitions.  */
 START_TEST (instances_serve_after_dropped_history_and_reassignment)
 {
-  h_nodes (4, 4, 2);
+  h_start_nodes (4, 4, 2);
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
                         "{\"drop_history\":true,\"deal_anew\":true}", NULL));
   sleep_ms (1500);
   ck_assert (h_wait_nodes (2, 4, 5000));
-  ck_assert (h_answered (submit (0, "anew", 8, 100, true)));
+  ck_assert (h_submit_completed (submit (0, "anew", 8, 100, true)));
   assert_no_overload_or_double_run (4);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -325,13 +326,14 @@
    tasks run again on another upstream, and each job completes.  */
 START_TEST (upstream_that_fails_everything_fails_no_job)
 {
-  h_nodes (4, 4, 2);
+  h_start_nodes (4, 4, 2);
   upstream_fault (0, "{\"fails\":true}");
   int answered = 0;
   for (int i = 0; i < 10; i++)
-    answered += h_answered (submit_numbered (i % 2, "grey", i, 4, 50, true));
+    answered += h_submit_completed (
+        submit_numbered (i % 2, "grey", i, 4, 50, true));
   ck_assert_int_eq (answered, 10);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -339,12 +341,12 @@
    The task runs once and its job fails; no second run completes it.  */
 START_TEST (task_that_must_run_once_is_not_repeated)
 {
-  h_nodes (1, 4, 1);
+  h_start_nodes (1, 4, 1);
   upstream_fault (0, "{\"fails\":true}");
-  ck_assert (!h_answered (submit (0, "once", 1, 50, false)));
+  ck_assert (!h_submit_completed (submit (0, "once", 1, 50, false)));
   sleep_ms (500);
   ck_assert_int_eq (count_runs (1, "once"), 1);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -352,16 +354,16 @@
    used for other tasks.  */
 START_TEST (tasks_of_a_caller_that_left_are_stopped)
 {
-  h_nodes (2, 2, 2);
+  h_start_nodes (2, 2, 2);
   pid_t p = submit (0, "left", 4, 10000, true);
   sleep_ms (300);
   kill (p, SIGKILL);
-  h_answered (p);
+  h_submit_completed (p);
   sleep_ms (500);
-  ck_assert (h_answered (submit (1, "next", 4, 100, true)));
+  ck_assert (h_submit_completed (submit (1, "next", 4, 100, true)));
   ck_assert_int_eq (count_runs (2, "left"), 4);
   assert_no_overload_or_double_run (2);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -369,23 +371,24 @@
    two seconds later no task starts there any more.  */
 START_TEST (leaving_upstream_gets_no_new_task)
 {
-  h_nodes (2, 4, 2);
+  h_start_nodes (2, 4, 2);
   pid_t before = submit (0, "stay", 4, 800, true);
   sleep_ms (100);
   cJSON_Delete (h_call ("POST", h_upstream_ports[0], "/v1/mode",
                         "{\"mode\":\"drain\"}", NULL));
   sleep_ms (1500);
-  ck_assert (h_answered (before));
+  ck_assert (h_submit_completed (before));
   for (int i = 0; i < 4; i++)
-    ck_assert (h_answered (submit_numbered (i % 2, "late", i, 2, 50, true)));
-  GArray *runs = h_runs (2, NULL);
+    ck_assert (
+        h_submit_completed (submit_numbered (i % 2, "late", i, 2, 50, true)));
+  GArray *runs = h_read_runs (2, NULL);
   for (guint i = 0; i < runs->len; i++)
     {
       h_run *r = &g_array_index (runs, h_run, i);
       ck_assert (r->upstream != 0 || !g_str_has_prefix (r->task, "late"));
     }
   g_array_free (runs, TRUE);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -393,21 +396,21 @@
    Restarted, they serve within seconds, and the earlier runs have ended.  */
 START_TEST (all_instances_killed_serve_again_within_seconds)
 {
-  h_nodes (4, 4, 2);
+  h_start_nodes (4, 4, 2);
   pid_t p[2] = { submit (0, "herd-0", 4, 1000, true),
                  submit (1, "herd-1", 4, 1000, true) };
   sleep_ms (100);
-  h_stop (h_entries[0], SIGKILL);
-  h_stop (h_entries[1], SIGKILL);
-  h_answered (p[0]);
-  h_answered (p[1]);
+  h_stop (h_instances[0], SIGKILL);
+  h_stop (h_instances[1], SIGKILL);
+  h_submit_completed (p[0]);
+  h_submit_completed (p[1]);
   h_start_node (0);
   h_start_node (1);
   ck_assert (h_wait_nodes (2, 4, 6000));
-  ck_assert (h_answered (submit (0, "herd-0", 4, 200, true)));
-  ck_assert (h_answered (submit (1, "herd-1", 4, 200, true)));
+  ck_assert (h_submit_completed (submit (0, "herd-0", 4, 200, true)));
+  ck_assert (h_submit_completed (submit (1, "herd-1", 4, 200, true)));
   assert_no_overload_or_double_run (4);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -419,9 +422,9 @@
   if (owns_no_upstream (node))
     return 0; /* every upstream is in a partition of the other instance */
   mm_time_ms started
-      = h_log_time_ms (h_entries[node], "\"event\":\"started\"", "");
+      = h_log_time_ms (h_instances[node], "\"event\":\"started\"", "");
   mm_time_ms owns = h_log_time_ms (
-      h_entries[node], "\"event\":\"upstream_owned\"", "\"fence\"");
+      h_instances[node], "\"event\":\"upstream_owned\"", "\"fence\"");
   ck_assert_int_ge (started, 0);
   ck_assert_int_ge (owns, 0);
   return owns - started;
@@ -434,9 +437,9 @@
    incarnations are known to be dead: the new ones listen on their ports.  */
 START_TEST (restarted_instances_own_upstreams_within_150_ms)
 {
-  h_nodes (8, 4, 2);
-  h_stop (h_entries[0], SIGKILL);
-  h_stop (h_entries[1], SIGKILL);
+  h_start_nodes (8, 4, 2);
+  h_stop (h_instances[0], SIGKILL);
+  h_stop (h_instances[1], SIGKILL);
   sleep_ms (200);
   h_start_node (0);
   h_start_node (1);
@@ -444,7 +447,7 @@
   sleep_ms (200); /* the logs are written at each tick */
   ck_assert_int_le (time_to_own_ms (0), 150);
   ck_assert_int_le (time_to_own_ms (1), 150);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -454,20 +457,21 @@
    tasks, and their capacity is given to others.  */
 START_TEST (late_start_of_a_previous_incarnation_is_refused)
 {
-  h_nodes (2, 2, 1);
+  h_start_nodes (2, 2, 1);
   for (int i = 0; i < 2; i++)
     upstream_fault (i, "{\"lose_starts\":8,\"late_ms\":1500}");
   pid_t p = submit (0, "dead", 4, 500, true);
   sleep_ms (60);
-  h_stop (h_entries[0], SIGKILL);
-  h_answered (p);
+  h_stop (h_instances[0], SIGKILL);
+  h_submit_completed (p);
   h_start_node (0);
   ck_assert (h_wait_nodes (1, 2, 6000));
   for (int i = 0; i < 8; i++)
-    ck_assert (h_answered (submit_numbered (0, "next", i, 4, 200, true)));
+    ck_assert (
+        h_submit_completed (submit_numbered (0, "next", i, 4, 200, true)));
   ck_assert_int_eq (count_runs (2, "dead"), 0);
   assert_no_overload_or_double_run (2);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -491,10 +495,10 @@
 restart_when_gone (int node, restart *r)
 {
   int st;
-  if (!r->term_ms || r->back || waitpid (h_entries[node], &st, WNOHANG) <= 0)
+  if (!r->term_ms || r->back || waitpid (h_instances[node], &st, WNOHANG) <= 0)
     return;
   h_start_node (node);
-  r->back = h_wait_port (h_entry_ports[node], 1000);
+  r->back = h_wait_port (h_instance_ports[node], 1000);
 }
 
 /* Restarts all instances, @at_once at a time and @gap_ms apart, while
@@ -510,7 +514,7 @@
   };
   for (int i = 1; i < 8; i += 2)
     h_datacentres[i] = "dc2";
-  h_nodes (8, 3, NODES);
+  h_start_nodes (8, 3, NODES);
   restart r[NODES] = { 0 };
   pid_t p[JOBS];
   mm_time_ms first_term_ms = mm_clock_now_ms () + 500;
@@ -523,7 +527,7 @@
           if (r[k].term_ms || now < first_term_ms + k / at_once * gap_ms)
             continue;
           r[k].term_ms = now;
-          kill (h_entries[k], SIGTERM);
+          kill (h_instances[k], SIGTERM);
         }
       do
         node = (node + 1) % NODES;
@@ -533,10 +537,10 @@
     }
   int served = 0;
   for (int i = 0; i < JOBS; i++)
-    served += h_answered (p[i]);
+    served += h_submit_completed (p[i]);
   ck_assert_int_ge (served, JOBS * 97 / 100);
   assert_no_overload_or_double_run (8);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 
 /* Restarted half a second apart, all instances are shutting down at the
@@ -591,7 +595,7 @@
     }
   int unserved = 0;
   for (int i = 0; i < n; i++)
-    unserved += !h_answered (p[i]);
+    unserved += !h_submit_completed (p[i]);
   return unserved;
 }
 
@@ -602,20 +606,20 @@
    there.  */
 START_TEST (no_job_with_slack_is_refused_during_handovers)
 {
-  h_nodes (8, 4, 2);
+  h_start_nodes (8, 4, 2);
   set_slack_300_ms ();
   h_start_node (2);
   ck_assert_int_eq (count_unserved (0, "join", 2000), 0);
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
                         "{\"deal_anew\":true}", NULL));
   count_unserved (0, "deal", 2000); /* runs are stopped, see the next test */
-  h_stop (h_entries[2], SIGKILL);
+  h_stop (h_instances[2], SIGKILL);
   count_unserved (0, "kill", 2500); /* its runs are lost */
   sleep_ms (50);
-  ck_assert_int_eq (h_log_lines (h_entries[0], "\"event\":\"job_refused\""),
-                    0);
+  ck_assert_int_eq (
+      h_count_in_log (h_instances[0], "\"event\":\"job_refused\""), 0);
   assert_no_overload_or_double_run (8);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -623,22 +627,23 @@
    there, so that jobs were lost.  */
 START_TEST (reassignment_loses_no_job)
 {
-  h_nodes (8, 4, 3);
+  h_start_nodes (8, 4, 3);
   set_slack_300_ms ();
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
                         "{\"deal_anew\":true}", NULL));
   ck_assert_int_eq (count_unserved (0, "deal", 2000), 0);
   assert_no_overload_or_double_run (8);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
 /* The state dump, metrics and log of an instance agree about its jobs.  */
 START_TEST (dump_metrics_and_log_agree)
 {
-  h_nodes (1, 4, 1);
+  h_start_nodes (1, 4, 1);
   for (int i = 0; i < 3; i++)
-    ck_assert (h_answered (submit_numbered (0, "same", i, 2, 20, true)));
+    ck_assert (
+        h_submit_completed (submit_numbered (0, "same", i, 2, 20, true)));
   char *url
       = g_strdup_printf ("http://127.0.0.1:%d/metrics", h_node_state_port (0));
   long status = 0;
@@ -657,17 +662,18 @@
   cJSON_Delete (o);
   g_free (text);
   g_free (url);
-  h_stop (h_entries[0], SIGTERM);
-  ck_assert_int_eq (h_log_lines (h_entries[0], "\"event\":\"job_answered\""),
-                    3);
-  ck_assert_int_eq (h_log_lines (h_entries[0], "\"event\":\"task_ended\""), 6);
-  h_cluster_stop ();
+  h_stop (h_instances[0], SIGTERM);
+  ck_assert_int_eq (
+      h_count_in_log (h_instances[0], "\"event\":\"job_answered\""), 3);
+  ck_assert_int_eq (
+      h_count_in_log (h_instances[0], "\"event\":\"task_ended\""), 6);
+  h_stop_cluster ();
 }
 END_TEST
 
 START_TEST (bad_requests_get_typed_errors)
 {
-  h_nodes (1, 4, 1);
+  h_start_nodes (1, 4, 1);
   static const char *const bad[]
       = { "",
           "{",
@@ -680,18 +686,18 @@
     {
       long status = 0;
       cJSON *o
-          = h_call ("POST", h_entry_ports[0], "/v1/jobs", bad[i], &status);
+          = h_call ("POST", h_instance_ports[0], "/v1/jobs", bad[i], &status);
       ck_assert_int_eq (status, 400);
       ck_assert_ptr_nonnull (cJSON_GetObjectItem (o, "error"));
       cJSON_Delete (o);
     }
   long status = 0;
   cJSON_Delete (h_call (
-      "POST", h_entry_ports[0], "/v1/jobs",
+      "POST", h_instance_ports[0], "/v1/jobs",
       "{\"job_id\":\"x\",\"queue\":\"none\",\"tasks\":[{\"id\":\"a\"}]}",
       &status));
   ck_assert_int_eq (status, 404);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
--- a/tests/test_ownership.c
+++ b/tests/test_ownership.c
@@ -9,7 +9,7 @@
    once on the upstreams, whichever instance each call reached.  */
 START_TEST (resubmit_to_another_instance_starts_nothing_twice)
 {
-  h_cluster (3, 3, 100);
+  h_start_cluster (3, 3, 100);
   g_usleep (600000); /* until every instance knows the other two */
   for (int j = 0; j < 6; j++)
     {
@@ -23,16 +23,16 @@
           g_usleep (30000);
         }
       for (int i = 0; i < 3; i++)
-        ck_assert_msg (h_answered (callers[i]),
+        ck_assert_msg (h_submit_completed (callers[i]),
                        "job %s: caller at instance %d got no complete answer",
                        id, i);
       int max_starts = 0;
-      ck_assert_int_eq (h_starts (id, &max_starts), 20);
+      ck_assert_int_eq (h_count_starts (id, &max_starts), 20);
       ck_assert_msg (max_starts == 1, "job %s: a task started %d times", id,
                      max_starts);
       g_free (job);
     }
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -21,7 +21,7 @@
   g_snprintf (text, sizeof text, "crashed by %s", job);
   int n = 0;
   for (int i = 0; i < UPSTREAMS; i++)
-    n += h_upstream_log_lines (i, text);
+    n += h_count_in_upstream_log (i, text);
   return n;
 }
 
@@ -37,19 +37,20 @@
 static void
 start (void)
 {
-  h_upstream_extra = "upstream.poison_jobs=\"poison\"";
-  h_nodes (UPSTREAMS, SLOTS, 2);
+  h_upstream_extra_setting = "upstream.poison_jobs=\"poison\"";
+  h_start_nodes (UPSTREAMS, SLOTS, 2);
 }
 
 START_TEST (upstream_that_crashes_is_back_as_another)
 {
   start ();
   pid_t p = submit (0, "poison-once", 1, 500, false);
-  ck_assert (!h_answered (p));
+  ck_assert (!h_submit_completed (p));
   ck_assert_int_eq (crashes ("poison-once"), 1);
   ck_assert (h_wait_nodes (2, UPSTREAMS, 12000));
-  ck_assert (h_answered (submit (1, "well", UPSTREAMS * SLOTS, 100, true)));
-  h_cluster_stop ();
+  ck_assert (
+      h_submit_completed (submit (1, "well", UPSTREAMS * SLOTS, 100, true)));
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -57,10 +58,11 @@
 {
   start ();
   pid_t p = submit (0, "poison-again", 1, 500, true);
-  ck_assert (!h_answered (p));
+  ck_assert (!h_submit_completed (p));
   ck_assert_int_le (crashes ("poison-again"), CRASHES);
-  ck_assert_int_eq (h_log_lines (h_entries[0], "\"outcome\":\"failed\""), 1);
-  h_cluster_stop ();
+  ck_assert_int_eq (h_count_in_log (h_instances[0], "\"outcome\":\"failed\""),
+                    1);
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -69,21 +71,21 @@
 START_TEST (poison_job_sent_again_is_answered_failed_at_once)
 {
   start ();
-  ck_assert (!h_answered (submit (0, "poison-anew", 1, 500, true)));
+  ck_assert (!h_submit_completed (submit (0, "poison-anew", 1, 500, true)));
   int before = crashes ("poison-anew");
   ck_assert_int_le (before, CRASHES);
-  h_stop (h_entries[0], SIGKILL);
+  h_stop (h_instances[0], SIGKILL);
   h_start_node (0);
   ck_assert (h_wait_nodes (2, UPSTREAMS, 12000));
   for (int i = 0; i < 4; i++)
     {
       mm_time_ms from_ms = mm_clock_now_ms ();
       pid_t p = submit (i % 2, "poison-anew", 1, 500, true);
-      ck_assert_int_eq (h_status_class (p), 2); /* whole: failed */
+      ck_assert_int_eq (h_submit_status_class (p), 2); /* whole: failed */
       ck_assert_int_lt (mm_clock_now_ms () - from_ms, 1000);
     }
   ck_assert_int_eq (crashes ("poison-anew"), before);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -106,10 +108,10 @@
       g_usleep (EVERY_MS * 1000);
     }
   for (int i = 0; i < JOBS; i++)
-    ck_assert_msg (h_answered (p[i]), "job %d beside a poison one", i);
-  ck_assert (!h_answered (poison));
+    ck_assert_msg (h_submit_completed (p[i]), "job %d beside a poison one", i);
+  ck_assert (!h_submit_completed (poison));
   ck_assert_int_le (crashes ("poison-beside"), CRASHES_BESIDE_OTHERS);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -122,13 +124,13 @@
   long status = 0;
   for (int i = 0; i < 8 && status != 202; i++)
     cJSON_Delete (
-        h_call ("POST", h_entry_ports[0], "/v1/jobs", kept, &status));
+        h_call ("POST", h_instance_ports[0], "/v1/jobs", kept, &status));
   ck_assert_int_eq (status, 202);
   char state[16] = "";
   for (int i = 0; i < 150 && strcmp (state, "failed") != 0; i++)
     {
-      cJSON *o = h_call ("GET", h_entry_ports[1], "/v1/jobs/poison-kept", NULL,
-                         NULL);
+      cJSON *o = h_call ("GET", h_instance_ports[1], "/v1/jobs/poison-kept",
+                         NULL, NULL);
       const char *s = cJSON_GetStringValue (cJSON_GetObjectItem (o, "state"));
       g_strlcpy (state, s ? s : "", sizeof state);
       cJSON_Delete (o);
@@ -138,7 +140,7 @@
   ck_assert_int_le (crashes ("poison-kept"), CRASHES);
   g_free (kept);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -17,7 +17,7 @@
 assert_started_once (const char *job, int n_tasks)
 {
   int max_starts = 0;
-  int n = h_starts (job, &max_starts);
+  int n = h_count_starts (job, &max_starts);
   ck_assert_msg (max_starts <= 1,
                  "job %s: a task started %d times on one upstream", job,
                  max_starts);
@@ -35,7 +35,7 @@
     {
       long status = 0;
       cJSON *answer
-          = h_call ("POST", h_entry_ports[entry], "/v1/jobs", job, &status);
+          = h_call ("POST", h_instance_ports[entry], "/v1/jobs", job, &status);
       cJSON_Delete (answer);
       if (status == 200)
         return true;
@@ -53,7 +53,7 @@
       for (int i = 0; i < N_ENTRIES; i++)
         {
           cJSON *answer
-              = h_call ("GET", h_entry_ports[i], "/v1/state", NULL, NULL);
+              = h_call ("GET", h_instance_ports[i], "/v1/state", NULL, NULL);
           const cJSON *job_item;
           bool here = false;
           cJSON_ArrayForEach (job_item, cJSON_GetObjectItem (answer, "jobs"))
@@ -76,7 +76,7 @@
 static void
 start_cluster (void)
 {
-  h_cluster (N_UPSTREAMS, N_ENTRIES, 100);
+  h_start_cluster (N_UPSTREAMS, N_ENTRIES, 100);
   g_usleep (1500000);
 }
 
@@ -94,17 +94,17 @@
   g_usleep (250000);
   int owner = owner_of ("kill1");
   ck_assert_int_ge (owner, 0);
-  h_stop (h_entries[owner], SIGKILL);
+  h_stop (h_instances[owner], SIGKILL);
   for (int i = 0; i < N_ENTRIES; i++)
     {
-      bool complete = h_answered (callers[i]);
+      bool complete = h_submit_completed (callers[i]);
       ck_assert_msg (complete == (i != owner), "caller at %d, owner %d", i,
                      owner);
     }
   ck_assert (submit_until_complete ((owner + 1) % N_ENTRIES, job, 9000));
   assert_started_once ("kill1", 40);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -120,16 +120,16 @@
   int owner = owner_of ("freeze1");
   ck_assert_int_ge (owner, 0);
   g_usleep (200000);
-  kill (h_entries[owner], SIGSTOP);
+  kill (h_instances[owner], SIGSTOP);
   int other = (owner + 1) % N_ENTRIES;
   ck_assert (submit_until_complete (other, job, 15000));
-  kill (h_entries[owner], SIGCONT);
+  kill (h_instances[owner], SIGCONT);
   g_usleep (1500000);
   /* The caller that waited at the frozen instance gets the answer too.  */
-  ck_assert (h_answered (first));
+  ck_assert (h_submit_completed (first));
   assert_started_once ("freeze1", 60);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -140,7 +140,7 @@
 START_TEST (owner_killed_in_an_outage_leaves_no_double_start)
 {
   start_cluster ();
-  h_platform_fault ("{\"down\":true}");
+  h_set_platform_faults ("{\"down\":true}");
   g_usleep (1000000);
   char *job = h_job_json ("out1", 20, 1500, 9000, false);
   pid_t callers[N_ENTRIES];
@@ -150,16 +150,16 @@
   ck_assert_int_ge (owner, 0);
   g_usleep (600000);
   int max_starts = 0;
-  ck_assert_msg (h_starts ("out1", &max_starts) > 0,
+  ck_assert_msg (h_count_starts ("out1", &max_starts) > 0,
                  "nothing served in the outage");
-  h_stop (h_entries[owner], SIGKILL);
+  h_stop (h_instances[owner], SIGKILL);
   for (int i = 0; i < N_ENTRIES; i++)
-    h_answered (callers[i]);
-  h_platform_fault ("{\"down\":false}");
+    h_submit_completed (callers[i]);
+  h_set_platform_faults ("{\"down\":false}");
   ck_assert (submit_until_complete ((owner + 1) % N_ENTRIES, job, 12000));
   assert_started_once ("out1", 20);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -174,14 +174,14 @@
       char id[16];
       g_snprintf (id, sizeof id, "lost%d", j);
       char *job = h_job_json (id, 10, 100, 8000, false);
-      h_platform_fault ("{\"lose_answers\":2}");
+      h_set_platform_faults ("{\"lose_answers\":2}");
       pid_t a = h_submit (0, job), b = h_submit (1, job);
-      ck_assert (h_answered (a));
-      ck_assert (h_answered (b));
+      ck_assert (h_submit_completed (a));
+      ck_assert (h_submit_completed (b));
       assert_started_once (id, 10);
       g_free (job);
     }
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -192,20 +192,20 @@
 START_TEST (instance_cut_off_from_the_platform_passes_its_jobs_on)
 {
   start_cluster ();
-  h_platform_fault ("{\"cut\":\"entry0\"}");
+  h_set_platform_faults ("{\"cut\":\"entry0\"}");
   for (int j = 0; j < 12; j++)
     {
       char id[16];
       g_snprintf (id, sizeof id, "cut%d", j);
       char *job = h_job_json (id, 6, 150, 8000, false);
       pid_t a = h_submit (0, job), b = h_submit (1, job);
-      ck_assert_msg (h_answered (a), "job %s at the cut instance", id);
-      ck_assert_msg (h_answered (b), "job %s at its peer", id);
+      ck_assert_msg (h_submit_completed (a), "job %s at the cut instance", id);
+      ck_assert_msg (h_submit_completed (b), "job %s at its peer", id);
       assert_started_once (id, 6);
       g_free (job);
     }
-  h_platform_fault ("{\"cut\":\"\"}");
-  h_cluster_stop ();
+  h_set_platform_faults ("{\"cut\":\"\"}");
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -214,25 +214,25 @@
    lists differ for a moment.  */
 START_TEST (instances_joining_and_leaving_double_nothing)
 {
-  h_cluster (N_UPSTREAMS, 2, 300);
+  h_start_cluster (N_UPSTREAMS, 2, 300);
   g_usleep (1500000);
   for (int j = 0; j < 30; j++)
     {
       if (j == 6)
         h_start_entry (2);
       if (j == 20)
-        kill (h_entries[0], SIGTERM);
+        kill (h_instances[0], SIGTERM);
       char id[16];
       g_snprintf (id, sizeof id, "join%d", j);
       char *job = h_job_json (id, 4, 100, 8000, false);
       pid_t a = h_submit (j < 20 ? 0 : 2, job);
       pid_t b = h_submit (1, job);
-      ck_assert_msg (h_answered (a), "job %s, first caller", id);
-      ck_assert_msg (h_answered (b), "job %s, second caller", id);
+      ck_assert_msg (h_submit_completed (a), "job %s, first caller", id);
+      ck_assert_msg (h_submit_completed (b), "job %s, second caller", id);
       assert_started_once (id, 4);
       g_free (job);
     }
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -243,27 +243,27 @@
 START_TEST (all_instances_killed_in_an_outage_double_nothing)
 {
   start_cluster ();
-  h_platform_fault ("{\"down\":true}");
+  h_set_platform_faults ("{\"down\":true}");
   g_usleep (1000000);
   char *job = h_job_json ("herd1", 20, 3000, 20000, false);
   pid_t caller = h_submit (0, job);
   g_usleep (1500000);
   int max_starts = 0;
-  ck_assert_msg (h_starts ("herd1", &max_starts) > 0,
+  ck_assert_msg (h_count_starts ("herd1", &max_starts) > 0,
                  "nothing served in the outage");
   for (int i = 0; i < N_ENTRIES; i++)
-    h_stop (h_entries[i], SIGKILL);
-  ck_assert (!h_answered (caller));
-  h_platform_fault ("{\"down\":false}");
+    h_stop (h_instances[i], SIGKILL);
+  ck_assert (!h_submit_completed (caller));
+  h_set_platform_faults ("{\"down\":false}");
   for (int i = 0; i < N_ENTRIES; i++)
     h_start_entry (i);
   for (int i = 0; i < N_ENTRIES; i++)
-    ck_assert (h_wait_port (h_entry_ports[i], 5000));
+    ck_assert (h_wait_port (h_instance_ports[i], 5000));
   g_usleep (3000000);
   ck_assert (submit_until_complete (1, job, 15000));
   assert_started_once ("herd1", 20);
   g_free (job);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
--- a/tests/test_thin_link.c
+++ b/tests/test_thin_link.c
@@ -91,7 +91,7 @@
       char id[16];
       g_snprintf (id, sizeof id, "back-%d", i);
       char *job = h_job_json (id, 4, 100, 5000, true);
-      bool served = h_answered (h_submit (i % 2, job));
+      bool served = h_submit_completed (h_submit (i % 2, job));
       g_free (job);
       if (served)
         return sent_ms - start_ms;
@@ -104,13 +104,13 @@
 start_with_other_upstreams (other_upstreams *others, int kbps)
 {
   others->seq = 1;
-  h_nodes (4, 4, 2);
+  h_start_nodes (4, 4, 2);
   for (int i = 0; i < others->n; i += 50)
     report_some (others, MIN (50, others->n - i));
   char fault[80];
   g_snprintf (fault, sizeof fault, "{\"link_kbps\":%d,\"link_delay_ms\":1}",
               kbps);
-  h_platform_fault (fault);
+  h_set_platform_faults (fault);
   report_for (others, 2000);
 }
 
@@ -125,14 +125,14 @@
 {
   other_upstreams others = { .n = n_others };
   start_with_other_upstreams (&others, kbps);
-  h_platform_fault ("{\"cut\":\"node0,node1\"}");
+  h_set_platform_faults ("{\"cut\":\"node0,node1\"}");
   report_for (&others, AWAY_MS);
   if (store_fault)
     cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
                           store_fault, NULL));
   for (int i = 0; i < 2; i++)
     ck_assert (!knows_its_upstreams (i));
-  h_platform_fault ("{\"cut\":\"\"}");
+  h_set_platform_faults ("{\"cut\":\"\"}");
   mm_time_ms start_ms = mm_clock_now_ms ();
   for (int i = 0; i < 2; i++)
     known_after_ms (&others, i, 3 * OWN_AGAIN_MS);
@@ -140,7 +140,7 @@
   ck_assert_msg (took_ms <= OWN_AGAIN_MS, "known after %d ms", (int)took_ms);
   took_ms = served_after_ms (&others, start_ms);
   ck_assert_msg (took_ms <= OWN_AGAIN_MS, "served after %d ms", (int)took_ms);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 
 START_TEST (recovers_on_2_mbit_with_120_upstreams)
@@ -168,15 +168,15 @@
   other_upstreams others = { .n = 120 };
   start_with_other_upstreams (&others, 2000);
   report_for (&others, 6000);
-  h_platform_fault ("{\"cut\":\"node0\"}");
+  h_set_platform_faults ("{\"cut\":\"node0\"}");
   report_for (&others, 1000);
   for (int i = 0; i < 10; i++)
     {
       report_for (&others, 300);
       ck_assert (knows_its_upstreams (0));
     }
-  h_platform_fault ("{\"cut\":\"\"}");
-  h_cluster_stop ();
+  h_set_platform_faults ("{\"cut\":\"\"}");
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -204,7 +204,7 @@
   for (int i = 0; i < 2; i++)
     ck_assert (h_wait_json (h_node_state_port (i), "/", "config_version", 2,
                             BATCH_MS));
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
@@ -216,12 +216,12 @@
   other_upstreams others = { .n = 120 };
   start_with_other_upstreams (&others, 2000);
   for (int i = 0; i < 2; i++)
-    h_stop (h_entries[i], SIGKILL);
+    h_stop (h_instances[i], SIGKILL);
   for (int i = 0; i < 3; i++)
     h_start_node (i);
   for (int i = 0; i < 3; i++)
     ck_assert_int_le (known_after_ms (&others, i, 10000), 5000);
-  h_cluster_stop ();
+  h_stop_cluster ();
 }
 END_TEST
 
