--- a/src/mm_bench.c
+++ b/src/mm_bench.c
@@ -1,12 +1,13 @@
-/* mm_bench: submit jobs to entry instances and measure each job's
-   response time against the ideal: its longest task plus one round trip
-   (taken as 1 ms on loopback), the best a fully parallel dispatcher
-   could do.  Wasted messages are read from the entries' counters by the
-   caller (masticctl bench), before and after.
+/* mm_bench: submits jobs to entry instances and compares the response time
+   of each job with the ideal: its longest task plus one round trip (assumed
+   to be 1 ms on loopback), the best that a fully parallel dispatcher could
+   do.  The caller (masticctl bench) reads the counters of the entry
+   instances before and after the run to find the wasted messages.
 
-   Two ways to load: a fixed number of jobs in flight (closed loop), or
-   arrivals at a site's rates whether or not earlier jobs are answered
-   (open loop), so that a slow answer does not hide later ones.  */
+   The load is either a fixed number of jobs in flight (closed loop), or
+   arrivals at the rates of a site whether or not earlier jobs are answered
+   (open loop), so that a slow answer does not delay later jobs and hide
+   their response times.  */
 #include "masticmill.h"
 
 #include <cJSON.h>
@@ -21,14 +22,16 @@
   mm_http_client *client;
   GRand *rand;
   uint32_t submitted;
-  uint32_t open;
-  GArray *ratios;                          /* double */
-  GArray *kind_ratios[MM_BENCH_MAX_KINDS]; /* double */
+  uint32_t in_flight;
+  /* Response time / ideal of each complete job, double.  */
+  GArray *ratios;
+  GArray *kind_ratios[MM_BENCH_MAX_KINDS]; /* the same, by kind */
   mm_time_ms start_ms;
-  ev_timer arrival; /* open loop */
+  ev_timer arrival; /* next job of an open loop */
 } bench;
 
-/* The brief's two sites: kinds of requests, tasks, run times, rates.  */
+/* The users' two sites: kind of request, tasks a job, run time of a task in
+   ms, jobs a second.  */
 static const mm_bench_kind lima_kinds[] = { { "seat-hold", 8, 60, 34.4 },
                                             { "guide-assign", 4, 900, 6.25 },
                                             { "pass-print", 2, 200, 100 },
@@ -40,7 +43,7 @@
         { NULL } };
 
 /**
- * mm_bench_site() - the request kinds of one of the users' sites.
+ * mm_bench_site() - returns the request kinds of one of the users' sites.
  * @site: "lima" or "buenos-aires".
  *
  * Return: a list ended by a NULL name, or NULL for an unknown site.
@@ -61,18 +64,18 @@
   mm_time_ms sent_ms;
   mm_time_ms ideal_ms;
   uint32_t tasks;
-  int kind; /* index into the plan's kinds, -1 for none */
+  int kind; /* index into the plan's kinds, -1: closed loop */
 } job_ctx;
 
 static void submit_next (bench *b);
-static bool arrivals_over (const bench *b);
+static bool arrivals_ended (const bench *b);
 
 static void
-job_done (const mm_http_result *res, void *ctx)
+on_job_answered (const mm_http_result *res, void *ctx)
 {
   job_ctx *j = ctx;
   bench *b = j->b;
-  mm_time_ms took = mm_clock_now_ms () - j->sent_ms;
+  mm_time_ms took_ms = mm_clock_now_ms () - j->sent_ms;
   cJSON *o
       = cJSON_ParseWithLength (res->body ? res->body : "", res->body_bytes);
   const char *status
@@ -83,12 +86,12 @@
     {
       b->report->jobs_complete++;
       b->report->tasks += j->tasks;
-      double r = (double)took / (double)j->ideal_ms;
-      g_array_append_val (b->ratios, r);
+      double ratio = (double)took_ms / (double)j->ideal_ms;
+      g_array_append_val (b->ratios, ratio);
       if (k)
         {
           k->complete++;
-          g_array_append_val (b->kind_ratios[j->kind], r);
+          g_array_append_val (b->kind_ratios[j->kind], ratio);
         }
     }
   else
@@ -102,26 +105,26 @@
     }
   cJSON_Delete (o);
   g_free (j);
-  b->open--;
+  b->in_flight--;
   if (!b->plan->kinds)
     submit_next (b);
-  if (b->open == 0 && arrivals_over (b))
+  if (b->in_flight == 0 && arrivals_ended (b))
     ev_break (b->loop, EVBREAK_ALL);
 }
 
-/* Run times of a closed loop: mostly around the mean, one in fifty 4x
-   longer.  */
+/* Draws the run time of a task in a closed loop: uniform between 0.5 and 1.5
+   times the mean, and 4 times that for one task in fifty.  */
 static mm_time_ms
 draw_run_ms (bench *b)
 {
   double u = g_rand_double (b->rand);
-  mm_time_ms run = (mm_time_ms)((double)b->plan->run_ms * (0.5 + u));
-  return g_rand_int_range (b->rand, 0, 50) == 0 ? 4 * run : run;
+  mm_time_ms task_ms = (mm_time_ms)((double)b->plan->run_ms * (0.5 + u));
+  return g_rand_int_range (b->rand, 0, 50) == 0 ? 4 * task_ms : task_ms;
 }
 
 static char *
 make_job (bench *b, uint32_t n, const mm_bench_kind *kind, uint32_t n_tasks,
-          mm_time_ms *ideal)
+          mm_time_ms *ideal_out_ms)
 {
   const mm_bench_plan *p = b->plan;
   cJSON *o = cJSON_CreateObject ();
@@ -130,23 +133,23 @@
   cJSON_AddStringToObject (o, "job_id", id);
   cJSON_AddStringToObject (o, "team", "bench");
   cJSON *tasks = cJSON_AddArrayToObject (o, "tasks");
-  mm_time_ms longest = 0;
+  mm_time_ms longest_ms = 0;
   for (uint32_t i = 0; i < n_tasks; i++)
     {
-      mm_time_ms run = kind ? kind->run_ms : draw_run_ms (b);
-      longest = MAX (longest, run);
+      mm_time_ms task_ms = kind ? kind->run_ms : draw_run_ms (b);
+      longest_ms = MAX (longest_ms, task_ms);
       cJSON *t = cJSON_CreateObject ();
       char tid[16];
       g_snprintf (tid, sizeof tid, "t%u", i);
       cJSON_AddStringToObject (t, "id", tid);
       cJSON_AddStringToObject (t, "payload", "bench");
-      cJSON_AddNumberToObject (t, "run_ms", (double)run);
+      cJSON_AddNumberToObject (t, "run_ms", (double)task_ms);
       cJSON_AddNumberToObject (t, "deadline_ms", (double)p->deadline_ms);
       cJSON_AddBoolToObject (t, "idempotent",
                              g_rand_double (b->rand) >= p->non_idempotent);
       cJSON_AddItemToArray (tasks, t);
     }
-  *ideal = longest + 1;
+  *ideal_out_ms = longest_ms + 1;
   char *s = cJSON_PrintUnformatted (o);
   cJSON_Delete (o);
   return s;
@@ -167,15 +170,15 @@
       = g_strdup_printf ("%s/v1/jobs", p->entries[b->submitted % n_entries]);
   j->sent_ms = mm_clock_now_ms ();
   mm_http_client_call (b->client, "POST", url, body, p->deadline_ms + 5000,
-                       job_done, j);
+                       on_job_answered, j);
   g_free (url);
   free (body);
   b->submitted++;
-  b->open++;
+  b->in_flight++;
 }
 
 static bool
-arrivals_over (const bench *b)
+arrivals_ended (const bench *b)
 {
   return !b->plan->kinds
          || mm_clock_now_ms () - b->start_ms >= b->plan->max_ms;
@@ -190,15 +193,15 @@
   return sum;
 }
 
-/* Open loop: one job of a kind drawn by the rates, then an exponential
-   pause to the next.  */
+/* Open loop: submits a job of a kind that is drawn in proportion to the
+   rates, then waits an exponentially distributed time for the next.  */
 static void
 arrival_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   bench *b = w->data;
-  if (arrivals_over (b))
+  if (arrivals_ended (b))
     {
-      if (b->open == 0)
+      if (b->in_flight == 0)
         ev_break (loop, EVBREAK_ALL);
       return;
     }
@@ -217,7 +220,7 @@
 submit_next (bench *b)
 {
   const mm_bench_plan *p = b->plan;
-  while (b->submitted < p->jobs && b->open < p->concurrency
+  while (b->submitted < p->jobs && b->in_flight < p->concurrency
          && mm_clock_now_ms () - b->start_ms < p->max_ms)
     submit (b, -1);
 }
@@ -230,21 +233,21 @@
 }
 
 static double
-quantile (GArray *v, double q)
+quantile (GArray *sorted, double q)
 {
-  if (!v->len)
+  if (!sorted->len)
     return 0;
-  guint i = (guint)ceil (q * v->len) - 1;
-  return g_array_index (v, double, MIN (i, v->len - 1));
+  guint i = (guint)ceil (q * sorted->len) - 1;
+  return g_array_index (sorted, double, MIN (i, sorted->len - 1));
 }
 
 /**
- * mm_bench_run() - run a load plan to its end.
- * @plan: what to send.
- * @out: filled with the figures.
+ * mm_bench_run() - runs a load plan to its end.
+ * @plan: the jobs to submit.
+ * @out: filled with the results.
  * @error: MM_ERROR_BAD_REQUEST for an empty plan.
  *
- * Return: true when the run took place (jobs may still have failed).
+ * Return: true when the plan was run, even if jobs failed.
  */
 bool
 mm_bench_run (const mm_bench_plan *plan, mm_bench_report *out, GError **error)
@@ -276,11 +279,11 @@
   out->wall_ms = mm_clock_now_ms () - b.start_ms;
   for (int i = 0; i < MM_BENCH_MAX_KINDS; i++)
     {
-      GArray *v = b.kind_ratios[i];
-      qsort (v->data, v->len, sizeof (double), cmp_double);
-      out->kinds[i].ratio_p50 = quantile (v, 0.5);
-      out->kinds[i].ratio_p99 = quantile (v, 0.99);
-      g_array_free (v, TRUE);
+      GArray *of_kind = b.kind_ratios[i];
+      qsort (of_kind->data, of_kind->len, sizeof (double), cmp_double);
+      out->kinds[i].ratio_p50 = quantile (of_kind, 0.5);
+      out->kinds[i].ratio_p99 = quantile (of_kind, 0.99);
+      g_array_free (of_kind, TRUE);
     }
   qsort (b.ratios->data, b.ratios->len, sizeof (double), cmp_double);
   out->ratio_p50 = quantile (b.ratios, 0.5);
--- a/src/mm_group_table.c
+++ b/src/mm_group_table.c
@@ -1,4 +1,4 @@
-/* mm_group_table: members, partitions and a generation.  */
+/* mm_group_table: members, partitions and the generation of a group.  */
 #include "mm_group_table.h"
 
 #include <string.h>
@@ -6,22 +6,23 @@
 typedef struct
 {
   char *name;
-  uint64_t confirmed; /* the generation it joined with */
-  mm_time_ms until_ms;
+  uint64_t joined_generation; /* the highest generation it joined with */
+  mm_time_ms expires_ms;
 } member;
 
 typedef struct
 {
-  member *holder;       /* may still act on it, or NULL */
-  member *target;       /* gets it next, or NULL */
-  uint64_t unlisted_at; /* generation at which the holder lost sight */
+  member *holder; /* may still act on the partition, or NULL */
+  member *target; /* the partition is assigned to it next, or NULL */
+  /* Generation from which on the partition is not listed for its holder.  */
+  uint64_t unlisted_generation;
 } partition;
 
 struct mm_group_table
 {
   GPtrArray *members;
-  partition *parts;
-  uint32_t n;
+  partition *partitions;
+  uint32_t n_partitions;
   uint64_t generation;
 };
 
@@ -33,12 +34,12 @@
 }
 
 mm_group_table *
-mm_group_table_create (uint32_t parts)
+mm_group_table_create (uint32_t count)
 {
   mm_group_table *g = g_new0 (mm_group_table, 1);
   g->members = g_ptr_array_new_with_free_func (member_free);
-  g->parts = g_new0 (partition, parts);
-  g->n = parts;
+  g->partitions = g_new0 (partition, count);
+  g->n_partitions = count;
   return g;
 }
 
@@ -48,16 +49,16 @@
   if (!g)
     return;
   g_ptr_array_free (g->members, TRUE);
-  g_free (g->parts);
+  g_free (g->partitions);
   g_free (g);
 }
 
 static uint32_t
-load_of (const mm_group_table *g, const member *m)
+target_count (const mm_group_table *g, const member *m)
 {
   uint32_t n = 0;
-  for (uint32_t i = 0; i < g->n; i++)
-    n += g->parts[i].target == m;
+  for (uint32_t i = 0; i < g->n_partitions; i++)
+    n += g->partitions[i].target == m;
   return n;
 }
 
@@ -68,49 +69,53 @@
   for (guint i = 0; i < g->members->len; i++)
     {
       member *m = g->members->pdata[i];
-      if (!best || load_of (g, m) < load_of (g, best))
+      if (!best || target_count (g, m) < target_count (g, best))
         best = m;
     }
   return best;
 }
 
 static void
-retarget (mm_group_table *g, partition *p, member *to)
+set_target (mm_group_table *g, partition *p, member *to)
 {
   p->target = to;
   if (p->holder && p->holder != to)
-    p->unlisted_at = g->generation;
+    p->unlisted_generation = g->generation;
 }
 
-/* Even shares, moving as little as possible.  */
+/* Assigns the partitions evenly and moves as few of them as possible.  */
 static void
-balance (mm_group_table *g)
+rebalance (mm_group_table *g)
 {
-  uint32_t most
-      = g->members->len ? (g->n + g->members->len - 1) / g->members->len : 0;
+  uint32_t max_count
+      = g->members->len
+            ? (g->n_partitions + g->members->len - 1) / g->members->len
+            : 0;
   g->generation++;
-  for (uint32_t i = 0; i < g->n; i++)
+  for (uint32_t i = 0; i < g->n_partitions; i++)
     {
-      partition *p = &g->parts[i];
+      partition *p = &g->partitions[i];
       member *least = least_loaded (g);
-      bool over = p->target
-                  && (load_of (g, p->target) > most
-                      || load_of (g, p->target) > load_of (g, least) + 1);
-      if (!p->target || over)
-        retarget (g, p, least);
+      bool overloaded
+          = p->target
+            && (target_count (g, p->target) > max_count
+                || target_count (g, p->target) > target_count (g, least) + 1);
+      if (!p->target || overloaded)
+        set_target (g, p, least);
     }
 }
 
-/* Give partitions whose holders have let go to their targets.  */
+/* Gives the partitions that their holders have released to their targets.  */
 static void
-hand_over (mm_group_table *g)
+complete_moves (mm_group_table *g)
 {
   bool moved = false;
-  for (uint32_t i = 0; i < g->n; i++)
+  for (uint32_t i = 0; i < g->n_partitions; i++)
     {
-      partition *p = &g->parts[i];
+      partition *p = &g->partitions[i];
       if (p->holder == p->target
-          || (p->holder && p->holder->confirmed < p->unlisted_at))
+          || (p->holder
+              && p->holder->joined_generation < p->unlisted_generation))
         continue;
       p->holder = p->target;
       moved = true;
@@ -120,7 +125,7 @@
 }
 
 static member *
-find (const mm_group_table *g, const char *name)
+find_member (const mm_group_table *g, const char *name)
 {
   for (guint i = 0; i < g->members->len; i++)
     if (strcmp (((member *)g->members->pdata[i])->name, name) == 0)
@@ -133,7 +138,7 @@
                      mm_time_ms ttl_ms, mm_time_ms now_ms)
 {
   mm_group_table_step (g, now_ms);
-  member *m = find (g, name);
+  member *m = find_member (g, name);
   bool joined = !m;
   if (joined)
     {
@@ -141,33 +146,33 @@
       m->name = g_strdup (name);
       g_ptr_array_add (g->members, m);
     }
-  m->until_ms = now_ms + ttl_ms;
-  m->confirmed = MAX (m->confirmed, generation);
+  m->expires_ms = now_ms + ttl_ms;
+  m->joined_generation = MAX (m->joined_generation, generation);
   if (joined)
-    balance (g);
-  hand_over (g);
+    rebalance (g);
+  complete_moves (g);
   return g->generation;
 }
 
 static void
 remove_member (mm_group_table *g, member *m)
 {
-  for (uint32_t i = 0; i < g->n; i++)
+  for (uint32_t i = 0; i < g->n_partitions; i++)
     {
-      if (g->parts[i].holder == m)
-        g->parts[i].holder = NULL;
-      if (g->parts[i].target == m)
-        g->parts[i].target = NULL;
+      if (g->partitions[i].holder == m)
+        g->partitions[i].holder = NULL;
+      if (g->partitions[i].target == m)
+        g->partitions[i].target = NULL;
     }
   g_ptr_array_remove (g->members, m);
-  balance (g);
-  hand_over (g);
+  rebalance (g);
+  complete_moves (g);
 }
 
 void
 mm_group_table_leave (mm_group_table *g, const char *name)
 {
-  member *m = find (g, name);
+  member *m = find_member (g, name);
   if (m)
     remove_member (g, m);
 }
@@ -178,7 +183,7 @@
   for (guint i = 0; i < g->members->len;)
     {
       member *m = g->members->pdata[i];
-      if (now_ms > m->until_ms)
+      if (now_ms > m->expires_ms)
         remove_member (g, m);
       else
         i++;
@@ -191,24 +196,24 @@
   if (!g->members->len)
     return;
   g->generation++;
-  for (uint32_t i = 0; i < g->n; i++)
+  for (uint32_t i = 0; i < g->n_partitions; i++)
     {
       member *to = g->members->pdata[(i + g->generation) % g->members->len];
-      g->parts[i].holder = g->parts[i].target = to;
+      g->partitions[i].holder = g->partitions[i].target = to;
     }
 }
 
 const char *
-mm_group_table_holder (const mm_group_table *g, uint32_t part)
+mm_group_table_holder (const mm_group_table *g, uint32_t index)
 {
-  const partition *p = &g->parts[part];
+  const partition *p = &g->partitions[index];
   return p->holder && p->holder == p->target ? p->holder->name : NULL;
 }
 
 uint32_t
 mm_group_table_parts (const mm_group_table *g)
 {
-  return g->n;
+  return g->n_partitions;
 }
 
 uint64_t
--- a/src/mm_list_log.c
+++ b/src/mm_list_log.c
@@ -1,11 +1,11 @@
-/* mm_list_log: see the header.  */
+/* mm_list_log: the last changes of the upstream list.  */
 #include "mm_list_log.h"
 
 #include "config.h"
 
 struct mm_list_log
 {
-  uint64_t first;
+  uint64_t first;  /* offset from which on the log has all changes */
   GArray *changes; /* mm_list_change, in the order of the stream */
 };
 
--- a/src/mm_list_log.h
+++ b/src/mm_list_log.h
@@ -1,8 +1,8 @@
 /* mm_list_log: the last changes of the upstream list.
 
-   The list is a stream in which most records only repeat what is known.  Of
-   an instance that knows it up to some offset, and gets the changes since,
-   nothing else need be read.  */
+   The list is a stream in which most records only repeat what is known.  An
+   instance that knows the list up to some offset and receives the changes
+   since then does not have to read the stream itself.  */
 #ifndef MM_LIST_LOG_H
 #define MM_LIST_LOG_H
 
@@ -13,21 +13,24 @@
 typedef struct
 {
   char *name;
-  mm_upstream_info *info; /* NULL: it is not listed any more */
-  uint64_t upto;          /* the change lies before this offset */
+  mm_upstream_info *info; /* NULL: the upstream is no longer listed */
+  uint64_t upto; /* the record of the change lies before this offset */
 } mm_list_change;
 
-void mm_list_change_clear (gpointer change); /* frees what it holds */
+void mm_list_change_clear (gpointer change); /* frees its fields */
 
 mm_list_log *mm_list_log_create (void);
 void mm_list_log_destroy (mm_list_log *l);
-void mm_list_log_reset (mm_list_log *l, uint64_t first); /* none are known */
-/* @info NULL: gone.  Changes are added in the order of the stream.  */
+/* Forgets all changes; those from offset @first on are added next.  */
+void mm_list_log_reset (mm_list_log *l, uint64_t first);
+/* Adds a change, in the order of the stream.  @info is NULL when the upstream
+   is no longer listed.  The oldest change is dropped when the log is full.  */
 void mm_list_log_add (mm_list_log *l, uint64_t upto, const char *name,
                       const mm_upstream_info *info);
-/* From which offset on all changes are here.  */
+/* Returns the offset from which on the log has all changes.  */
 uint64_t mm_list_log_first (const mm_list_log *l);
-/* The changes for an instance that knows the list up to @from.  */
+/* Returns the @n changes that an instance lacks which knows the list up to
+   offset @from.  They are valid until the next call that changes the log.  */
 const mm_list_change *mm_list_log_since (const mm_list_log *l, uint64_t from,
                                          size_t *n);
 
--- a/src/mm_platform.c
+++ b/src/mm_platform.c
@@ -1,24 +1,25 @@
-/* mm_platform: stand-in for the platform's service.
+/* mm_platform: stand-in for the service of the platform.
 
    - An append-only log per stream: POST /v1/log/STREAM appends a JSON
-     record and answers its offset; GET /v1/log/STREAM?from=N&max=M reads
-     in order.  Records older than the retention are dropped from the
-     front, and "first" says where the log now begins.
-     A stream keeps the highest producer epoch it has seen: an append
-     with ?epoch=N lower than that answers 409 with the epoch it has, so a
-     writer that was replaced cannot write any more.  Reads tell it too.
-     An append with ?at=N answers 412 unless the stream ends at N.
-   - A member list: PUT /v1/members/NAME is a heartbeat carrying the
-     member's state; GET /v1/members shows each member as it was
-     member_lag_ms ago, and drops members silent for member_ttl_ms.
+     record and answers with its offset; GET /v1/log/STREAM?from=N&max=M
+     reads in order.  Records older than the retention are dropped from the
+     front, and "first" is the offset at which the log now begins.
+     A stream keeps the highest producer epoch it has seen: an append with
+     a lower ?epoch=N is answered with 409 and that epoch, so a writer that
+     was replaced can no longer write.  Answers to reads contain the epoch
+     too.  An append with ?at=N is answered with 412 unless the stream ends
+     at N.
+   - A member list: PUT /v1/members/NAME is a heartbeat with the state of
+     the member; GET /v1/members shows each member as it was member_lag_ms
+     ago, and drops members without a heartbeat for member_ttl_ms.
    - Faults, POST /v1/faults: {"down":true} answers 503 to all but
      /v1/faults and /v1/state; {"slow_ms":N} delays every answer;
      {"lose_answers":N} applies the next N appends but loses their
-     answers (the caller sees 504 although the record is in the log);
-     {"cut":"NAME,..."} answers 503 to everything these members ask, and
+     answers (the caller receives 504 although the record is in the log);
+     {"cut":"NAME,..."} answers 503 to every request of these members and
      serves the others ("" ends it); {"link_kbps":N,"link_delay_ms":M}
-     puts each member behind a link of its own, on which its answers follow
-     one another (0 ends it).  Callers name themselves in
+     puts each member behind a link of its own, on which its answers are
+     sent one after another (0 ends it).  Callers send their member name in
      X-Masticmill-Member.  */
 #include "config.h"
 #include "masticmill.h"
@@ -48,11 +49,11 @@
 typedef struct
 {
   char *name;
-  char *datacentre;     /* from its heartbeat, for filtered reads */
-  char *shown;          /* JSON the list shows */
-  char *latest;         /* JSON last heard */
-  mm_time_ms latest_ms; /* when latest changed */
-  mm_time_ms seen_ms;   /* last heartbeat */
+  char *datacentre;        /* from its heartbeat, for filtered reads */
+  char *shown;             /* JSON in the member list */
+  char *latest;            /* JSON of the last heartbeat */
+  mm_time_ms latest_ms;    /* when latest changed */
+  mm_time_ms heartbeat_ms; /* last heartbeat */
 } member;
 
 struct mm_platform
@@ -63,15 +64,15 @@
   mm_counters *counters;
   GHashTable *streams;     /* name -> log_stream */
   GHashTable *members;     /* name -> member */
-  int64_t members_version; /* bumped whenever the shown list changes */
+  int64_t members_version; /* incremented when the shown list changes */
   bool down;
   int64_t slow_ms;
   int64_t lose_answers;
   mm_stream_server *streams_server; /* keyed streams and groups */
-  char *cut;                        /* members turned away, "" for none */
-  int64_t link_kbps;                /* of each member's link, 0: no limit */
+  char *disconnected; /* disconnected members, comma-separated, "": none */
+  int64_t link_kbps;  /* kbit/s of each member's link, 0: no limit */
   int64_t link_delay_ms;
-  GHashTable *link_busy; /* member -> mm_time_ms, until when */
+  GHashTable *link_busy; /* member -> mm_time_ms, end of its last answer */
 };
 
 typedef struct
@@ -119,8 +120,9 @@
   g_free (d);
 }
 
-/* How long an answer takes over its member's link, behind those that were
-   sent there before, whether anybody still waits for them or not.  */
+/* Returns the time that an answer takes over its member's link.  The answer
+   queues behind those that were sent there before, also behind those whose
+   callers no longer wait.  */
 static mm_time_ms
 link_time_ms (mm_platform *p, const mm_http_request *req, size_t bytes)
 {
@@ -129,15 +131,16 @@
     return 0;
   mm_time_ms now = mm_clock_now_ms ();
   const mm_time_ms *busy = g_hash_table_lookup (p->link_busy, member);
-  mm_time_ms *until = g_new (mm_time_ms, 1);
-  *until = MAX (now, busy ? *busy : 0)
-           + (mm_time_ms)bytes * 8 / (mm_time_ms)p->link_kbps;
-  mm_time_ms took_ms = *until - now;
-  g_hash_table_replace (p->link_busy, g_strdup (member), until);
+  mm_time_ms *busy_until_ms = g_new (mm_time_ms, 1);
+  *busy_until_ms = MAX (now, busy ? *busy : 0)
+                   + (mm_time_ms)bytes * 8 / (mm_time_ms)p->link_kbps;
+  mm_time_ms took_ms = *busy_until_ms - now;
+  g_hash_table_replace (p->link_busy, g_strdup (member), busy_until_ms);
   return took_ms + p->link_delay_ms;
 }
 
-/* Every answer goes through here so that "slow" and links delay them all.  */
+/* Sends an answer.  All answers are sent here, so that "slow_ms" and the links
+   delay each of them.  */
 static void
 answer (mm_platform *p, mm_http_request *req, unsigned status, char *body)
 {
@@ -213,13 +216,13 @@
 {
   size_t len;
   const char *body = mm_http_request_body (req, &len);
-  cJSON *check = cJSON_ParseWithLength (body, len);
-  if (!check)
+  cJSON *record = cJSON_ParseWithLength (body, len);
+  if (!record)
     {
       answer_error (p, req, 400, MM_ERROR_BAD_REQUEST, "record is not JSON");
       return;
     }
-  cJSON_Delete (check);
+  cJSON_Delete (record);
   log_stream *s = get_stream (p, stream);
   const char *epoch_s = mm_http_request_query (req, "epoch");
   int64_t epoch = epoch_s ? g_ascii_strtoll (epoch_s, NULL, 10) : s->epoch;
@@ -250,8 +253,7 @@
   mm_counters_add (p->counters, "log_appends", 1);
   if (p->lose_answers > 0)
     {
-      /* The fault the brief names: the action took effect, the answer
-         is lost.  */
+      /* Simulates an append that took effect but whose answer is lost.  */
       p->lose_answers--;
       mm_counters_add (p->counters, "answers_lost", 1);
       answer_error (p, req, 504, MM_ERROR_PLATFORM, "answer lost");
@@ -326,7 +328,7 @@
       m->latest = g_strdup (text);
       m->latest_ms = now;
     }
-  m->seen_ms = now;
+  m->heartbeat_ms = now;
   g_free (m->datacentre);
   m->datacentre = dc ? dc : g_strdup ("");
   free (text);
@@ -345,8 +347,9 @@
   g_free (m);
 }
 
-/* The list lags: a change shows only member_lag_ms after it, and a
-   silent member goes only member_lag_ms after its TTL.  */
+/* Updates the shown list, which lags: a change appears member_lag_ms after it
+   was made, and a member without heartbeats is dropped member_lag_ms after
+   its TTL.  */
 static void
 members_refresh (mm_platform *p, mm_time_ms now)
 {
@@ -356,7 +359,7 @@
   while (g_hash_table_iter_next (&it, &k, &v))
     {
       member *m = v;
-      if (now - m->seen_ms
+      if (now - m->heartbeat_ms
           > p->settings.member_ttl_ms + p->settings.member_lag_ms)
         {
           if (m->shown)
@@ -374,9 +377,10 @@
     }
 }
 
-/* GET /v1/members[?datacentre=DC][&since=V]: the shown list, only the
-   members of DC when given; when nothing changed since version V, only
-   {"version":V,"unchanged":true}, so that polling costs a few bytes.  */
+/* GET /v1/members[?datacentre=DC][&since=V]: the shown list, restricted to the
+   members of DC if given.  When nothing has changed since version V the answer
+   is only {"version":V,"unchanged":true}, so that polling costs a few
+   bytes.  */
 static void
 members_get (mm_platform *p, mm_http_request *req)
 {
@@ -431,31 +435,31 @@
     p->link_kbps = (int64_t)kbps->valuedouble;
   if (cJSON_IsNumber (delay))
     p->link_delay_ms = (int64_t)delay->valuedouble;
-  const cJSON *cut = cJSON_GetObjectItemCaseSensitive (o, "cut");
-  if (cJSON_IsString (cut))
+  const cJSON *disconnected = cJSON_GetObjectItemCaseSensitive (o, "cut");
+  if (cJSON_IsString (disconnected))
     {
-      g_free (p->cut);
-      p->cut = g_strdup (cut->valuestring);
+      g_free (p->disconnected);
+      p->disconnected = g_strdup (disconnected->valuestring);
     }
   cJSON_Delete (o);
   g_message ("faults: down=%d slow_ms=%" G_GINT64_FORMAT
              " lose_answers=%" G_GINT64_FORMAT " cut=%s link_kbps="
              "%" G_GINT64_FORMAT " link_delay_ms=%" G_GINT64_FORMAT,
-             p->down, p->slow_ms, p->lose_answers, p->cut, p->link_kbps,
-             p->link_delay_ms);
+             p->down, p->slow_ms, p->lose_answers, p->disconnected,
+             p->link_kbps, p->link_delay_ms);
   mm_http_reply (req, 200, "{\"status\":\"ok\"}", 0);
 }
 
 static bool
-turned_away (const mm_platform *p, const mm_http_request *req)
+is_unavailable (const mm_platform *p, const mm_http_request *req)
 {
   const char *member = mm_http_request_header (req, "X-Masticmill-Member");
   if (p->down || !member)
     return p->down;
-  char **cut = g_strsplit (p->cut, ",", 0);
-  bool away = g_strv_contains ((const char *const *)cut, member);
-  g_strfreev (cut);
-  return away;
+  char **names = g_strsplit (p->disconnected, ",", 0);
+  bool found = g_strv_contains ((const char *const *)names, member);
+  g_strfreev (names);
+  return found;
 }
 
 static void
@@ -472,7 +476,7 @@
       mm_http_reply (req, 200, d, 0);
       free (d);
     }
-  else if (turned_away (p, req))
+  else if (is_unavailable (p, req))
     {
       mm_counters_add (p->counters, "refused_down", 1);
       mm_http_reply (req, 503,
@@ -498,12 +502,13 @@
     answer_error (p, req, 404, MM_ERROR_BAD_REQUEST, "no such path");
 }
 
-/* A waiting read may end in an outage: then it is answered as one.  */
+/* Sends an answer of the stream server.  A read that waited may end during a
+   simulated outage or disconnection, and is then answered with 503.  */
 static void
 stream_answer (void *ctx, mm_http_request *req, unsigned status, char *body)
 {
   mm_platform *p = ctx;
-  if (turned_away (p, req))
+  if (is_unavailable (p, req))
     {
       free (body);
       answer_error (p, req, 503, MM_ERROR_PLATFORM, "down");
@@ -521,8 +526,8 @@
 }
 
 /**
- * mm_platform_create() - start the platform stand-in.
- * @loop: its loop.
+ * mm_platform_create() - starts the platform stand-in.
+ * @loop: the event loop it runs on.
  * @s: settings, copied.
  * @error: MM_ERROR_IO when the port cannot be bound.
  *
@@ -537,7 +542,7 @@
   p->settings = *s;
   p->settings.listen_host = g_strdup (s->listen_host);
   p->counters = mm_counters_create ();
-  p->cut = g_strdup ("");
+  p->disconnected = g_strdup ("");
   p->link_busy
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   p->streams_server = mm_stream_server_create (loop, stream_answer, p);
@@ -567,15 +572,16 @@
   g_hash_table_destroy (p->members);
   g_free (p->settings.listen_host);
   g_hash_table_destroy (p->link_busy);
-  g_free (p->cut);
+  g_free (p->disconnected);
   g_free (p);
 }
 
 /**
- * mm_platform_dump() - the stand-in's state.
+ * mm_platform_dump() - returns the state of the stand-in.
  * @p: the stand-in.
  *
- * Return: JSON text with faults, streams and counters; free with free().
+ * Return: JSON text with faults, streams, number of members and counters; free
+ * with free().
  */
 char *
 mm_platform_dump (const mm_platform *p)
