--- a/src/mm_run_json.c
+++ b/src/mm_run_json.c
@@ -1,10 +1,12 @@
-/* mm_run_json: orders, holds and lists of runs in our own JSON.  */
+/* mm_run_json: orders, holds and lists of runs in the native JSON protocol. */
 #include "mm_run_json.h"
 
 #include "config.h"
 
 #include <string.h>
 
+/* Reads a non-negative number; a missing one is read as 0.  Returns false for
+   any other value.  */
 static bool
 read_i64 (const cJSON *in, const char *name, int64_t *out)
 {
@@ -14,7 +16,7 @@
 }
 
 static void
-add_task (cJSON *o, const mm_task_id *task, uint32_t run)
+add_run_id (cJSON *o, const mm_task_id *task, uint32_t run)
 {
   cJSON_AddStringToObject (o, "job", task->job);
   cJSON_AddNumberToObject (o, "step", task->step);
@@ -23,19 +25,19 @@
 }
 
 static bool
-read_task (const cJSON *in, mm_task_id *task, uint32_t *run)
+read_run_id (const cJSON *in, mm_task_id *task, uint32_t *run)
 {
   const cJSON *job = cJSON_GetObjectItemCaseSensitive (in, "job");
-  int64_t step, index, number;
+  int64_t step, index, run_number;
   if (!cJSON_IsString (job)
       || g_strlcpy (task->job, job->valuestring, sizeof task->job)
              >= sizeof task->job
       || !read_i64 (in, "step", &step) || !read_i64 (in, "index", &index)
-      || !read_i64 (in, "run", &number))
+      || !read_i64 (in, "run", &run_number))
     return false;
   task->step = (uint32_t)step;
   task->index = (uint32_t)index;
-  *run = (uint32_t)number;
+  *run = (uint32_t)run_number;
   return true;
 }
 
@@ -43,7 +45,7 @@
 mm_run_json_order (const mm_order *o)
 {
   cJSON *b = cJSON_CreateObject ();
-  add_task (b, o->task, o->run);
+  add_run_id (b, o->task, o->run);
   if (o->payload)
     cJSON_AddStringToObject (b, "payload", o->payload);
   cJSON_AddNumberToObject (b, "fence", (double)o->fence);
@@ -71,7 +73,7 @@
   int64_t fence;
   const cJSON *payload = cJSON_GetObjectItemCaseSensitive (in, "payload");
   memset (out, 0, sizeof *out);
-  if (!read_task (in, task, &out->run) || !read_i64 (in, "fence", &fence)
+  if (!read_run_id (in, task, &out->run) || !read_i64 (in, "fence", &fence)
       || !read_i64 (in, "deadline_ms", &out->deadline_ms)
       || (payload && !cJSON_IsString (payload)))
     return false;
@@ -117,7 +119,7 @@
   for (size_t i = 0; i < r->n_running; i++)
     {
       cJSON *row = cJSON_CreateObject ();
-      add_task (row, &r->running[i].task, r->running[i].run);
+      add_run_id (row, &r->running[i].task, r->running[i].run);
       cJSON_AddNumberToObject (row, "percent", r->running[i].percent);
       cJSON_AddItemToArray (running, row);
     }
@@ -125,7 +127,7 @@
   for (size_t i = 0; i < r->n_ended; i++)
     {
       cJSON *row = cJSON_CreateObject ();
-      add_task (row, &r->ended[i].task, r->ended[i].run);
+      add_run_id (row, &r->ended[i].task, r->ended[i].run);
       cJSON_AddNumberToObject (row, "seq", (double)r->ended[i].seq);
       cJSON_AddNumberToObject (row, "how", r->ended[i].how);
       cJSON_AddItemToArray (ended, row);
@@ -137,7 +139,7 @@
 mm_run_json_read_running (const cJSON *row, mm_listed_run *out)
 {
   int64_t percent;
-  if (!read_task (row, &out->task, &out->run)
+  if (!read_run_id (row, &out->task, &out->run)
       || !read_i64 (row, "percent", &percent))
     return false;
   out->percent = (int32_t)percent;
@@ -148,7 +150,7 @@
 mm_run_json_read_ended (const cJSON *row, mm_listed_end *out)
 {
   int64_t seq, how;
-  if (!read_task (row, &out->task, &out->run) || !read_i64 (row, "seq", &seq)
+  if (!read_run_id (row, &out->task, &out->run) || !read_i64 (row, "seq", &seq)
       || !read_i64 (row, "how", &how) || how >= MM_END_COUNT)
     return false;
   out->seq = (uint64_t)seq;
--- a/src/mm_run_json.h
+++ b/src/mm_run_json.h
@@ -1,5 +1,5 @@
-/* mm_run_json: orders, holds and lists of runs in our own JSON, as the
-   dispatcher and the upstream stand-in exchange them.  */
+/* mm_run_json: start and stop orders, holds and lists of runs in the native
+   JSON protocol of the dispatcher and the upstream stand-in.  */
 #ifndef MM_RUN_JSON_H
 #define MM_RUN_JSON_H
 
@@ -7,8 +7,8 @@
 
 #include <cJSON.h>
 
-/* What a task needs and how long it runs, as the stand-in reads it from
-   a payload; the dispatcher only passes payloads on.  */
+/* Resources and run time of a task, which the stand-in reads from the
+   payload; the dispatcher passes payloads on unread.  */
 typedef struct
 {
   mm_resources need;
@@ -17,11 +17,13 @@
 
 cJSON *mm_run_json_order (const mm_order *o);
 cJSON *mm_run_json_hold (const mm_hold *h);
-/* Strings of @out point into @in.  */
+/* Returns false when @in is malformed.  Strings of @out point into @in.  */
 bool mm_run_json_read_order (const cJSON *in, mm_order *out, mm_task_id *task);
 bool mm_run_json_read_hold (const cJSON *in, mm_hold *out);
+/* A field that is missing gets its default: one slot of cpu, no memory, a run
+   time of 0.  */
 void mm_run_json_read_work (const char *payload, mm_run_work *out);
-/* A hold's answer: lists of rows under these names.  */
+/* Names of the two lists in the answer to a hold.  */
 #define MM_RUN_JSON_RUNNING "running"
 #define MM_RUN_JSON_ENDED "ended"
 cJSON *mm_run_json_lists (const mm_hold_result *r);
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -1,14 +1,16 @@
-/* mm_run_server: runs under leases, with faults on request.
+/* mm_run_server: runs under leases, with simulated faults.
 
    Faults (POST /v1/run-faults, each kept until it is used up or changed):
-   lose_starts / lose_stops / lose_holds: so many calls get no answer;
-   late_ms: a lost start is carried out so late, 0 for never;
-   fails, hangs, refuses: what becomes of tasks; slow_percent: run time;
-   silent: nothing is carried out nor answered; mute: nothing answered.
-
-   Capacity (POST /v1/capacity): cpu_milli and mem_mb, in the list from the
-   next heartbeat on.  Starts count as over it only beyond every capacity that
-   was listed in the last grace_ms.  */
+   lose_starts / lose_stops / lose_holds: number of next calls without answer;
+   late_ms: delay after which a lost start is carried out, 0: never;
+   fails: each task fails; hangs: no task ends; refuses: starts are refused;
+   slow_percent: run time in percent of the requested one;
+   silent: no call is carried out or answered;
+   mute: calls are carried out, but not answered.
+
+   Capacity (POST /v1/capacity): cpu_milli and mem_mb, in the upstream list
+   from the next heartbeat on.  A start counts as over capacity only if it
+   exceeds every capacity that was listed in the last grace_ms.  */
 #include "mm_run_server.h"
 
 #include "config.h"
@@ -31,25 +33,25 @@
   bool mute;
 } call_faults;
 
-/* A hold that waits for an end.  */
+/* A hold that is answered when a run ends, or at the given time.  */
 typedef struct
 {
   mm_http_request *req;
-  mm_time_ms until_ms;
+  mm_time_ms answer_by_ms;
 } waiting_hold;
 
-/* A start that is carried out late.  */
+/* A lost start that is carried out later.  */
 typedef struct
 {
   cJSON *order;
-  mm_time_ms at_ms;
+  mm_time_ms start_ms;
 } late_start;
 
-/* A capacity that dispatchers may still believe in.  */
+/* A previous capacity that dispatchers may still assume.  */
 typedef struct
 {
   mm_resources capacity;
-  mm_time_ms until_ms;
+  mm_time_ms assumed_until_ms;
 } past_capacity;
 
 struct mm_run_server
@@ -59,26 +61,27 @@
   char *name;
   mm_resources capacity;
   mm_run_table *table;
-  int log_fd;    /* -1 for none */
-  size_t logged; /* runs that are over and written */
+  int log_fd;      /* -1 for none */
+  size_t n_logged; /* number of ended runs in the log */
   mm_run_mode mode;
   call_faults faults;
   GList *holds; /* waiting_hold */
   GList *late;  /* late_start */
   mm_run_server_poison poison;
-  mm_time_ms crash_at_ms; /* 0: not */
-  GArray *past;           /* past_capacity */
+  mm_time_ms crash_at_ms;  /* 0: no crash is due */
+  GArray *past_capacities; /* past_capacity */
 };
 
 static void tick_cb (struct ev_loop *loop, ev_timer *w, int revents);
 
 /**
- * mm_run_server_create() - an upstream's runs.
- * @loop: the loop.
- * @name: the upstream; its incarnation's name adds the time of start.
- * @capacity: all it has.
- * @log_file: takes a JSON line for each start and end as it happens, so
- *            that a killed stand-in leaves its part; "" for none.
+ * mm_run_server_create() - creates the runs of an upstream stand-in.
+ * @loop: the event loop.
+ * @name: the upstream; the name of its incarnation appends the start time.
+ * @capacity: the upstream's total capacity.
+ * @log_file: takes a JSON line for each start and end as it happens, so that
+ *            the lines up to then survive when the stand-in is killed; "" for
+ *            none.
  */
 mm_run_server *
 mm_run_server_create (struct ev_loop *loop, const char *name,
@@ -90,7 +93,7 @@
                              mm_clock_wall_ms ());
   s->capacity = *capacity;
   s->table = mm_run_table_create (capacity, false, MM_LEASE_MS);
-  s->past = g_array_new (FALSE, FALSE, sizeof (past_capacity));
+  s->past_capacities = g_array_new (FALSE, FALSE, sizeof (past_capacity));
   s->log_fd = -1;
   if (*log_file)
     s->log_fd
@@ -124,7 +127,7 @@
   g_list_free_full (s->holds, g_free);
   g_list_free_full (s->late, late_free);
   mm_run_table_destroy (s->table);
-  g_array_free (s->past, TRUE);
+  g_array_free (s->past_capacities, TRUE);
   if (s->log_fd >= 0)
     close (s->log_fd);
   g_free (s->name);
@@ -155,9 +158,9 @@
   mm_http_reply (ctx, 503, "{}", 0);
 }
 
-/* The caller sees a connection that stays silent, until it gives up.  */
+/* Leaves a request unanswered until its caller closes the connection.  */
 static void
-swallow (mm_http_request *req)
+leave_unanswered (mm_http_request *req)
 {
   mm_http_request_on_left (req, on_caller_left, req);
 }
@@ -182,25 +185,26 @@
 log_ends (mm_run_server *s)
 {
   size_t n;
-  const mm_run_past *p = mm_run_table_past (s->table, &n);
-  for (; s->logged < n; s->logged++)
-    /* The table's time: a later one would show it overlap its successor. */
-    log_line (s, p[s->logged].ended_ms, "end", &p[s->logged].task,
-              p[s->logged].number, mm_end_name (p[s->logged].how));
+  const mm_ended_run *p = mm_run_table_ended_runs (s->table, &n);
+  for (; s->n_logged < n; s->n_logged++)
+    /* The table's time of the end is logged: with the current time a run
+       would seem to overlap its successor.  */
+    log_line (s, p[s->n_logged].ended_ms, "end", &p[s->n_logged].task,
+              p[s->n_logged].number, mm_end_name (p[s->n_logged].how));
 }
 
 static void
-crash_soon (mm_run_server *s, const mm_task_id *task, mm_time_ms now)
+schedule_crash (mm_run_server *s, const mm_task_id *task, mm_time_ms now)
 {
-  if (!s->poison.crash || !*s->poison.jobs || s->crash_at_ms
-      || !g_str_has_prefix (task->job, s->poison.jobs))
+  if (!s->poison.crash || !*s->poison.job_prefix || s->crash_at_ms
+      || !g_str_has_prefix (task->job, s->poison.job_prefix))
     return;
-  s->crash_at_ms = now + s->poison.after_ms;
+  s->crash_at_ms = now + s->poison.crash_delay_ms;
   g_message ("crashed by %s/%u.%u", task->job, task->step, task->index);
 }
 
 static mm_call_verdict
-start (mm_run_server *s, const cJSON *in)
+start_run (mm_run_server *s, const cJSON *in)
 {
   mm_order o;
   mm_task_id task;
@@ -208,49 +212,50 @@
   if (!mm_run_json_read_order (in, &o, &task))
     return MM_CALL_BAD;
   mm_run_json_read_work (o.payload, &work);
-  uint32_t starts = mm_run_table_counts (s->table).starts;
-  uint32_t over = mm_run_table_counts (s->table).over_capacity;
+  uint32_t starts_before = mm_run_table_counts (s->table).starts;
+  uint32_t over_before = mm_run_table_counts (s->table).over_capacity;
   mm_time_ms now = mm_clock_now_ms ();
   mm_call_verdict v
       = mm_run_table_start (s->table, &o, &work.need, work.run_ms, now);
   log_ends (s);
-  if (mm_run_table_counts (s->table).starts == starts)
+  if (mm_run_table_counts (s->table).starts == starts_before)
     return v;
   log_line (s, now, "start", &task, o.run,
-            mm_run_table_counts (s->table).over_capacity > over
+            mm_run_table_counts (s->table).over_capacity > over_before
                 ? "over_capacity"
                 : "fits");
-  crash_soon (s, &task, now);
+  schedule_crash (s, &task, now);
   return v;
 }
 
+/* Returns whether a call is to be lost, and counts it as lost.  */
 static bool
-take_loss (int64_t *left)
+lose_call (int64_t *remaining)
 {
-  if (*left <= 0)
+  if (*remaining <= 0)
     return false;
-  (*left)--;
+  (*remaining)--;
   return true;
 }
 
 static void
 on_start (mm_run_server *s, mm_http_request *req, cJSON *in)
 {
-  if (take_loss (&s->faults.lose_starts))
+  if (lose_call (&s->faults.lose_starts))
     {
       if (s->faults.late_ms)
         {
           late_start *l = g_new0 (late_start, 1);
           l->order = cJSON_Duplicate (in, true);
-          l->at_ms = mm_clock_now_ms () + s->faults.late_ms;
+          l->start_ms = mm_clock_now_ms () + s->faults.late_ms;
           s->late = g_list_prepend (s->late, l);
         }
-      swallow (req);
+      leave_unanswered (req);
       return;
     }
-  mm_call_verdict v = start (s, in);
+  mm_call_verdict v = start_run (s, in);
   if (s->faults.mute)
-    swallow (req);
+    leave_unanswered (req);
   else
     reply_verdict (s, req, v);
 }
@@ -260,9 +265,9 @@
 {
   mm_order o;
   mm_task_id task;
-  if (take_loss (&s->faults.lose_stops))
+  if (lose_call (&s->faults.lose_stops))
     {
-      swallow (req);
+      leave_unanswered (req);
       return;
     }
   mm_call_verdict v
@@ -270,7 +275,7 @@
             ? mm_run_table_stop (s->table, &o, mm_clock_now_ms ())
             : MM_CALL_BAD;
   if (s->faults.mute)
-    swallow (req);
+    leave_unanswered (req);
   else
     reply_verdict (s, req, v);
 }
@@ -287,9 +292,9 @@
 on_hold (mm_run_server *s, mm_http_request *req, const cJSON *in)
 {
   mm_hold h;
-  if (take_loss (&s->faults.lose_holds))
+  if (lose_call (&s->faults.lose_holds))
     {
-      swallow (req);
+      leave_unanswered (req);
       return;
     }
   mm_time_ms now = mm_clock_now_ms ();
@@ -297,7 +302,7 @@
                           ? mm_run_table_hold (s->table, &h, now)
                           : MM_CALL_BAD;
   if (s->faults.mute)
-    swallow (req);
+    leave_unanswered (req);
   else if (v != MM_CALL_OK)
     reply_verdict (s, req, v);
   else if (mm_run_table_ended (s->table) || h.wait_ms == 0)
@@ -306,7 +311,7 @@
     {
       waiting_hold *w = g_new0 (waiting_hold, 1);
       w->req = req;
-      w->until_ms = now + MIN (h.wait_ms, MM_RUN_SERVER_MAX_WAIT_MS);
+      w->answer_by_ms = now + MIN (h.wait_ms, MM_RUN_SERVER_MAX_WAIT_MS);
       s->holds = g_list_prepend (s->holds, w);
     }
 }
@@ -345,38 +350,42 @@
   reply (req, 200, cJSON_CreateObject ());
 }
 
+/* Sets the capacity above which starts are counted as over capacity: the
+   maximum of the current one and those that dispatchers may still assume.  */
 static void
-count_against_capacity (mm_run_server *s, mm_time_ms now)
+update_counted_capacity (mm_run_server *s, mm_time_ms now)
 {
-  mm_resources most = s->capacity;
-  for (guint i = s->past->len; i-- > 0;)
+  mm_resources max_capacity = s->capacity;
+  for (guint i = s->past_capacities->len; i-- > 0;)
     {
-      const past_capacity *p = &g_array_index (s->past, past_capacity, i);
-      if (now >= p->until_ms)
+      const past_capacity *p
+          = &g_array_index (s->past_capacities, past_capacity, i);
+      if (now >= p->assumed_until_ms)
         {
-          g_array_remove_index (s->past, i);
+          g_array_remove_index (s->past_capacities, i);
           continue;
         }
-      most.cpu_milli = MAX (most.cpu_milli, p->capacity.cpu_milli);
-      most.mem_mb = MAX (most.mem_mb, p->capacity.mem_mb);
+      max_capacity.cpu_milli
+          = MAX (max_capacity.cpu_milli, p->capacity.cpu_milli);
+      max_capacity.mem_mb = MAX (max_capacity.mem_mb, p->capacity.mem_mb);
     }
-  mm_run_table_set_capacity (s->table, &most);
+  mm_run_table_set_capacity (s->table, &max_capacity);
 }
 
 static void
 on_capacity (mm_run_server *s, mm_http_request *req, const cJSON *in)
 {
   past_capacity p = { .capacity = s->capacity };
-  read_number (in, "grace_ms", &p.until_ms);
-  p.until_ms += mm_clock_now_ms ();
-  g_array_append_val (s->past, p);
+  read_number (in, "grace_ms", &p.assumed_until_ms);
+  p.assumed_until_ms += mm_clock_now_ms ();
+  g_array_append_val (s->past_capacities, p);
   read_number (in, "cpu_milli", &s->capacity.cpu_milli);
   read_number (in, "mem_mb", &s->capacity.mem_mb);
   reply (req, 200, cJSON_CreateObject ());
 }
 
 static void
-add_run (cJSON *list, const mm_run_past *p)
+add_run (cJSON *list, const mm_ended_run *p)
 {
   cJSON *row = cJSON_CreateObject ();
   char *name
@@ -389,14 +398,14 @@
   g_free (name);
 }
 
-/* Runs that are over; one that goes on is not among them.  */
+/* Answers with all ended runs; those that still run are left out.  */
 static void
 on_run_log (mm_run_server *s, mm_http_request *req)
 {
   cJSON *o = cJSON_CreateObject ();
   cJSON *list = cJSON_AddArrayToObject (o, "runs");
   size_t n;
-  const mm_run_past *p = mm_run_table_past (s->table, &n);
+  const mm_ended_run *p = mm_run_table_ended_runs (s->table, &n);
   for (size_t i = 0; i < n; i++)
     add_run (list, &p[i]);
   mm_run_counts c = mm_run_table_counts (s->table);
@@ -405,12 +414,13 @@
   reply (req, 200, o);
 }
 
-/* The caller means an incarnation that is no more.  */
+/* Returns whether the caller addressed an earlier incarnation.  */
 static bool
-meant_another (const mm_run_server *s, const mm_http_request *req)
+addresses_other_incarnation (const mm_run_server *s,
+                             const mm_http_request *req)
 {
-  const char *want = mm_http_request_header (req, UPSTREAM_HEADER);
-  return want && strcmp (want, s->name) != 0;
+  const char *incarnation = mm_http_request_header (req, UPSTREAM_HEADER);
+  return incarnation && strcmp (incarnation, s->name) != 0;
 }
 
 bool
@@ -432,8 +442,8 @@
   else if (strcmp (path, "/v1/capacity") == 0)
     on_capacity (s, req, in);
   else if (s->faults.silent)
-    swallow (req);
-  else if (meant_another (s, req))
+    leave_unanswered (req);
+  else if (addresses_other_incarnation (s, req))
     {
       cJSON *b = cJSON_CreateObject ();
       cJSON_AddStringToObject (b, "verdict",
@@ -458,10 +468,10 @@
     {
       next = l->next;
       late_start *late = l->data;
-      if (now < late->at_ms)
+      if (now < late->start_ms)
         continue;
       s->late = g_list_delete_link (s->late, l);
-      start (s, late->order);
+      start_run (s, late->order);
       late_free (late);
     }
 }
@@ -471,7 +481,7 @@
 {
   mm_run_server *s = w->data;
   mm_time_ms now = mm_clock_now_ms ();
-  count_against_capacity (s, now);
+  update_counted_capacity (s, now);
   run_late_starts (s, now);
   mm_run_table_step (s->table, now);
   log_ends (s);
@@ -486,11 +496,11 @@
     {
       next = l->next;
       waiting_hold *h = l->data;
-      if (!ended && now < h->until_ms)
+      if (!ended && now < h->answer_by_ms)
         continue;
       s->holds = g_list_delete_link (s->holds, l);
       if (s->faults.silent || s->faults.mute)
-        swallow (h->req);
+        leave_unanswered (h->req);
       else
         reply_lists (s, h->req);
       g_free (h);
--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -10,41 +10,41 @@
   mm_resources need;
   mm_time_ms started_ms;
   mm_time_ms ends_ms;
-  mm_end how;
+  mm_end how; /* end that is listed at ends_ms */
 } table_run;
 
 struct mm_run_table
 {
   mm_resources capacity;
-  bool guards;
+  bool enforce_capacity;
   mm_time_ms max_lease_ms;
   mm_run_mode mode;
-  uint64_t fence;
-  mm_time_ms lease_until_ms;
-  GArray *runs;       /* table_run */
-  GArray *ended;      /* mm_listed_end, not acknowledged */
-  GArray *running;    /* mm_listed_run, made by _list */
-  GArray *past;       /* mm_run_past */
-  mm_time_ms step_ms; /* the time last told */
+  uint64_t fence; /* highest fencing token seen */
+  mm_time_ms lease_expires_ms;
+  GArray *runs;         /* table_run */
+  GArray *unacked_ends; /* mm_listed_end, not acknowledged */
+  GArray *running;      /* mm_listed_run, filled by mm_run_table_list() */
+  GArray *ended_runs;   /* mm_ended_run */
+  mm_time_ms step_ms;   /* time of the last step */
   uint64_t last_seq;
-  GHashTable *highest; /* task -> highest run stopped or ended */
+  GHashTable *highest_refused; /* task -> highest run stopped or ended */
   mm_run_counts counts;
 };
 
 mm_run_table *
-mm_run_table_create (const mm_resources *capacity, bool guards,
+mm_run_table_create (const mm_resources *capacity, bool enforce_capacity,
                      mm_time_ms max_lease_ms)
 {
   mm_run_table *t = g_new0 (mm_run_table, 1);
   t->capacity = *capacity;
-  t->guards = guards;
+  t->enforce_capacity = enforce_capacity;
   t->max_lease_ms = max_lease_ms;
   t->runs = g_array_new (FALSE, TRUE, sizeof (table_run));
-  t->ended = g_array_new (FALSE, TRUE, sizeof (mm_listed_end));
-  t->past = g_array_new (FALSE, TRUE, sizeof (mm_run_past));
+  t->unacked_ends = g_array_new (FALSE, TRUE, sizeof (mm_listed_end));
+  t->ended_runs = g_array_new (FALSE, TRUE, sizeof (mm_ended_run));
   t->running = g_array_new (FALSE, TRUE, sizeof (mm_listed_run));
-  t->highest = g_hash_table_new_full (mm_task_id_hash, mm_task_id_equal,
-                                      g_free, NULL);
+  t->highest_refused = g_hash_table_new_full (mm_task_id_hash,
+                                              mm_task_id_equal, g_free, NULL);
   return t;
 }
 
@@ -54,10 +54,10 @@
   if (!t)
     return;
   g_array_free (t->runs, TRUE);
-  g_array_free (t->ended, TRUE);
+  g_array_free (t->unacked_ends, TRUE);
   g_array_free (t->running, TRUE);
-  g_array_free (t->past, TRUE);
-  g_hash_table_destroy (t->highest);
+  g_array_free (t->ended_runs, TRUE);
+  g_hash_table_destroy (t->highest_refused);
   g_free (t);
 }
 
@@ -80,7 +80,7 @@
 }
 
 static table_run *
-find (const mm_run_table *t, const mm_task_id *task)
+find_run (const mm_run_table *t, const mm_task_id *task)
 {
   for (guint i = 0; i < t->runs->len; i++)
     if (mm_task_id_equal (&run_at (t, i)->task, task))
@@ -91,53 +91,53 @@
 bool
 mm_run_table_runs (const mm_run_table *t, const mm_task_id *task)
 {
-  return find (t, task) != NULL;
+  return find_run (t, task) != NULL;
 }
 
 static uint32_t
-highest_ended (const mm_run_table *t, const mm_task_id *task)
+highest_refused_run (const mm_run_table *t, const mm_task_id *task)
 {
-  return GPOINTER_TO_UINT (g_hash_table_lookup (t->highest, task));
+  return GPOINTER_TO_UINT (g_hash_table_lookup (t->highest_refused, task));
 }
 
-/* From now on a start of this run, or a lower one, is refused.  */
+/* Refuses any later start of this run or of a run with a lower number.  */
 static void
-bar (mm_run_table *t, const mm_task_id *task, uint32_t number)
+refuse_starts_up_to (mm_run_table *t, const mm_task_id *task, uint32_t number)
 {
-  if (number <= highest_ended (t, task))
+  if (number <= highest_refused_run (t, task))
     return;
   mm_task_id *key = g_new (mm_task_id, 1);
   *key = *task;
-  g_hash_table_replace (t->highest, key, GUINT_TO_POINTER (number));
+  g_hash_table_replace (t->highest_refused, key, GUINT_TO_POINTER (number));
 }
 
 static void
-end (mm_run_table *t, guint i, mm_end how)
+end_run (mm_run_table *t, guint i, mm_end how)
 {
   const table_run *r = run_at (t, i);
   mm_listed_end e = {
     .seq = ++t->last_seq, .task = r->task, .run = r->number, .how = how
   };
-  g_array_append_val (t->ended, e);
-  mm_run_past p = { .task = r->task,
-                    .number = r->number,
-                    .started_ms = r->started_ms,
-                    .ended_ms = t->step_ms,
-                    .how = how };
-  g_array_append_val (t->past, p);
-  bar (t, &r->task, r->number);
+  g_array_append_val (t->unacked_ends, e);
+  mm_ended_run p = { .task = r->task,
+                     .number = r->number,
+                     .started_ms = r->started_ms,
+                     .ended_ms = t->step_ms,
+                     .how = how };
+  g_array_append_val (t->ended_runs, p);
+  refuse_starts_up_to (t, &r->task, r->number);
   g_array_remove_index (t->runs, i);
 }
 
 static void
 extend_lease (mm_run_table *t, mm_time_ms deadline_ms, mm_time_ms now_ms)
 {
-  mm_time_ms until = MIN (deadline_ms, now_ms + t->max_lease_ms);
-  t->lease_until_ms = MAX (t->lease_until_ms, until);
+  mm_time_ms expires_ms = MIN (deadline_ms, now_ms + t->max_lease_ms);
+  t->lease_expires_ms = MAX (t->lease_expires_ms, expires_ms);
 }
 
 static mm_resources
-room (const mm_run_table *t)
+free_capacity (const mm_run_table *t)
 {
   mm_resources free = t->capacity;
   for (guint i = 0; i < t->runs->len; i++)
@@ -163,14 +163,15 @@
     }
   if (t->mode.hangs)
     r.ends_ms = G_MAXINT64;
-  mm_resources free = room (t);
+  mm_resources free = free_capacity (t);
   t->counts.starts++;
   t->counts.over_capacity += !mm_resources_fit (need, &free);
   g_array_append_val (t->runs, r);
 }
 
+/* Returns false for a call with an outdated fencing token.  */
 static bool
-pass_fence (mm_run_table *t, uint64_t fence)
+accept_fence (mm_run_table *t, uint64_t fence)
 {
   if (fence < t->fence)
     return false;
@@ -179,12 +180,12 @@
 }
 
 /**
- * mm_run_table_start() - an order to start.
+ * mm_run_table_start() - carries out an order to start a run.
  * @t: the table.
  * @o: the order.
- * @need: what the task takes up.
- * @run_ms: how long it will run.
- * @now_ms: the upstream's clock.
+ * @need: the resources that the task uses.
+ * @run_ms: the run time of the task.
+ * @now_ms: the time on the upstream's clock.
  */
 mm_call_verdict
 mm_run_table_start (mm_run_table *t, const mm_order *o,
@@ -192,19 +193,19 @@
                     mm_time_ms now_ms)
 {
   mm_run_table_step (t, now_ms);
-  if (!pass_fence (t, o->fence))
+  if (!accept_fence (t, o->fence))
     return MM_CALL_FENCED;
-  const table_run *there = find (t, o->task);
-  if (there && there->number == o->run)
+  const table_run *current = find_run (t, o->task);
+  if (current && current->number == o->run)
     return MM_CALL_OK;
   if (o->deadline_ms <= now_ms)
     return MM_CALL_LATE;
-  if (there || o->run <= highest_ended (t, o->task))
+  if (current || o->run <= highest_refused_run (t, o->task))
     return MM_CALL_OLD_RUN;
   if (t->mode.refuses)
     return MM_CALL_REFUSED;
-  mm_resources free = room (t);
-  if (t->guards && !mm_resources_fit (need, &free))
+  mm_resources free = free_capacity (t);
+  if (t->enforce_capacity && !mm_resources_fit (need, &free))
     return MM_CALL_NO_ROOM;
   extend_lease (t, o->deadline_ms, now_ms);
   add_run (t, o, need, run_ms, now_ms);
@@ -215,10 +216,10 @@
 mm_run_table_stop (mm_run_table *t, const mm_order *o, mm_time_ms now_ms)
 {
   mm_run_table_step (t, now_ms);
-  if (!pass_fence (t, o->fence))
+  if (!accept_fence (t, o->fence))
     return MM_CALL_FENCED;
-  bar (t, o->task, o->run);
-  table_run *r = find (t, o->task);
+  refuse_starts_up_to (t, o->task, o->run);
+  table_run *r = find_run (t, o->task);
   if (r && r->number <= o->run)
     {
       r->ends_ms = MIN (r->ends_ms, now_ms + MM_MODEL_STOP_MS);
@@ -231,11 +232,12 @@
 mm_run_table_hold (mm_run_table *t, const mm_hold *h, mm_time_ms now_ms)
 {
   mm_run_table_step (t, now_ms);
-  if (!pass_fence (t, h->fence))
+  if (!accept_fence (t, h->fence))
     return MM_CALL_FENCED;
-  while (t->ended->len
-         && g_array_index (t->ended, mm_listed_end, 0).seq <= h->acked_seq)
-    g_array_remove_index (t->ended, 0);
+  while (t->unacked_ends->len
+         && g_array_index (t->unacked_ends, mm_listed_end, 0).seq
+                <= h->acked_seq)
+    g_array_remove_index (t->unacked_ends, 0);
   if (h->deadline_ms)
     extend_lease (t, h->deadline_ms, now_ms);
   return MM_CALL_OK;
@@ -247,10 +249,10 @@
   t->step_ms = now_ms;
   for (guint i = 0; i < t->runs->len;)
     {
-      if (now_ms >= t->lease_until_ms)
-        end (t, i, MM_END_LOST);
+      if (now_ms >= t->lease_expires_ms)
+        end_run (t, i, MM_END_LOST);
       else if (now_ms >= run_at (t, i)->ends_ms)
-        end (t, i, run_at (t, i)->how);
+        end_run (t, i, run_at (t, i)->how);
       else
         i++;
     }
@@ -260,7 +262,7 @@
 mm_run_table_clear (mm_run_table *t)
 {
   g_array_set_size (t->runs, 0);
-  g_array_set_size (t->ended, 0);
+  g_array_set_size (t->unacked_ends, 0);
 }
 
 size_t
@@ -272,16 +274,16 @@
 size_t
 mm_run_table_ended (const mm_run_table *t)
 {
-  return t->ended->len;
+  return t->unacked_ends->len;
 }
 
 static int32_t
 percent_done (const table_run *r, mm_time_ms now_ms)
 {
-  mm_time_ms all = r->ends_ms - r->started_ms;
-  if (r->ends_ms == G_MAXINT64 || all <= 0)
+  mm_time_ms total_ms = r->ends_ms - r->started_ms;
+  if (r->ends_ms == G_MAXINT64 || total_ms <= 0)
     return 0;
-  return (int32_t)CLAMP ((now_ms - r->started_ms) * 100 / all, 0, 99);
+  return (int32_t)CLAMP ((now_ms - r->started_ms) * 100 / total_ms, 0, 99);
 }
 
 void
@@ -298,15 +300,15 @@
     }
   out->running = (mm_listed_run *)(void *)t->running->data;
   out->n_running = t->running->len;
-  out->ended = (mm_listed_end *)(void *)t->ended->data;
-  out->n_ended = t->ended->len;
+  out->ended = (mm_listed_end *)(void *)t->unacked_ends->data;
+  out->n_ended = t->unacked_ends->len;
 }
 
-const mm_run_past *
-mm_run_table_past (const mm_run_table *t, size_t *n)
+const mm_ended_run *
+mm_run_table_ended_runs (const mm_run_table *t, size_t *n)
 {
-  *n = t->past->len;
-  return (const mm_run_past *)(void *)t->past->data;
+  *n = t->ended_runs->len;
+  return (const mm_ended_run *)(void *)t->ended_runs->data;
 }
 
 mm_run_counts
--- a/src/mm_upstream.c
+++ b/src/mm_upstream.c
@@ -543,8 +543,8 @@
 void
 mm_upstream_on_crash (mm_upstream *u, void (*crash) (void *), void *ctx)
 {
-  mm_run_server_poison p = { .jobs = u->settings.poison_jobs,
-                             .after_ms = u->settings.poison_ms,
+  mm_run_server_poison p = { .job_prefix = u->settings.poison_jobs,
+                             .crash_delay_ms = u->settings.poison_ms,
                              .crash = crash,
                              .ctx = ctx };
   mm_run_server_set_poison (u->runs, &p);
