--- a/src/mm_store.c
+++ b/src/mm_store.c
@@ -1,4 +1,4 @@
-/* mm_store: what all who use the store share.  */
+/* mm_store: helpers for all modules that use the store.  */
 #include "mm_store.h"
 
 #include "mm_event.h"
@@ -23,12 +23,12 @@
 }
 
 void
-mm_store_note_touch (bool *in_touch, bool ok, const char *what,
+mm_store_note_touch (bool *in_contact, bool ok, const char *what,
                      const char *why)
 {
-  if (*in_touch == ok)
+  if (*in_contact == ok)
     return;
-  *in_touch = ok;
+  *in_contact = ok;
   if (ok)
     mm_log_event (MM_EV_STORE_REACHED, MM_TEXT (what));
   else
--- a/src/mm_store_http.c
+++ b/src/mm_store_http.c
@@ -1,4 +1,4 @@
-/* mm_store_http: one HTTP call a question to the store.  */
+/* mm_store_http: sends each call to the store as one HTTP call.  */
 #include "mm_store_http.h"
 
 #include "mm_metrics.h"
@@ -10,8 +10,8 @@
 };
 
 /**
- * mm_store_http_create() - calls to a store.
- * @client: makes the calls; must outlive this.
+ * mm_store_http_create() - creates a client for the calls to a store.
+ * @client: makes the calls; must outlive the returned object.
  * @addr: the store's "ip:port".
  *
  * Return: free with mm_store_http_destroy().
@@ -110,7 +110,7 @@
 }
 
 static char *
-reason (bool ok, const mm_http_result *res)
+failure_reason (bool ok, const mm_http_result *res)
 {
   return ok ? NULL : mm_http_failure_text (res);
 }
@@ -122,7 +122,7 @@
   static const mm_counter_id bytes[]
       = { MM_CT_BYTES_CONFIG, MM_CT_BYTES_LIST };
   mm_metrics_add (bytes[call->kind], res->body_bytes);
-  char *why = reason (r->ok, res);
+  char *why = failure_reason (r->ok, res);
   r->why = why;
   r->items = (mm_stream_item *)(void *)items->data;
   r->n_items = items->len;
@@ -137,7 +137,7 @@
                     mm_join_result *r, GArray *parts)
 {
   mm_metrics_add (MM_CT_BYTES_JOIN, res->body_bytes);
-  char *why = reason (r->ok, res);
+  char *why = failure_reason (r->ok, res);
   r->why = why;
   r->parts = (const uint32_t *)(void *)parts->data;
   r->n_parts = parts->len;
@@ -147,17 +147,17 @@
   g_free (call);
 }
 
-/* The names among @holders, each once.  */
+/* Returns each member name of @holders once; free the array, not the names. */
 static char **
 distinct_members (const GArray *holders, size_t *n)
 {
-  GHashTable *seen = g_hash_table_new (g_str_hash, g_str_equal);
+  GHashTable *distinct = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint i = 0; i < holders->len; i++)
     g_hash_table_add (
-        seen, (gpointer)g_array_index (holders, mm_part_holder, i).member);
+        distinct, (gpointer)g_array_index (holders, mm_part_holder, i).member);
   guint count = 0;
-  char **names = (char **)g_hash_table_get_keys_as_array (seen, &count);
-  g_hash_table_destroy (seen);
+  char **names = (char **)g_hash_table_get_keys_as_array (distinct, &count);
+  g_hash_table_destroy (distinct);
   *n = count;
   return names;
 }
@@ -168,7 +168,7 @@
 {
   mm_members_result r = { .ok = holders != NULL };
   mm_metrics_add (MM_CT_BYTES_MEMBERS, res->body_bytes);
-  char *why = reason (r.ok, res);
+  char *why = failure_reason (r.ok, res);
   r.why = why;
   GArray *rows = holders ? holders : mm_store_holders_new ();
   char **names = distinct_members (rows, &r.n_members);
@@ -186,7 +186,7 @@
 mm_store_tell_append (mm_store_call *call, const mm_http_result *res,
                       mm_append_result *r)
 {
-  char *why = reason (r->verdict == MM_APPEND_OK, res);
+  char *why = failure_reason (r->verdict == MM_APPEND_OK, res);
   r->why = why;
   call->append_done (r, call->ctx);
   g_free (why);
@@ -198,7 +198,7 @@
                        mm_records_result *r, GArray *records)
 {
   mm_metrics_add (MM_CT_BYTES_RECORDS, res->body_bytes);
-  char *why = reason (r->ok, res);
+  char *why = failure_reason (r->ok, res);
   r->why = why;
   r->records = (const mm_record *)(void *)records->data;
   r->n_records = records->len;
--- a/src/mm_store_http.h
+++ b/src/mm_store_http.h
@@ -1,5 +1,5 @@
-/* mm_store_http: calls to a store over HTTP; paths and bodies are an
-   interface's own.  */
+/* mm_store_http: calls to a store over HTTP.  Each protocol builds its own
+   paths and bodies.  */
 #ifndef MM_STORE_HTTP_H
 #define MM_STORE_HTTP_H
 
@@ -9,38 +9,41 @@
 
 typedef struct mm_store_http mm_store_http;
 
-/* A call that is open; one of the callbacks is set.  */
+/* A call without an answer yet; exactly one of the callbacks is set.  */
 typedef struct
 {
   mm_stream_kind kind;
-  uint64_t from; /* offset asked for */
+  uint64_t from; /* requested offset */
   mm_stream_done stream_done;
   mm_join_done join_done;
   mm_members_done members_done;
   mm_append_done append_done;
   mm_records_done records_done;
-  void *ctx; /* of the callback */
+  void *ctx; /* argument of the callback */
 } mm_store_call;
 
 mm_store_http *mm_store_http_create (mm_http_client *client, const char *addr);
 void mm_store_http_destroy (mm_store_http *s);
-/* Takes @path and @body (NULL: none); @done gets a copy of @call.  */
+/* Sends a call.  Takes ownership of @path and @body (NULL: none).  @done is
+   called with a copy of @call, which one of the functions below frees.  */
 void mm_store_http_send (mm_store_http *s, const char *method, char *path,
                          cJSON *body, mm_time_ms timeout_ms, mm_http_done done,
                          const mm_store_call *call);
-/* The same with a body that is no JSON.  */
+/* Sends a call with a body that is not JSON; takes ownership of @path.  */
 void mm_store_http_send_bytes (mm_store_http *s, const char *method,
                                char *path, const GByteArray *body,
                                mm_time_ms timeout_ms, mm_http_done done,
                                const mm_store_call *call);
 
-/* ---- what @done does with the copy ---- */
-bool mm_store_http_ok (const mm_http_result *res); /* answered with 200 */
+/* ---- for the callback @done ---- */
+
+bool mm_store_http_ok (const mm_http_result *res); /* has status 200 */
 GArray *mm_store_items_new (void);                 /* of mm_stream_item */
 GArray *mm_store_records_new (void);               /* of mm_record */
 GArray *mm_store_holders_new (void);               /* of mm_part_holder */
-/* Tell the caller, with the reason if @r is not ok, and free @call.  All
-   take their arrays: @items, @parts (uint32_t), @holders, @records.  */
+/* Pass a result on to the caller, with the reason if @r is not ok, and free
+   @call.  They take ownership of their arrays: @items, @parts (uint32_t),
+   @holders (NULL: the call failed), @records.  */
 void mm_store_tell_stream (mm_store_call *call, const mm_http_result *res,
                            mm_stream_result *r, GArray *items);
 void mm_store_tell_join (mm_store_call *call, const mm_http_result *res,
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -1,13 +1,15 @@
-/* mm_stream: read the newest record of each key, then what is appended.
+/* mm_stream: reads the newest record of each key, then the records that are
+   appended.
 
-   The history may be dropped at any time; the newest records stay.  Then
-   they are read again, and keys not among them are gone.
+   The store may drop the history at any time, but keeps the newest records.
+   These are then read again, and keys that are not among them no longer exist.
 
-   What has gathered while the store was out of reach can be more than our
-   link carries within a call's timeout; each call would fail then, and the
-   next have more to read.  So it is read in pieces, one after the other
-   without a pause, or skipped by reading the newest records again where that
-   is less; and what cannot be cut is waited for longer after each failure.  */
+   The records appended while the store was unreachable can be more than our
+   link carries within the timeout of a call.  Each call would then fail, and
+   the next would have more to read.  The records are therefore read in chunks,
+   one after another without a pause, or skipped by reading the newest records
+   again where that is less to read.  For an answer that cannot be split, the
+   timeout grows with each failure.  */
 #include "mm_stream.h"
 
 #include "config.h"
@@ -15,7 +17,7 @@
 
 struct mm_stream
 {
-  int refs; /* the maker's, and one a call in flight */
+  int refs; /* one of the creator, and one of each call in flight */
   bool closed;
   mm_store_port port;
   mm_stream_kind kind;
@@ -23,20 +25,22 @@
   mm_time_ms wait_ms;
   bool in_flight;
   bool tailing;
-  bool in_touch;
+  bool in_contact;
   bool paused;
-  mm_time_ms paused_ms; /* when it last was, 0: never */
-  bool fresh;
-  bool sent_fresh;    /* the call in flight was sent after the last pause */
-  mm_time_ms sent_ms; /* the call in flight */
-  uint64_t sent_from;
-  mm_time_ms first_page_ms; /* sending of the first page of the newest */
-  mm_time_ms known_ms;      /* sending of the last one that came to the end */
-  uint64_t next;
-  size_t piece_bytes; /* of the changes, in one answer */
-  uint32_t failures;  /* calls in a row */
-  GHashTable *keys;   /* seen in the reading of the newest records */
-  char *after;
+  mm_time_ms paused_ms;  /* time of the last pause, 0: never */
+  bool current;          /* read up to the end since the last pause */
+  bool sent_after_pause; /* the call in flight was sent after the last pause */
+  mm_time_ms sent_ms;    /* when the call in flight was sent */
+  uint64_t sent_from;    /* its offset */
+  mm_time_ms first_page_ms; /* when the first page of newest was requested */
+  /* When the last read that reached the end was sent, here or by another
+     instance.  */
+  mm_time_ms known_as_of_ms;
+  uint64_t next;      /* offset of the next record to read */
+  size_t chunk_bytes; /* maximum size of one answer with changes */
+  uint32_t failures;  /* consecutive failed calls */
+  GHashTable *keys;   /* found in this read of the newest records */
+  char *after;        /* last key of the newest records read so far, or NULL */
   mm_time_ms due_ms;
 };
 
@@ -50,9 +54,10 @@
   g_free (s);
 }
 
-/* A configuration is one record, which cannot be cut.  */
+/* Returns the chunk size for a stream.  A configuration is one record, which
+   cannot be split.  */
 static size_t
-piece_of (const mm_store_port *port, mm_stream_kind kind)
+chunk_size (const mm_store_port *port, mm_stream_kind kind)
 {
   if (port->link_mbps <= 0 || kind == MM_STREAM_CONFIG)
     return MM_STORE_ANSWER_MAX_BYTES;
@@ -71,7 +76,7 @@
   s->kind = kind;
   s->ev = *ev;
   s->wait_ms = wait_ms;
-  s->piece_bytes = piece_of (port, kind);
+  s->chunk_bytes = chunk_size (port, kind);
   s->keys = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return s;
 }
@@ -86,7 +91,7 @@
 }
 
 static void
-read_again (mm_stream *s)
+restart_from_newest (mm_stream *s)
 {
   s->tailing = false;
   g_hash_table_remove_all (s->keys);
@@ -94,58 +99,59 @@
 }
 
 static void
-note_touch (mm_stream *s, const mm_stream_result *res)
+record_contact (mm_stream *s, const mm_stream_result *res)
 {
   static const char *const names[] = { "configuration", "upstream list" };
   static const mm_counter_id ok[] = { MM_CT_CONFIG_OK, MM_CT_LIST_OK };
   static const mm_counter_id failed[]
       = { MM_CT_CONFIG_FAILED, MM_CT_LIST_FAILED };
   mm_metrics_count (res->ok ? ok[s->kind] : failed[s->kind]);
-  mm_store_note_touch (&s->in_touch, res->ok, names[s->kind], res->why);
+  mm_store_note_touch (&s->in_contact, res->ok, names[s->kind], res->why);
 }
 
-/* All that was there at @as_of_ms is known.  */
+/* All records that existed at @as_of_ms are known.  */
 static void
-come_to_end (mm_stream *s, mm_time_ms as_of_ms, bool after_pause)
+reached_end (mm_stream *s, mm_time_ms as_of_ms, bool after_pause)
 {
-  s->known_ms = MAX (s->known_ms, as_of_ms);
-  s->fresh = s->fresh || after_pause;
+  s->known_as_of_ms = MAX (s->known_as_of_ms, as_of_ms);
+  s->current = s->current || after_pause;
 }
 
-/* The next read is due after the pause.  */
+/* Schedules the next read: pause_ms() after the time as of which all records
+   are known.  */
 static void
-read_later (mm_stream *s)
+schedule_next_read (mm_stream *s)
 {
-  s->due_ms = s->known_ms;
+  s->due_ms = s->known_as_of_ms;
   if (s->ev.pause_ms)
     s->due_ms += s->ev.pause_ms (s->ev.ctx);
 }
 
-/* Changes were read; there may be more.  */
+/* Handles an answer with changes; there may be more changes to read.  */
 static void
-take_changes (mm_stream *s, const mm_stream_result *res)
+handle_changes (mm_stream *s, const mm_stream_result *res)
 {
-  bool stuck = res->next == s->sent_from && res->end > res->next;
+  bool no_progress = res->next == s->sent_from && res->end > res->next;
   s->next = res->next;
   uint64_t behind = res->end > s->next ? res->end - s->next : 0;
   if (!behind)
-    come_to_end (s, s->sent_ms, s->sent_fresh);
+    reached_end (s, s->sent_ms, s->sent_after_pause);
   if (s->ev.changes)
     s->ev.changes (s->ev.ctx, !behind);
   if (!behind)
-    read_later (s);
-  if (stuck)
-    s->piece_bytes = MIN (s->piece_bytes * 2, MM_STORE_ANSWER_MAX_BYTES);
+    schedule_next_read (s);
+  if (no_progress)
+    s->chunk_bytes = MIN (s->chunk_bytes * 2, MM_STORE_ANSWER_MAX_BYTES);
   else if (behind
            > (uint64_t)g_hash_table_size (s->keys) * MM_STREAM_BEHIND_FACTOR)
-    read_again (s);
+    restart_from_newest (s);
 }
 
-/* A page of the newest records was read.  Pages are not a snapshot: changes
-   are read from the end that the first one told, so that none between pages
-   is missed.  */
+/* Handles a page of the newest records.  The pages are not a snapshot: changes
+   are read from the end of the stream that the first page reported, so that
+   none between pages is missed.  */
 static void
-take_page (mm_stream *s, const mm_stream_result *res)
+handle_page (mm_stream *s, const mm_stream_result *res)
 {
   if (!s->after)
     {
@@ -157,10 +163,10 @@
   if (s->after)
     return;
   s->tailing = true;
-  come_to_end (s, s->first_page_ms, s->sent_fresh);
+  reached_end (s, s->first_page_ms, s->sent_after_pause);
   if (s->ev.whole)
     s->ev.whole (s->ev.ctx, s->keys);
-  read_later (s);
+  schedule_next_read (s);
 }
 
 static void
@@ -176,37 +182,40 @@
   mm_time_ms now = mm_clock_now_ms ();
   s->due_ms = now + (res->ok ? 0 : MM_STORE_RETRY_MS);
   s->failures = res->ok || res->history_lost ? 0 : s->failures + 1;
-  bool lost = s->tailing && res->history_lost;
-  if (lost)
-    read_again (s);
+  bool dropped = s->tailing && res->history_lost;
+  if (dropped)
+    restart_from_newest (s);
   else
-    note_touch (s, res);
-  /* Somebody else's word came meanwhile and went further.  */
-  bool old = res->ok && s->tailing && res->next < s->next;
-  for (size_t i = 0; res->ok && !old && i < res->n_items; i++)
+    record_contact (s, res);
+  /* Changes from another instance arrived after the call was sent, and
+     reached a later offset.  */
+  bool outdated = res->ok && s->tailing && res->next < s->next;
+  for (size_t i = 0; res->ok && !outdated && i < res->n_items; i++)
     {
       if (!s->tailing)
         g_hash_table_add (s->keys, g_strdup (res->items[i].key));
       s->ev.item (s->ev.ctx, &res->items[i]);
     }
-  if (old)
+  if (outdated)
     s->due_ms = now;
   else if (res->ok && s->tailing)
-    take_changes (s, res);
+    handle_changes (s, res);
   else if (res->ok)
-    take_page (s, res);
+    handle_page (s, res);
   stream_unref (s);
 }
 
-/* A record is as long as its writer made it: what it takes is found by
-   waiting twice as long after each failure.  */
+/* Returns the timeout of the next call.  The size of a record is set by its
+   writer and not known beforehand, so the size that the timeout allows for is
+   doubled after each failure.  */
 static mm_time_ms
 timeout_ms (const mm_stream *s)
 {
-  size_t usual = s->tailing ? MIN (s->piece_bytes, MM_STORE_ANSWER_USUAL_BYTES)
-                            : MM_STORE_ANSWER_USUAL_BYTES;
-  size_t bytes
-      = MIN (usual << MIN (s->failures, 8u), MM_STORE_ANSWER_MAX_BYTES);
+  size_t typical_bytes
+      = s->tailing ? MIN (s->chunk_bytes, MM_STORE_ANSWER_USUAL_BYTES)
+                   : MM_STORE_ANSWER_USUAL_BYTES;
+  size_t bytes = MIN (typical_bytes << MIN (s->failures, 8u),
+                      MM_STORE_ANSWER_MAX_BYTES);
   mm_time_ms base_ms = s->tailing ? s->wait_ms + MM_STORE_TIMEOUT_MS / 2
                                   : MM_STORE_TIMEOUT_MS;
   return mm_store_timeout_ms (&s->port, base_ms, bytes);
@@ -223,7 +232,7 @@
   s->in_flight = true;
   s->sent_ms = mm_clock_now_ms ();
   s->sent_from = s->next;
-  s->sent_fresh = true;
+  s->sent_after_pause = true;
   s->refs++;
   if (!s->tailing)
     {
@@ -233,7 +242,7 @@
     }
   mm_tail t = { .kind = s->kind,
                 .from = s->next,
-                .max_bytes = s->piece_bytes,
+                .max_bytes = s->chunk_bytes,
                 .wait_ms = s->wait_ms,
                 .timeout_ms = timeout_ms (s) };
   s->port.tail (s->port.ctx, &t, on_result, s);
@@ -244,7 +253,7 @@
 {
   s->paused = true;
   s->paused_ms = mm_clock_now_ms ();
-  s->fresh = s->sent_fresh = false;
+  s->current = s->sent_after_pause = false;
 }
 
 void
@@ -256,20 +265,22 @@
 bool
 mm_stream_fresh (const mm_stream *s)
 {
-  return s->fresh;
+  return s->current;
 }
 
-/* Own calls may fail while others are served, and pass on what they read.  */
+/* This instance's calls may fail while the store serves other instances, which
+   send it the changes that they read.  */
 bool
 mm_stream_in_touch (const mm_stream *s)
 {
-  return s->in_touch || mm_clock_now_ms () - s->known_ms < MM_STREAM_TOUCH_MS;
+  return s->in_contact
+         || mm_clock_now_ms () - s->known_as_of_ms < MM_STREAM_TOUCH_MS;
 }
 
 mm_time_ms
 mm_stream_known_ms (const mm_stream *s)
 {
-  return s->known_ms;
+  return s->known_as_of_ms;
 }
 
 mm_time_ms
@@ -291,7 +302,7 @@
   if (!s->tailing || s->next < from || s->next > to)
     return false;
   s->next = to;
-  come_to_end (s, as_of_ms, as_of_ms > s->paused_ms);
-  read_later (s);
+  reached_end (s, as_of_ms, as_of_ms > s->paused_ms);
+  schedule_next_read (s);
   return true;
 }
