--- a/src/mm_platform.c
+++ b/src/mm_platform.c
@@ -90,13 +90,13 @@
     65535, "HTTP port" },
   { "platform.retention_ms", MM_SETTING_INT,
     offsetof (mm_platform_settings, retention_ms), 100, INT32_MAX,
-    "log records kept this long" },
+    "log records are kept this long" },
   { "platform.member_ttl_ms", MM_SETTING_INT,
     offsetof (mm_platform_settings, member_ttl_ms), 100, 600000,
-    "member dropped after this silence" },
+    "a member is dropped after this time without a heartbeat" },
   { "platform.member_lag_ms", MM_SETTING_INT,
     offsetof (mm_platform_settings, member_lag_ms), 0, 600000,
-    "the member list lags this much" },
+    "lag of the member list" },
   { NULL },
 };
 
--- a/src/mm_run_json.c
+++ b/src/mm_run_json.c
@@ -112,7 +112,7 @@
 }
 
 cJSON *
-mm_run_json_lists (const mm_hold_result *r)
+mm_run_json_hold_result (const mm_hold_result *r)
 {
   cJSON *o = cJSON_CreateObject ();
   cJSON *running = cJSON_AddArrayToObject (o, MM_RUN_JSON_RUNNING);
--- a/src/mm_run_json.h
+++ b/src/mm_run_json.h
@@ -26,7 +26,7 @@
 /* Names of the two lists in the answer to a hold.  */
 #define MM_RUN_JSON_RUNNING "running"
 #define MM_RUN_JSON_ENDED "ended"
-cJSON *mm_run_json_lists (const mm_hold_result *r);
+cJSON *mm_run_json_hold_result (const mm_hold_result *r);
 bool mm_run_json_read_running (const cJSON *row, mm_listed_run *out);
 bool mm_run_json_read_ended (const cJSON *row, mm_listed_end *out);
 
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -178,7 +178,7 @@
                       at_ms, event, task->job, task->step, task->index, number,
                       how);
   if (write (s->log_fd, line, (size_t)n) != n)
-    g_warning ("run log: %s", strerror (errno));
+    g_warning ("cannot write to the run log: %s", strerror (errno));
 }
 
 static void
@@ -285,7 +285,7 @@
 {
   mm_hold_result r = { 0 };
   mm_run_table_list (s->table, &r, mm_clock_now_ms ());
-  reply (req, 200, mm_run_json_lists (&r));
+  reply (req, 200, mm_run_json_hold_result (&r));
 }
 
 static void
--- a/src/mm_stream_server.c
+++ b/src/mm_stream_server.c
@@ -8,24 +8,24 @@
 #include <cJSON.h>
 #include <string.h>
 
-#define STREAMS "/v1/streams/"
-#define GROUPS "/v1/groups/"
+#define STREAMS_PATH "/v1/streams/"
+#define GROUPS_PATH "/v1/groups/"
 
 typedef struct
 {
   mm_keyed_log *log;
-  GHashTable *lapse; /* key -> mm_time_ms, of values with a ttl */
-  uint64_t epoch;    /* of its writers, the highest seen */
-  uint64_t next_seq; /* of that epoch's appends */
+  GHashTable *expiry; /* key -> mm_time_ms, for values with a ttl */
+  uint64_t epoch;     /* highest epoch of a writer seen */
+  uint64_t next_seq;  /* sequence number of the next append of that epoch */
 } stream;
 
-/* A read that waits for a record.  */
+/* A read that waits for a record, at most until the given time.  */
 typedef struct
 {
   mm_http_request *req;
   char *stream;
   uint64_t from;
-  mm_time_ms until_ms;
+  mm_time_ms answer_by_ms;
 } waiting_read;
 
 struct mm_stream_server
@@ -36,7 +36,7 @@
   void *ctx;
   GHashTable *streams; /* name -> stream */
   GHashTable *groups;  /* name -> mm_group_table */
-  GList *reads;
+  GList *reads;        /* waiting_read */
 };
 
 static void
@@ -44,25 +44,25 @@
 {
   stream *t = p;
   mm_keyed_log_destroy (t->log);
-  g_hash_table_destroy (t->lapse);
+  g_hash_table_destroy (t->expiry);
   g_free (t);
 }
 
 static stream *
-stream_of (mm_stream_server *s, const char *name)
+get_stream (mm_stream_server *s, const char *name)
 {
   stream *t = g_hash_table_lookup (s->streams, name);
   if (t)
     return t;
   t = g_new0 (stream, 1);
   t->log = mm_keyed_log_create ();
-  t->lapse = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  t->expiry = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_hash_table_insert (s->streams, g_strdup (name), t);
   return t;
 }
 
 static mm_group_table *
-group_of (mm_stream_server *s, const char *name)
+get_group (mm_stream_server *s, const char *name)
 {
   mm_group_table *g = g_hash_table_lookup (s->groups, name);
   if (g)
@@ -83,10 +83,10 @@
 
 static void
 answer_error (mm_stream_server *s, mm_http_request *req, unsigned status,
-              const char *why)
+              const char *message)
 {
   s->answer (s->ctx, req, status,
-             mm_json_error_body (MM_ERROR_BAD_REQUEST, why, 0));
+             mm_json_error_body (MM_ERROR_BAD_REQUEST, message, 0));
 }
 
 /* ---- streams ---------------------------------------------------------- */
@@ -108,10 +108,11 @@
   return text ? g_ascii_strtoull (text, NULL, 10) : 0;
 }
 
-#define ROW_BYTES 24 /* of a row besides its key and value */
+#define ROW_BYTES 24 /* size of a row besides its key and value */
 
-/* How many of these records an answer of @max_bytes holds (0: no limit); one
-   at least, so that a large one does not stand in the way for ever.  */
+/* Returns how many of these records fit into an answer of @max_bytes (0: no
+   limit).  It is at least one, so that a large record does not block the
+   reader for ever.  */
 static size_t
 records_within (const mm_keyed_record *r, size_t n, uint64_t max_bytes)
 {
@@ -151,7 +152,7 @@
 static void
 get_records (mm_stream_server *s, mm_http_request *req, const char *name)
 {
-  stream *t = stream_of (s, name);
+  stream *t = get_stream (s, name);
   uint64_t from = query_number (req, "from");
   uint64_t wait_ms = query_number (req, "wait_ms");
   if (from != mm_keyed_log_end (t->log) || wait_ms == 0)
@@ -163,14 +164,14 @@
   r->req = req;
   r->stream = g_strdup (name);
   r->from = from;
-  r->until_ms = mm_clock_now_ms () + (mm_time_ms)MIN (wait_ms, 30000);
+  r->answer_by_ms = mm_clock_now_ms () + (mm_time_ms)MIN (wait_ms, 30000);
   s->reads = g_list_prepend (s->reads, r);
 }
 
 static void
 get_newest (mm_stream_server *s, mm_http_request *req, const char *name)
 {
-  stream *t = stream_of (s, name);
+  stream *t = get_stream (s, name);
   const char *after = mm_http_request_query (req, "after");
   cJSON *o = cJSON_CreateObject ();
   cJSON *list = cJSON_AddArrayToObject (o, "items");
@@ -202,14 +203,14 @@
       answer_error (s, req, 400, "the value is no JSON");
       return;
     }
-  stream *t = stream_of (s, name);
+  stream *t = get_stream (s, name);
   const cJSON *ttl = cJSON_GetObjectItemCaseSensitive (value, "ttl_ms");
-  g_hash_table_remove (t->lapse, key);
+  g_hash_table_remove (t->expiry, key);
   if (cJSON_IsNumber (ttl))
     {
-      mm_time_ms *at = g_new (mm_time_ms, 1);
-      *at = mm_clock_now_ms () + (mm_time_ms)ttl->valuedouble;
-      g_hash_table_insert (t->lapse, g_strdup (key), at);
+      mm_time_ms *expires_ms = g_new (mm_time_ms, 1);
+      *expires_ms = mm_clock_now_ms () + (mm_time_ms)ttl->valuedouble;
+      g_hash_table_insert (t->expiry, g_strdup (key), expires_ms);
     }
   char *text = cJSON_PrintUnformatted (value);
   cJSON_Delete (value);
@@ -220,8 +221,8 @@
   answer_json (s, req, 200, o);
 }
 
-/* How many of the last appends are remembered: one that is sent again as
-   its answer was lost is not done twice.  */
+/* Number of last appends that are remembered, so that one that is sent again
+   because its answer was lost does not take effect twice.  */
 #define REMEMBERED_APPENDS 5
 
 static void
@@ -250,7 +251,8 @@
     }
 }
 
-/* An append of records by the holder of an epoch, in order.  */
+/* Appends records for the writer that holds an epoch, in order.  An append
+   with a lower epoch or with an unexpected sequence number is refused.  */
 static void
 append_records (mm_stream_server *s, mm_http_request *req, const char *name)
 {
@@ -260,26 +262,27 @@
   const cJSON *epoch = cJSON_GetObjectItemCaseSensitive (in, "epoch");
   const cJSON *seq = cJSON_GetObjectItemCaseSensitive (in, "seq");
   const cJSON *list = cJSON_GetObjectItemCaseSensitive (in, "records");
-  stream *t = stream_of (s, name);
-  uint64_t e = cJSON_IsNumber (epoch) ? (uint64_t)epoch->valuedouble : 0;
-  uint64_t n = cJSON_IsNumber (seq) ? (uint64_t)seq->valuedouble : 0;
-  bool newer = e > t->epoch;
-  bool any = cJSON_GetArraySize (list) > 0;
-  bool repeated
-      = !newer && n < t->next_seq && t->next_seq - n <= REMEMBERED_APPENDS;
-  if (e < t->epoch)
+  stream *t = get_stream (s, name);
+  uint64_t append_epoch
+      = cJSON_IsNumber (epoch) ? (uint64_t)epoch->valuedouble : 0;
+  uint64_t append_seq = cJSON_IsNumber (seq) ? (uint64_t)seq->valuedouble : 0;
+  bool new_epoch = append_epoch > t->epoch;
+  bool has_records = cJSON_GetArraySize (list) > 0;
+  bool repeated = !new_epoch && append_seq < t->next_seq
+                  && t->next_seq - append_seq <= REMEMBERED_APPENDS;
+  if (append_epoch < t->epoch)
     refuse_append (s, req, t, true);
-  else if (!newer && any && n != t->next_seq && !repeated)
+  else if (!new_epoch && has_records && append_seq != t->next_seq && !repeated)
     refuse_append (s, req, t, false);
   else
     {
-      t->epoch = e;
-      if (newer)
-        t->next_seq = n;
-      if (any && !repeated)
+      t->epoch = append_epoch;
+      if (new_epoch)
+        t->next_seq = append_seq;
+      if (has_records && !repeated)
         {
           put_records (t, list);
-          t->next_seq = n + 1;
+          t->next_seq = append_seq + 1;
         }
       answer_json (s, req, 200, cJSON_CreateObject ());
     }
@@ -287,36 +290,38 @@
 }
 
 static void
-handle_stream (mm_stream_server *s, mm_http_request *req, const char *rest)
+handle_stream (mm_stream_server *s, mm_http_request *req, const char *subpath)
 {
   const char *method = mm_http_request_method (req);
-  char **part = g_strsplit (rest, "/", 2);
-  if (!part[0] || !*part[0])
+  char **components = g_strsplit (subpath, "/", 2);
+  if (!components[0] || !*components[0])
     answer_error (s, req, 404, "no stream named");
-  else if (strcmp (method, "GET") == 0 && !part[1])
-    get_records (s, req, part[0]);
-  else if (strcmp (method, "GET") == 0 && strcmp (part[1], "newest") == 0)
-    get_newest (s, req, part[0]);
-  else if (strcmp (method, "POST") == 0 && part[1]
-           && strcmp (part[1], "append") == 0)
-    append_records (s, req, part[0]);
-  else if (strcmp (method, "PUT") == 0 && part[1] && *part[1])
-    put_value (s, req, part[0], part[1]);
-  else if (strcmp (method, "DELETE") == 0 && part[1] && *part[1])
+  else if (strcmp (method, "GET") == 0 && !components[1])
+    get_records (s, req, components[0]);
+  else if (strcmp (method, "GET") == 0
+           && strcmp (components[1], "newest") == 0)
+    get_newest (s, req, components[0]);
+  else if (strcmp (method, "POST") == 0 && components[1]
+           && strcmp (components[1], "append") == 0)
+    append_records (s, req, components[0]);
+  else if (strcmp (method, "PUT") == 0 && components[1] && *components[1])
+    put_value (s, req, components[0], components[1]);
+  else if (strcmp (method, "DELETE") == 0 && components[1] && *components[1])
     {
-      mm_keyed_log_put (stream_of (s, part[0])->log, part[1], NULL);
+      mm_keyed_log_put (get_stream (s, components[0])->log, components[1],
+                        NULL);
       answer_json (s, req, 200, cJSON_CreateObject ());
     }
   else
     answer_error (s, req, 404, "no such path");
-  g_strfreev (part);
+  g_strfreev (components);
 }
 
 /* ---- groups ----------------------------------------------------------- */
 
 static void
-answer_parts (mm_stream_server *s, mm_http_request *req, mm_group_table *g,
-              const char *member)
+answer_partitions (mm_stream_server *s, mm_http_request *req,
+                   mm_group_table *g, const char *member)
 {
   cJSON *o = cJSON_CreateObject ();
   cJSON_AddNumberToObject (o, "generation",
@@ -361,13 +366,13 @@
   const cJSON *generation
       = cJSON_GetObjectItemCaseSensitive (in, "generation");
   const cJSON *ttl = cJSON_GetObjectItemCaseSensitive (in, "ttl_ms");
-  mm_group_table *g = group_of (s, name);
+  mm_group_table *g = get_group (s, name);
   if (!member)
     answer_error (s, req, 400, "a member is needed");
   else if (strcmp (verb, "leave") == 0)
     {
       mm_group_table_leave (g, member);
-      answer_parts (s, req, g, member);
+      answer_partitions (s, req, g, member);
     }
   else if (strcmp (verb, "join") != 0 || !cJSON_IsNumber (ttl))
     answer_error (s, req, 400, "join with a ttl_ms, or leave");
@@ -378,25 +383,25 @@
                                : 0;
       mm_group_table_join (g, member, confirmed, (mm_time_ms)ttl->valuedouble,
                            mm_clock_now_ms ());
-      answer_parts (s, req, g, member);
+      answer_partitions (s, req, g, member);
     }
   cJSON_Delete (in);
 }
 
 static void
-handle_group (mm_stream_server *s, mm_http_request *req, const char *rest)
+handle_group (mm_stream_server *s, mm_http_request *req, const char *subpath)
 {
-  char **part = g_strsplit (rest, "/", 2);
-  if (!part[0] || !*part[0])
+  char **components = g_strsplit (subpath, "/", 2);
+  if (!components[0] || !*components[0])
     answer_error (s, req, 404, "no group named");
-  else if (part[1])
-    change_group (s, req, part[0], part[1]);
+  else if (components[1])
+    change_group (s, req, components[0], components[1]);
   else
-    answer_holders (s, req, group_of (s, part[0]));
-  g_strfreev (part);
+    answer_holders (s, req, get_group (s, components[0]));
+  g_strfreev (components);
 }
 
-/* ---- both ------------------------------------------------------------- */
+/* ---- streams and groups ----------------------------------------------- */
 
 static void
 set_faults (mm_stream_server *s, mm_http_request *req)
@@ -428,21 +433,21 @@
   const char *path = mm_http_request_path (req);
   if (strcmp (path, "/v1/store-faults") == 0)
     set_faults (s, req);
-  else if (g_str_has_prefix (path, STREAMS))
-    handle_stream (s, req, path + strlen (STREAMS));
-  else if (g_str_has_prefix (path, GROUPS))
-    handle_group (s, req, path + strlen (GROUPS));
+  else if (g_str_has_prefix (path, STREAMS_PATH))
+    handle_stream (s, req, path + strlen (STREAMS_PATH));
+  else if (g_str_has_prefix (path, GROUPS_PATH))
+    handle_group (s, req, path + strlen (GROUPS_PATH));
   else
     return false;
   return true;
 }
 
 static void
-lapse_values (stream *t, mm_time_ms now)
+expire_values (stream *t, mm_time_ms now)
 {
   GHashTableIter it;
   gpointer k, v;
-  g_hash_table_iter_init (&it, t->lapse);
+  g_hash_table_iter_init (&it, t->expiry);
   while (g_hash_table_iter_next (&it, &k, &v))
     if (now > *(mm_time_ms *)v)
       {
@@ -459,8 +464,8 @@
     {
       next = l->next;
       waiting_read *r = l->data;
-      stream *t = stream_of (s, r->stream);
-      if (mm_keyed_log_end (t->log) == r->from && now < r->until_ms)
+      stream *t = get_stream (s, r->stream);
+      if (mm_keyed_log_end (t->log) == r->from && now < r->answer_by_ms)
         continue;
       s->reads = g_list_delete_link (s->reads, l);
       answer_records (s, r->req, t, r->from);
@@ -478,7 +483,7 @@
   gpointer v;
   g_hash_table_iter_init (&it, s->streams);
   while (g_hash_table_iter_next (&it, NULL, &v))
-    lapse_values (v, now);
+    expire_values (v, now);
   g_hash_table_iter_init (&it, s->groups);
   while (g_hash_table_iter_next (&it, NULL, &v))
     mm_group_table_step (v, now);
--- a/src/mm_stream_server.h
+++ b/src/mm_stream_server.h
@@ -1,15 +1,21 @@
-/* mm_stream_server: the part of the platform stand-in that keeps keyed
+/* mm_stream_server: the component of the platform stand-in that keeps keyed
    streams and groups, over HTTP:
 
-     PUT    /v1/streams/S/KEY          a value; "ttl_ms" in it: it lapses
+     PUT    /v1/streams/S/KEY          set a value, which expires after the
+                                       "ttl_ms" that it may contain
      DELETE /v1/streams/S/KEY          drop the key
-     GET    /v1/streams/S?from=N&wait_ms=M   records from an offset on
-     GET    /v1/streams/S/newest?after=KEY   the newest of each key, paged
+     POST   /v1/streams/S/append       append the records of one writer:
+                                       {"epoch","seq","records"}
+     GET    /v1/streams/S?from=N&wait_ms=M&max_bytes=B   records from an
+                                       offset on
+     GET    /v1/streams/S/newest?after=KEY   newest record of each key, paged
      POST   /v1/groups/G/join          {"member","generation","ttl_ms"}
      POST   /v1/groups/G/leave         {"member"}
-     GET    /v1/groups/G               who holds partitions
-     POST   /v1/store-faults           {"drop_history":true},
-                                       {"deal_anew":true}  */
+     GET    /v1/groups/G               the holders of the partitions
+     POST   /v1/store-faults           {"drop_history":true} drops the history
+                                       of all streams, {"deal_anew":true}
+                                       reassigns the partitions of all groups
+                                       at once  */
 #ifndef MM_STREAM_SERVER_H
 #define MM_STREAM_SERVER_H
 
@@ -17,13 +23,14 @@
 
 typedef struct mm_stream_server mm_stream_server;
 
-/* How answers leave: the platform stand-in may delay or lose them.  */
+/* Sends an answer; the platform stand-in may delay or lose it.  */
 typedef void (*mm_stream_answer) (void *ctx, mm_http_request *req,
-                                  unsigned status, char *body /* taken */);
+                                  unsigned status, char *body /* owned */);
 
 mm_stream_server *mm_stream_server_create (struct ev_loop *loop,
                                            mm_stream_answer answer, void *ctx);
 void mm_stream_server_destroy (mm_stream_server *s);
+/* Handles a request whose path is listed above; returns false for others.  */
 bool mm_stream_server_handle (mm_stream_server *s, mm_http_request *req);
 
 #endif /* MM_STREAM_SERVER_H */
--- a/src/mm_upstream.c
+++ b/src/mm_upstream.c
@@ -1,18 +1,19 @@
 /* mm_upstream: stand-in for an upstream executor.
 
-   It has N slots and starts whatever it is given, fits or not: past N
-   running tasks, each run stretches by running/N.  Modes, set by
-   POST /v1/mode: "normal", "drain" (refuse new tasks before start,
-   finish the rest), "freeze" (hold every answer until unfrozen) and
-   "fail_all" (every task starts and fails).  GET /v1/starts lists every
-   task it ever started, with a count, so tests can prove that no task
-   started twice and that a "not run" task never started.
-
-   POST /v1/jobs/JOB/fence {"epoch":N} raises the job's epoch and reports
-   every task of it that started here, with its state and result; a start
-   with a lower epoch is refused from then on (409).  Raising and
-   reporting are one step, so a task is either in the report or will
-   never start here under an older epoch.  */
+   The stand-in has N slots and starts every task, whether it fits or not:
+   with more than N running tasks, the run time of a new one is multiplied by
+   running/N.  POST /v1/mode sets the mode: "normal", "drain" (refuses new
+   tasks before their start, finishes the others), "freeze" (holds back every
+   answer until the mode changes) and "fail_all" (every task starts and
+   fails).  GET /v1/starts lists every task that was ever started with the
+   number of its starts, so that tests can prove that no task started twice
+   and that a "not run" task never started.
+
+   POST /v1/jobs/JOB/fence {"epoch":N} raises the epoch of the job and
+   reports each of its tasks that started here, with state and result.  A
+   start with a lower epoch is refused from then on (409).  Raising and
+   reporting are one step, so a task is either in the report or will never
+   start here under an older epoch.  */
 #include "config.h"
 #include "masticmill.h"
 #include "mm_run_server.h"
@@ -42,22 +43,22 @@
   mm_http_client *client;
   mm_counters *counters;
   upstream_mode mode;
-  uint32_t mode_seq; /* bumped on every mode change */
+  uint32_t mode_seq; /* incremented at every mode change */
   GHashTable *jobs;  /* job id -> job_record */
-  int64_t boot_ms;   /* wall clock at start: names this incarnation */
-  GQueue frozen;     /* runs finished while frozen */
+  int64_t boot_ms;   /* wall clock at start, identifies this incarnation */
+  GQueue frozen;     /* runs that ended while frozen, not answered yet */
   uint32_t running;
-  mm_run_server *runs; /* tasks under leases */
+  mm_run_server *runs; /* runs under leases */
   ev_timer heartbeat;
-  ev_timer drain_check; /* while draining for good */
+  ev_timer drain_check; /* active from mm_upstream_drain() on */
   void (*drained) (void *);
   void *drained_ctx;
 };
 
-/* What a task that started here has come to.  */
+/* State of a task that started here.  */
 typedef struct
 {
-  uint32_t starts;   /* how often it started */
+  uint32_t starts;   /* number of starts */
   const char *state; /* "running", "done" or "failed" */
   char *result;      /* when done */
 } task_record;
@@ -129,7 +130,7 @@
     "heartbeat period" },
   { "upstream.advertise", MM_SETTING_STRING,
     offsetof (mm_upstream_settings, advertise), 0, 0,
-    "host:port told to dispatchers, empty for our own" },
+    "host:port reported to dispatchers, empty for its own" },
   { "upstream.run_log", MM_SETTING_STRING,
     offsetof (mm_upstream_settings, run_log), 0, 0,
     "file that takes a line for each start and end, empty for none" },
@@ -247,25 +248,25 @@
   t->state = "running";
   mm_counters_add (u->counters, "tasks_started", 1);
   u->running++;
-  double ms = cJSON_IsNumber (run_ms) ? run_ms->valuedouble : 0;
+  double duration_ms = cJSON_IsNumber (run_ms) ? run_ms->valuedouble : 0;
   if (u->running > (uint32_t)u->settings.slots)
-    ms = ms * u->running / (double)u->settings.slots;
+    duration_ms = duration_ms * u->running / (double)u->settings.slots;
   run *r = g_new0 (run, 1);
   r->u = u;
   r->req = req;
   r->task_id = g_strdup (task->valuestring);
   r->record = t;
-  ev_timer_init (&r->timer, run_done_cb, ms / 1000.0, 0.);
+  ev_timer_init (&r->timer, run_done_cb, duration_ms / 1000.0, 0.);
   ev_timer_start (u->loop, &r->timer);
   cJSON_Delete (o);
 }
 
 static void
-refuse (mm_upstream *u, mm_http_request *req, const char *why)
+refuse (mm_upstream *u, mm_http_request *req, const char *reason)
 {
   cJSON *o = cJSON_CreateObject ();
   cJSON_AddStringToObject (o, "status", "refused");
-  cJSON_AddStringToObject (o, "reason", why);
+  cJSON_AddStringToObject (o, "reason", reason);
   cJSON_AddNumberToObject (o, "mode_seq", u->mode_seq);
   reply_json (req, 503, o);
 }
@@ -276,11 +277,11 @@
   size_t len;
   const char *body = mm_http_request_body (req, &len);
   cJSON *o = cJSON_ParseWithLength (body, len);
-  const cJSON *m = cJSON_GetObjectItemCaseSensitive (o, "mode");
+  const cJSON *requested = cJSON_GetObjectItemCaseSensitive (o, "mode");
   int found = -1;
-  for (int i = 0; cJSON_IsString (m) && i < (int)G_N_ELEMENTS (mode_names);
-       i++)
-    if (g_str_equal (m->valuestring, mode_names[i]))
+  for (int i = 0;
+       cJSON_IsString (requested) && i < (int)G_N_ELEMENTS (mode_names); i++)
+    if (g_str_equal (requested->valuestring, mode_names[i]))
       found = i;
   cJSON_Delete (o);
   if (found < 0)
@@ -322,7 +323,7 @@
   reply_json (req, 200, o);
 }
 
-/* POST /v1/jobs/JOB/fence: see the head of this file.  */
+/* POST /v1/jobs/JOB/fence: raises the epoch of a job and reports its tasks. */
 static void
 fence_job (mm_upstream *u, mm_http_request *req, const char *job_id)
 {
@@ -367,11 +368,11 @@
 handle (mm_http_request *req, void *ctx)
 {
   mm_upstream *u = ctx;
-  const char *m = mm_http_request_method (req);
-  const char *p = mm_http_request_path (req);
+  const char *method = mm_http_request_method (req);
+  const char *path = mm_http_request_path (req);
   if (mm_run_server_handle (u->runs, req))
     return;
-  if (g_str_equal (m, "POST") && g_str_equal (p, "/v1/tasks"))
+  if (g_str_equal (method, "POST") && g_str_equal (path, "/v1/tasks"))
     {
       if (u->mode == MODE_DRAIN)
         {
@@ -381,19 +382,19 @@
       else
         start_task (u, req);
     }
-  else if (g_str_equal (m, "POST") && g_str_equal (p, "/v1/mode"))
+  else if (g_str_equal (method, "POST") && g_str_equal (path, "/v1/mode"))
     set_mode (u, req);
-  else if (g_str_equal (m, "POST") && g_str_has_prefix (p, "/v1/jobs/")
-           && g_str_has_suffix (p, "/fence"))
+  else if (g_str_equal (method, "POST") && g_str_has_prefix (path, "/v1/jobs/")
+           && g_str_has_suffix (path, "/fence"))
     {
       char *job_id
-          = g_strndup (p + 9, strlen (p) - strlen ("/v1/jobs//fence"));
+          = g_strndup (path + 9, strlen (path) - strlen ("/v1/jobs//fence"));
       fence_job (u, req, job_id);
       g_free (job_id);
     }
-  else if (g_str_equal (p, "/v1/starts"))
+  else if (g_str_equal (path, "/v1/starts"))
     list_starts (u, req);
-  else if (g_str_equal (p, "/v1/state"))
+  else if (g_str_equal (path, "/v1/state"))
     {
       char *d = mm_upstream_dump (u);
       mm_http_reply (req, 200, d, 0);
@@ -416,13 +417,14 @@
                    1);
 }
 
-/* The same in the list that dispatchers with leases read.  */
+/* Reports this upstream to the upstream list, which dispatchers with leases
+   read.  */
 static void
 report_to_stream (mm_upstream *u)
 {
   mm_resources c = mm_run_server_capacity (u->runs);
-  char *own = g_strdup_printf ("%s:%u", u->settings.listen_host,
-                               mm_http_server_port (u->http));
+  char *own_address = g_strdup_printf ("%s:%u", u->settings.listen_host,
+                                       mm_http_server_port (u->http));
   char *url = g_strdup_printf ("%s/v1/streams/upstreams/%s",
                                u->settings.platform_url,
                                mm_run_server_name (u->runs));
@@ -431,11 +433,12 @@
       "\"draining\":%s,\"slots\":%" G_GINT64_FORMAT
       ",\"cpu_milli\":%" G_GINT64_FORMAT ",\"mem_mb\":%" G_GINT64_FORMAT
       ",\"ttl_ms\":%" G_GINT64_FORMAT "}",
-      *u->settings.advertise ? u->settings.advertise : own, MM_STANDIN_SERVICE,
-      u->settings.datacentre, u->mode == MODE_DRAIN ? "true" : "false",
-      u->settings.slots, c.cpu_milli, c.mem_mb, 3 * u->settings.heartbeat_ms);
+      *u->settings.advertise ? u->settings.advertise : own_address,
+      MM_STANDIN_SERVICE, u->settings.datacentre,
+      u->mode == MODE_DRAIN ? "true" : "false", u->settings.slots, c.cpu_milli,
+      c.mem_mb, 3 * u->settings.heartbeat_ms);
   mm_http_client_call (u->client, "PUT", url, body, 1000, heartbeat_done, u);
-  g_free (own);
+  g_free (own_address);
   g_free (url);
   g_free (body);
 }
@@ -475,8 +478,8 @@
 }
 
 /**
- * mm_upstream_create() - start an upstream stand-in.
- * @loop: its loop.
+ * mm_upstream_create() - starts an upstream stand-in.
+ * @loop: the event loop it runs on.
  * @s: settings, copied.
  * @error: MM_ERROR_IO when the port cannot be bound.
  *
@@ -535,9 +538,10 @@
 }
 
 /**
- * mm_upstream_on_crash() - what a task that crashes it does.
+ * mm_upstream_on_crash() - sets the function that simulates a crash.
  * @u: the stand-in.
- * @crash: called in place of an answer; not expected to return.
+ * @crash: called when a poison task crashes the stand-in; not expected to
+ *         return.
  * @ctx: context pointer for @crash.
  */
 void
@@ -550,9 +554,10 @@
   mm_run_server_set_poison (u->runs, &p);
 }
 
-/* Guards against a stop that cuts off the last answer: a task has ended
-   when its run is over, but its answer is out only when the HTTP server
-   has written it (the caller saw an empty reply).  */
+/* Completes the drain once no task runs and no answer is left to be sent.  A
+   task has ended when its run has ended, but its answer is sent only when the
+   HTTP server has written it.  A stop in between would cut off the last
+   answer, and the caller would see an empty reply.  */
 static void
 drain_check_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
@@ -565,9 +570,9 @@
 }
 
 /**
- * mm_upstream_drain() - graceful stop: refuse new tasks, finish the rest.
+ * mm_upstream_drain() - stops gracefully: refuses new tasks, finishes others.
  * @u: the stand-in.
- * @drained: called once no task runs any more.
+ * @drained: called once no task runs and all answers are sent.
  * @ctx: context pointer for @drained.
  */
 void
@@ -587,7 +592,7 @@
 }
 
 /**
- * mm_upstream_dump() - the stand-in's state.
+ * mm_upstream_dump() - returns the state of the stand-in.
  * @u: the stand-in.
  *
  * Return: JSON text, free with free().
