--- a/src/config.h
+++ b/src/config.h
@@ -407,8 +407,8 @@
 #define MM_EXPLAIN_BEFORE_MS 3000
 
 /* Stand-ins (mm_run_table).  */
-#define MM_MODEL_STOP_MS 30 /* a stop takes this long */
-#define MM_MODEL_FAIL_MS 5  /* a task that fails runs this long */
+#define MM_RUN_TABLE_STOP_MS 30 /* a stop takes this long */
+#define MM_RUN_TABLE_FAIL_MS 5  /* a task that fails runs this long */
 
 /* Runs under leases of the upstream stand-in (mm_run_server).  */
 #define MM_RUN_SERVER_TICK_MS 2        /* precision of ends and leases */
--- a/src/mm_entry_platform.c
+++ b/src/mm_entry_platform.c
@@ -181,7 +181,7 @@
 }
 
 static void
-members_done (const mm_http_result *res, void *ctx)
+members_answered (const mm_http_result *res, void *ctx)
 {
   mm_entry *e = ctx;
   cJSON *o = res->status == 200
@@ -211,7 +211,8 @@
   char *url = g_strdup_printf (
       "%s/v1/members?datacentre=%s&since=%" G_GINT64_FORMAT,
       e->settings.platform_url, e->settings.datacentre, e->members_version);
-  mm_http_client_call (e->platform, "GET", url, NULL, 1000, members_done, e);
+  mm_http_client_call (e->platform, "GET", url, NULL, 1000, members_answered,
+                       e);
   g_free (url);
 }
 
--- a/src/mm_group_table.c
+++ b/src/mm_group_table.c
@@ -191,7 +191,7 @@
 }
 
 void
-mm_group_table_deal_anew (mm_group_table *g)
+mm_group_table_reassign_all (mm_group_table *g)
 {
   if (!g->members->len)
     return;
@@ -211,7 +211,7 @@
 }
 
 uint32_t
-mm_group_table_parts (const mm_group_table *g)
+mm_group_table_partition_count (const mm_group_table *g)
 {
   return g->n_partitions;
 }
--- a/src/mm_group_table.h
+++ b/src/mm_group_table.h
@@ -23,10 +23,10 @@
 /* Removes the members whose ttl has passed.  */
 void mm_group_table_step (mm_group_table *g, mm_time_ms now_ms);
 /* Reassigns all partitions at once, without the two steps.  */
-void mm_group_table_deal_anew (mm_group_table *g);
+void mm_group_table_reassign_all (mm_group_table *g);
 /* Returns the member that holds the partition and has it listed, or NULL.  */
 const char *mm_group_table_holder (const mm_group_table *g, uint32_t index);
-uint32_t mm_group_table_parts (const mm_group_table *g);
+uint32_t mm_group_table_partition_count (const mm_group_table *g);
 uint64_t mm_group_table_generation (const mm_group_table *g);
 
 #endif /* MM_GROUP_TABLE_H */
--- a/src/mm_job_log.c
+++ b/src/mm_job_log.c
@@ -131,7 +131,7 @@
     l->failing_since_ms = 0;
   else if (!l->failing_since_ms)
     l->failing_since_ms = now;
-  mm_store_note_touch (&l->in_contact, ok, "kept jobs", why);
+  mm_store_record_contact (&l->in_contact, ok, "kept jobs", why);
 }
 
 static void
--- a/src/mm_list_log.c
+++ b/src/mm_list_log.c
@@ -43,8 +43,8 @@
 }
 
 void
-mm_list_log_add (mm_list_log *l, uint64_t upto, const char *name,
-                 const mm_upstream_info *info)
+mm_list_log_append (mm_list_log *l, uint64_t upto, const char *name,
+                    const mm_upstream_info *info)
 {
   if (l->changes->len >= MM_LIST_LOG_MAX)
     {
@@ -58,7 +58,7 @@
 }
 
 uint64_t
-mm_list_log_first (const mm_list_log *l)
+mm_list_log_first_offset (const mm_list_log *l)
 {
   return l->first;
 }
--- a/src/mm_list_log.h
+++ b/src/mm_list_log.h
@@ -25,10 +25,10 @@
 void mm_list_log_reset (mm_list_log *l, uint64_t first);
 /* Adds a change, in the order of the stream.  @info is NULL when the upstream
    is no longer listed.  The oldest change is dropped when the log is full.  */
-void mm_list_log_add (mm_list_log *l, uint64_t upto, const char *name,
-                      const mm_upstream_info *info);
+void mm_list_log_append (mm_list_log *l, uint64_t upto, const char *name,
+                         const mm_upstream_info *info);
 /* Returns the offset from which on the log has all changes.  */
-uint64_t mm_list_log_first (const mm_list_log *l);
+uint64_t mm_list_log_first_offset (const mm_list_log *l);
 /* Returns the @n changes that an instance lacks which knows the list up to
    offset @from.  They are valid until the next call that changes the log.  */
 const mm_list_change *mm_list_log_since (const mm_list_log *l, uint64_t from,
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -61,9 +61,10 @@
   const mm_list_share *l = ctx;
   mm_list_update update
       = { .round = l->round,
-          .from = MAX (known_upto, mm_list_log_first (l->log)),
-          .to = mm_stream_next (l->stream),
-          .age_ms = mm_clock_now_ms () - mm_stream_known_ms (l->stream) };
+          .from = MAX (known_upto, mm_list_log_first_offset (l->log)),
+          .to = mm_stream_next_offset (l->stream),
+          .age_ms
+          = mm_clock_now_ms () - mm_stream_known_as_of_ms (l->stream) };
   update.changes = mm_list_log_since (l->log, update.from, &update.n_changes);
   mm_list_update_pack (&update, out);
   return update.to;
@@ -72,7 +73,7 @@
 static void
 notify (mm_list_share *l, const char *except)
 {
-  l->notified_as_of_ms = mm_stream_known_ms (l->stream);
+  l->notified_as_of_ms = mm_stream_known_as_of_ms (l->stream);
   mm_mesh_notify (l->mesh, pack_update_for, l, except);
 }
 
@@ -90,7 +91,7 @@
 on_item (void *ctx, const mm_stream_item *item)
 {
   mm_list_share *l = ctx;
-  mm_catalog_origin read = { .as_of_ms = mm_stream_sent_ms (l->stream) };
+  mm_catalog_origin read = { .as_of_ms = mm_stream_last_sent_ms (l->stream) };
   if (!apply (l, item->key, item->upstream, &read))
     return;
   const mm_upstream_info *u = item->upstream;
@@ -110,7 +111,7 @@
   mm_list_share *l = ctx;
   mm_catalog_keep_only (l->catalog, keys);
   g_array_set_size (l->changes_read, 0);
-  mm_list_log_reset (l->log, mm_stream_next (l->stream));
+  mm_list_log_reset (l->log, mm_stream_next_offset (l->stream));
   mm_time_ms now = mm_clock_now_ms ();
   l->own_reads_until_ms = now + MM_LIST_OWN_READS_MS;
   if (!l->contact_since_ms)
@@ -122,12 +123,12 @@
 on_changes (void *ctx, bool all)
 {
   mm_list_share *l = ctx;
-  uint64_t upto = mm_stream_next (l->stream);
+  uint64_t upto = mm_stream_next_offset (l->stream);
   for (guint i = 0; i < l->changes_read->len; i++)
     {
       const mm_list_change *c
           = &g_array_index (l->changes_read, mm_list_change, i);
-      mm_list_log_add (l->log, upto, c->name, c->info);
+      mm_list_log_append (l->log, upto, c->name, c->info);
     }
   g_array_set_size (l->changes_read, 0);
   if (!all)
@@ -145,7 +146,7 @@
 static void
 resend_known (mm_list_share *l, const char *peer, const mm_list_update *update)
 {
-  if (l->contact_since_ms && update->from > mm_stream_next (l->stream))
+  if (l->contact_since_ms && update->from > mm_stream_next_offset (l->stream))
     mm_mesh_notify_peer (l->mesh, peer, pack_update_for, l);
 }
 
@@ -171,7 +172,7 @@
       const mm_list_change *c = &update->changes[i];
       if (!apply (l, c->name, c->info, &origin))
         continue;
-      mm_list_log_add (l->log, update->to, c->name, c->info);
+      mm_list_log_append (l->log, update->to, c->name, c->info);
       any_change = true;
     }
   if (any_change || as_of_ms - l->notified_as_of_ms >= MM_LIST_NOTIFY_MS)
@@ -257,7 +258,7 @@
   if (l->complete || !l->contact_since_ms)
     return;
   mm_time_ms now = mm_clock_now_ms ();
-  if (now - mm_stream_known_ms (l->stream) >= MM_STREAM_CONTACT_MS)
+  if (now - mm_stream_known_as_of_ms (l->stream) >= MM_STREAM_CONTACT_MS)
     l->contact_since_ms = now;
   l->complete = now - l->contact_since_ms >= MM_LIST_DROP_MS;
 }
--- a/src/mm_native_store.c
+++ b/src/mm_native_store.c
@@ -104,7 +104,7 @@
   const cJSON *list = cJSON_GetObjectItemCaseSensitive (body, "items");
   GArray *items = mm_store_items_new ();
   mm_stream_result r = { .ok = mm_store_http_ok (res) && cJSON_IsArray (list),
-                         .history_lost = !res->error && res->status == 410,
+                         .history_dropped = !res->error && res->status == 410,
                          .next = c->from };
   if (r.ok)
     {
@@ -114,15 +114,16 @@
       r.after = cJSON_GetStringValue (
           cJSON_GetObjectItemCaseSensitive (body, "after"));
     }
-  mm_store_tell_stream (c, res, &r, items);
+  mm_store_answer_stream (c, res, &r, items);
   cJSON_Delete (body);
 }
 
 static void
 native_newest (void *ctx, mm_stream_kind kind, const char *after,
-               mm_time_ms timeout_ms, mm_stream_done done, void *done_ctx)
+               mm_time_ms timeout_ms, mm_stream_answered done, void *done_ctx)
 {
-  mm_store_call call = { .kind = kind, .stream_done = done, .ctx = done_ctx };
+  mm_store_call call
+      = { .kind = kind, .stream_answered = done, .ctx = done_ctx };
   char *key = after ? g_uri_escape_string (after, NULL, FALSE) : NULL;
   char *path
       = g_strdup_printf ("/v1/streams/%s/newest%s%s", stream_names[kind],
@@ -132,10 +133,11 @@
 }
 
 static void
-native_tail (void *ctx, const mm_tail *t, mm_stream_done done, void *done_ctx)
+native_tail (void *ctx, const mm_tail *t, mm_stream_answered done,
+             void *done_ctx)
 {
   mm_store_call call = {
-    .kind = t->kind, .from = t->from, .stream_done = done, .ctx = done_ctx
+    .kind = t->kind, .from = t->from, .stream_answered = done, .ctx = done_ctx
   };
   char *path = g_strdup_printf (
       "/v1/streams/%s?from=%" G_GUINT64_FORMAT "&wait_ms=%" G_GINT64_FORMAT
@@ -159,16 +161,16 @@
       uint32_t number = (uint32_t)partition->valuedouble;
       g_array_append_val (partitions, number);
     }
-  mm_store_tell_join (ctx, res, &r, partitions);
+  mm_store_answer_join (ctx, res, &r, partitions);
   cJSON_Delete (body);
 }
 
 static void
 native_join (void *ctx, const char *group, const char *member,
              uint64_t generation, mm_time_ms ttl_ms, mm_time_ms timeout_ms,
-             mm_join_done done, void *done_ctx)
+             mm_join_answered done, void *done_ctx)
 {
-  mm_store_call call = { .join_done = done, .ctx = done_ctx };
+  mm_store_call call = { .join_answered = done, .ctx = done_ctx };
   cJSON *request = cJSON_CreateObject ();
   cJSON_AddStringToObject (request, "member", member);
   cJSON_AddNumberToObject (request, "generation", (double)generation);
@@ -180,9 +182,9 @@
 
 static void
 native_leave (void *ctx, const char *group, const char *member,
-              mm_time_ms timeout_ms, mm_join_done done, void *done_ctx)
+              mm_time_ms timeout_ms, mm_join_answered done, void *done_ctx)
 {
-  mm_store_call call = { .join_done = done, .ctx = done_ctx };
+  mm_store_call call = { .join_answered = done, .ctx = done_ctx };
   cJSON *request = cJSON_CreateObject ();
   cJSON_AddStringToObject (request, "member", member);
   mm_store_http_send (ctx, "POST",
@@ -202,8 +204,8 @@
       const char *member = cJSON_GetStringValue (cJSON_GetArrayItem (row, 1));
       if (!cJSON_IsNumber (partition) || !member)
         continue;
-      mm_part_holder h = { .part = (uint32_t)partition->valuedouble,
-                           .member = g_strdup (member) };
+      mm_partition_holder h = { .part = (uint32_t)partition->valuedouble,
+                                .member = g_strdup (member) };
       g_array_append_val (holders, h);
     }
   return holders;
@@ -215,15 +217,15 @@
   cJSON *body = cJSON_ParseWithLength (res->body, res->body_bytes);
   const cJSON *list = cJSON_GetObjectItemCaseSensitive (body, "holders");
   bool ok = mm_store_http_ok (res) && cJSON_IsArray (list);
-  mm_store_tell_members (ctx, res, ok ? read_holders (list) : NULL);
+  mm_store_answer_members (ctx, res, ok ? read_holders (list) : NULL);
   cJSON_Delete (body);
 }
 
 static void
 native_members (void *ctx, const char *group, mm_time_ms timeout_ms,
-                mm_members_done done, void *done_ctx)
+                mm_members_answered done, void *done_ctx)
 {
-  mm_store_call call = { .members_done = done, .ctx = done_ctx };
+  mm_store_call call = { .members_answered = done, .ctx = done_ctx };
   mm_store_http_send (ctx, "GET", g_strdup_printf ("/v1/groups/%s", group),
                       NULL, timeout_ms, on_members, &call);
 }
@@ -245,14 +247,14 @@
     r.verdict = MM_APPEND_REFUSED;
   r.expected_seq = (uint64_t)number_field (body, "expected", 0);
   cJSON_Delete (body);
-  mm_store_tell_append (ctx, res, &r);
+  mm_store_answer_append (ctx, res, &r);
 }
 
 static void
-native_append (void *ctx, const mm_append *a, mm_append_done done,
+native_append (void *ctx, const mm_append *a, mm_append_answered done,
                void *done_ctx)
 {
-  mm_store_call call = { .append_done = done, .ctx = done_ctx };
+  mm_store_call call = { .append_answered = done, .ctx = done_ctx };
   cJSON *request = cJSON_CreateObject ();
   cJSON_AddNumberToObject (request, "epoch", (double)a->epoch);
   cJSON_AddNumberToObject (request, "seq", (double)a->seq);
@@ -303,15 +305,16 @@
     }
   r.after = cJSON_GetStringValue (
       cJSON_GetObjectItemCaseSensitive (body, "after"));
-  mm_store_tell_records (ctx, res, &r, records);
+  mm_store_answer_records (ctx, res, &r, records);
   cJSON_Delete (body);
 }
 
 static void
 native_records (void *ctx, uint32_t partition, const char *after,
-                mm_time_ms timeout_ms, mm_records_done done, void *done_ctx)
+                mm_time_ms timeout_ms, mm_records_answered done,
+                void *done_ctx)
 {
-  mm_store_call call = { .records_done = done, .ctx = done_ctx };
+  mm_store_call call = { .records_answered = done, .ctx = done_ctx };
   char *key = after ? g_uri_escape_string (after, NULL, FALSE) : NULL;
   char *path = g_strdup_printf ("/v1/streams/jobs-%u/newest%s%s", partition,
                                 key ? "?after=" : "", key ? key : "");
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -167,7 +167,7 @@
 static mm_time_ms
 list_age_ms (const mm_node *n, mm_time_ms now)
 {
-  mm_time_ms known_ms = mm_stream_known_ms (n->upstreams);
+  mm_time_ms known_ms = mm_stream_known_as_of_ms (n->upstreams);
   return n->list_needed_ms ? now - MAX (known_ms, n->list_needed_ms) : 0;
 }
 
@@ -210,12 +210,12 @@
   else
     mm_stream_pause (n->upstreams);
   check_list_age (n, now);
-  mm_catalog_tick (n->catalog, mm_stream_in_touch (n->upstreams));
+  mm_catalog_tick (n->catalog, mm_stream_in_contact (n->upstreams));
   mm_members_tick (n->members);
   if (mm_members_loaded (n->members)
       || now - n->started_ms >= MM_PREDECESSORS_WAIT_MS)
     mm_datacentres_tick (n->owned_datacentres);
-  mm_ownership_tick (n->ownership, mm_stream_fresh (n->upstreams));
+  mm_ownership_tick (n->ownership, mm_stream_is_current (n->upstreams));
   mm_suspects_tick (n->suspects);
   mm_mesh_tick (n->mesh);
   mm_owner_set_confirmed (n->owner,
@@ -223,7 +223,7 @@
   mm_owner_tick (n->owner);
   mm_jobs_tick (n->jobs);
   mm_list_share_tick (n->list);
-  mm_kept_tick (n->kept, mm_stream_fresh (n->upstreams)
+  mm_kept_tick (n->kept, mm_stream_is_current (n->upstreams)
                              && mm_list_share_complete (n->list));
 }
 
@@ -252,7 +252,7 @@
   mm_log_event (MM_EV_STALLED, MM_INT (stalled_ms),
                 MM_INT (mm_jobs_count (n->jobs)));
   mm_mesh_close_links (n->mesh);
-  mm_stream_hurry (n->upstreams);
+  mm_stream_poll_now (n->upstreams);
   mm_jobs_abandon (n->jobs, "this instance stood still");
 }
 
@@ -303,7 +303,7 @@
 static mm_time_ms
 list_known_ms (void *ctx)
 {
-  return mm_stream_known_ms (((mm_node *)ctx)->upstreams);
+  return mm_stream_known_as_of_ms (((mm_node *)ctx)->upstreams);
 }
 
 static void
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -137,7 +137,7 @@
   mm_metrics_count (res->ok ? MM_CT_JOIN_OK : MM_CT_JOIN_FAILED);
   mm_metrics_time (MM_HG_JOIN_CALL, mm_clock_now_ms () - set->call_sent_ms);
   if (!set->closed)
-    mm_store_note_touch (&set->in_contact, res->ok, set->group, res->why);
+    mm_store_record_contact (&set->in_contact, res->ok, set->group, res->why);
   if (res->ok)
     set->confirmed_ms = set->call_sent_ms;
   if (res->ok && set->release_pending
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -305,7 +305,7 @@
     leave_unanswered (req);
   else if (v != MM_CALL_OK)
     reply_verdict (s, req, v);
-  else if (mm_run_table_ended (s->table) || h.wait_ms == 0)
+  else if (mm_run_table_unacked_ends (s->table) || h.wait_ms == 0)
     reply_lists (s, req);
   else
     {
@@ -490,7 +490,7 @@
       s->poison.crash (s->poison.ctx);
       return;
     }
-  bool ended = mm_run_table_ended (s->table) > 0;
+  bool ended = mm_run_table_unacked_ends (s->table) > 0;
   GList *next;
   for (GList *l = s->holds; l; l = next)
     {
--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -89,7 +89,7 @@
 }
 
 bool
-mm_run_table_runs (const mm_run_table *t, const mm_task_id *task)
+mm_run_table_is_running (const mm_run_table *t, const mm_task_id *task)
 {
   return find_run (t, task) != NULL;
 }
@@ -158,7 +158,7 @@
                   .how = MM_END_DONE };
   if (t->mode.fails)
     {
-      r.ends_ms = now_ms + MM_MODEL_FAIL_MS;
+      r.ends_ms = now_ms + MM_RUN_TABLE_FAIL_MS;
       r.how = MM_END_FAILED;
     }
   if (t->mode.hangs)
@@ -222,7 +222,7 @@
   table_run *r = find_run (t, o->task);
   if (r && r->number <= o->run)
     {
-      r->ends_ms = MIN (r->ends_ms, now_ms + MM_MODEL_STOP_MS);
+      r->ends_ms = MIN (r->ends_ms, now_ms + MM_RUN_TABLE_STOP_MS);
       r->how = MM_END_STOPPED;
     }
   return MM_CALL_OK;
@@ -272,7 +272,7 @@
 }
 
 size_t
-mm_run_table_ended (const mm_run_table *t)
+mm_run_table_unacked_ends (const mm_run_table *t)
 {
   return t->unacked_ends->len;
 }
--- a/src/mm_run_table.h
+++ b/src/mm_run_table.h
@@ -14,7 +14,7 @@
 /* How the upstream treats starts and tasks.  */
 typedef struct
 {
-  bool fails;           /* each task fails after MM_MODEL_FAIL_MS */
+  bool fails;           /* each task fails after MM_RUN_TABLE_FAIL_MS */
   bool hangs;           /* no task ends by itself */
   bool refuses;         /* unhealthy: starts are refused */
   int64_t slow_percent; /* run time in percent of the requested one, 0: 100 */
@@ -57,8 +57,8 @@
 void mm_run_table_clear (mm_run_table *t);
 size_t mm_run_table_running (const mm_run_table *t); /* number of runs */
 /* Returns the number of unacknowledged ends.  */
-size_t mm_run_table_ended (const mm_run_table *t);
-bool mm_run_table_runs (const mm_run_table *t, const mm_task_id *task);
+size_t mm_run_table_unacked_ends (const mm_run_table *t);
+bool mm_run_table_is_running (const mm_run_table *t, const mm_task_id *task);
 /* Fills in the lists of running and ended runs.  The arrays belong to the
    table and are valid until its next call.  */
 void mm_run_table_list (mm_run_table *t, mm_hold_result *out,
--- a/src/mm_store.c
+++ b/src/mm_store.c
@@ -23,8 +23,8 @@
 }
 
 void
-mm_store_note_touch (bool *in_contact, bool ok, const char *what,
-                     const char *why)
+mm_store_record_contact (bool *in_contact, bool ok, const char *what,
+                         const char *why)
 {
   if (*in_contact == ok)
     return;
--- a/src/mm_store.h
+++ b/src/mm_store.h
@@ -29,8 +29,8 @@
 typedef struct
 {
   bool ok;
-  const char *why;   /* reason of the failure, when not ok */
-  bool history_lost; /* tail: the requested records were dropped */
+  const char *why;      /* reason of the failure, when not ok */
+  bool history_dropped; /* tail: the requested records were dropped */
   mm_stream_item *items;
   size_t n_items;
   uint64_t next;     /* offset from which to continue */
@@ -53,7 +53,7 @@
 {
   uint32_t part;
   const char *member;
-} mm_part_holder;
+} mm_partition_holder;
 
 /* Result of a read of the members of a group.  */
 typedef struct
@@ -62,7 +62,7 @@
   const char *why;
   const char *const *members; /* members that hold a partition */
   size_t n_members;
-  const mm_part_holder *holders; /* of each partition that has one */
+  const mm_partition_holder *holders; /* of each partition that has one */
   size_t n_holders;
 } mm_members_result;
 
@@ -117,11 +117,11 @@
   const char *why;       /* when not MM_APPEND_OK */
 } mm_append_result;
 
-typedef void (*mm_stream_done) (const mm_stream_result *res, void *ctx);
-typedef void (*mm_join_done) (const mm_join_result *res, void *ctx);
-typedef void (*mm_members_done) (const mm_members_result *res, void *ctx);
-typedef void (*mm_append_done) (const mm_append_result *res, void *ctx);
-typedef void (*mm_records_done) (const mm_records_result *res, void *ctx);
+typedef void (*mm_stream_answered) (const mm_stream_result *res, void *ctx);
+typedef void (*mm_join_answered) (const mm_join_result *res, void *ctx);
+typedef void (*mm_members_answered) (const mm_members_result *res, void *ctx);
+typedef void (*mm_append_answered) (const mm_append_result *res, void *ctx);
+typedef void (*mm_records_answered) (const mm_records_result *res, void *ctx);
 
 /* A read of the records from an offset on, in the order of the stream.  */
 typedef struct
@@ -138,25 +138,25 @@
 {
   /* Reads a page of the newest record of each key, after the key @after.  */
   void (*newest) (void *ctx, mm_stream_kind kind, const char *after,
-                  mm_time_ms timeout_ms, mm_stream_done answered,
+                  mm_time_ms timeout_ms, mm_stream_answered answered,
                   void *answered_ctx);
-  void (*tail) (void *ctx, const mm_tail *t, mm_stream_done answered,
+  void (*tail) (void *ctx, const mm_tail *t, mm_stream_answered answered,
                 void *answered_ctx);
   /* Joins a group, or renews the membership for @ttl_ms.  */
   void (*join) (void *ctx, const char *group, const char *member,
                 uint64_t generation, mm_time_ms ttl_ms, mm_time_ms timeout_ms,
-                mm_join_done answered, void *answered_ctx);
+                mm_join_answered answered, void *answered_ctx);
   void (*leave) (void *ctx, const char *group, const char *member,
-                 mm_time_ms timeout_ms, mm_join_done answered,
+                 mm_time_ms timeout_ms, mm_join_answered answered,
                  void *answered_ctx);
   void (*members) (void *ctx, const char *group, mm_time_ms timeout_ms,
-                   mm_members_done answered, void *answered_ctx);
+                   mm_members_answered answered, void *answered_ctx);
   /* Appends records of kept jobs.  @a is read only during the call.  */
-  void (*append) (void *ctx, const mm_append *a, mm_append_done answered,
+  void (*append) (void *ctx, const mm_append *a, mm_append_answered answered,
                   void *answered_ctx);
   /* Reads a page of the records of kept jobs, after the key @after.  */
   void (*records) (void *ctx, uint32_t partition, const char *after,
-                   mm_time_ms timeout_ms, mm_records_done answered,
+                   mm_time_ms timeout_ms, mm_records_answered answered,
                    void *answered_ctx);
   void *ctx;
   double link_mbps; /* Mbit/s of this instance's link, 0: no relevant limit */
@@ -170,7 +170,7 @@
 
 /* Records the outcome @ok of a call in @in_contact and logs when contact with
    @what is restored, or is lost for the reason @why.  */
-void mm_store_note_touch (bool *in_contact, bool ok, const char *what,
-                          const char *why);
+void mm_store_record_contact (bool *in_contact, bool ok, const char *what,
+                              const char *why);
 
 #endif /* MM_STORE_H */
--- a/src/mm_store_http.c
+++ b/src/mm_store_http.c
@@ -98,13 +98,13 @@
 static void
 holder_clear (gpointer row)
 {
-  g_free ((char *)((mm_part_holder *)row)->member);
+  g_free ((char *)((mm_partition_holder *)row)->member);
 }
 
 GArray *
 mm_store_holders_new (void)
 {
-  GArray *holders = g_array_new (FALSE, FALSE, sizeof (mm_part_holder));
+  GArray *holders = g_array_new (FALSE, FALSE, sizeof (mm_partition_holder));
   g_array_set_clear_func (holders, holder_clear);
   return holders;
 }
@@ -116,8 +116,8 @@
 }
 
 void
-mm_store_tell_stream (mm_store_call *call, const mm_http_result *res,
-                      mm_stream_result *r, GArray *items)
+mm_store_answer_stream (mm_store_call *call, const mm_http_result *res,
+                        mm_stream_result *r, GArray *items)
 {
   static const mm_counter_id bytes[]
       = { MM_CT_BYTES_CONFIG, MM_CT_BYTES_LIST };
@@ -126,22 +126,22 @@
   r->why = why;
   r->items = (mm_stream_item *)(void *)items->data;
   r->n_items = items->len;
-  call->stream_done (r, call->ctx);
+  call->stream_answered (r, call->ctx);
   g_array_free (items, TRUE);
   g_free (why);
   g_free (call);
 }
 
 void
-mm_store_tell_join (mm_store_call *call, const mm_http_result *res,
-                    mm_join_result *r, GArray *parts)
+mm_store_answer_join (mm_store_call *call, const mm_http_result *res,
+                      mm_join_result *r, GArray *parts)
 {
   mm_metrics_add (MM_CT_BYTES_JOIN, res->body_bytes);
   char *why = failure_reason (r->ok, res);
   r->why = why;
   r->parts = (const uint32_t *)(void *)parts->data;
   r->n_parts = parts->len;
-  call->join_done (r, call->ctx);
+  call->join_answered (r, call->ctx);
   g_array_free (parts, TRUE);
   g_free (why);
   g_free (call);
@@ -154,7 +154,8 @@
   GHashTable *distinct = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint i = 0; i < holders->len; i++)
     g_hash_table_add (
-        distinct, (gpointer)g_array_index (holders, mm_part_holder, i).member);
+        distinct,
+        (gpointer)g_array_index (holders, mm_partition_holder, i).member);
   guint count = 0;
   char **names = (char **)g_hash_table_get_keys_as_array (distinct, &count);
   g_hash_table_destroy (distinct);
@@ -163,8 +164,8 @@
 }
 
 void
-mm_store_tell_members (mm_store_call *call, const mm_http_result *res,
-                       GArray *holders)
+mm_store_answer_members (mm_store_call *call, const mm_http_result *res,
+                         GArray *holders)
 {
   mm_members_result r = { .ok = holders != NULL };
   mm_metrics_add (MM_CT_BYTES_MEMBERS, res->body_bytes);
@@ -173,9 +174,9 @@
   GArray *rows = holders ? holders : mm_store_holders_new ();
   char **names = distinct_members (rows, &r.n_members);
   r.members = (const char *const *)names;
-  r.holders = (const mm_part_holder *)(void *)rows->data;
+  r.holders = (const mm_partition_holder *)(void *)rows->data;
   r.n_holders = rows->len;
-  call->members_done (&r, call->ctx);
+  call->members_answered (&r, call->ctx);
   g_free (names);
   g_array_free (rows, TRUE);
   g_free (why);
@@ -183,26 +184,26 @@
 }
 
 void
-mm_store_tell_append (mm_store_call *call, const mm_http_result *res,
-                      mm_append_result *r)
+mm_store_answer_append (mm_store_call *call, const mm_http_result *res,
+                        mm_append_result *r)
 {
   char *why = failure_reason (r->verdict == MM_APPEND_OK, res);
   r->why = why;
-  call->append_done (r, call->ctx);
+  call->append_answered (r, call->ctx);
   g_free (why);
   g_free (call);
 }
 
 void
-mm_store_tell_records (mm_store_call *call, const mm_http_result *res,
-                       mm_records_result *r, GArray *records)
+mm_store_answer_records (mm_store_call *call, const mm_http_result *res,
+                         mm_records_result *r, GArray *records)
 {
   mm_metrics_add (MM_CT_BYTES_RECORDS, res->body_bytes);
   char *why = failure_reason (r->ok, res);
   r->why = why;
   r->records = (const mm_record *)(void *)records->data;
   r->n_records = records->len;
-  call->records_done (r, call->ctx);
+  call->records_answered (r, call->ctx);
   g_array_free (records, TRUE);
   g_free (why);
   g_free (call);
--- a/src/mm_store_http.h
+++ b/src/mm_store_http.h
@@ -14,11 +14,11 @@
 {
   mm_stream_kind kind;
   uint64_t from; /* requested offset */
-  mm_stream_done stream_done;
-  mm_join_done join_done;
-  mm_members_done members_done;
-  mm_append_done append_done;
-  mm_records_done records_done;
+  mm_stream_answered stream_answered;
+  mm_join_answered join_answered;
+  mm_members_answered members_answered;
+  mm_append_answered append_answered;
+  mm_records_answered records_answered;
   void *ctx; /* argument of the callback */
 } mm_store_call;
 
@@ -40,19 +40,19 @@
 bool mm_store_http_ok (const mm_http_result *res); /* has status 200 */
 GArray *mm_store_items_new (void);                 /* of mm_stream_item */
 GArray *mm_store_records_new (void);               /* of mm_record */
-GArray *mm_store_holders_new (void);               /* of mm_part_holder */
+GArray *mm_store_holders_new (void);               /* of mm_partition_holder */
 /* Pass a result on to the caller, with the reason if @r is not ok, and free
    @call.  They take ownership of their arrays: @items, @parts (uint32_t),
    @holders (NULL: the call failed), @records.  */
-void mm_store_tell_stream (mm_store_call *call, const mm_http_result *res,
-                           mm_stream_result *r, GArray *items);
-void mm_store_tell_join (mm_store_call *call, const mm_http_result *res,
-                         mm_join_result *r, GArray *parts);
-void mm_store_tell_members (mm_store_call *call, const mm_http_result *res,
-                            GArray *holders);
-void mm_store_tell_append (mm_store_call *call, const mm_http_result *res,
-                           mm_append_result *r);
-void mm_store_tell_records (mm_store_call *call, const mm_http_result *res,
-                            mm_records_result *r, GArray *records);
+void mm_store_answer_stream (mm_store_call *call, const mm_http_result *res,
+                             mm_stream_result *r, GArray *items);
+void mm_store_answer_join (mm_store_call *call, const mm_http_result *res,
+                           mm_join_result *r, GArray *parts);
+void mm_store_answer_members (mm_store_call *call, const mm_http_result *res,
+                              GArray *holders);
+void mm_store_answer_append (mm_store_call *call, const mm_http_result *res,
+                             mm_append_result *r);
+void mm_store_answer_records (mm_store_call *call, const mm_http_result *res,
+                              mm_records_result *r, GArray *records);
 
 #endif /* MM_STORE_HTTP_H */
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -106,7 +106,7 @@
   static const mm_counter_id failed[]
       = { MM_CT_CONFIG_FAILED, MM_CT_LIST_FAILED };
   mm_metrics_count (res->ok ? ok[s->kind] : failed[s->kind]);
-  mm_store_note_touch (&s->in_contact, res->ok, names[s->kind], res->why);
+  mm_store_record_contact (&s->in_contact, res->ok, names[s->kind], res->why);
 }
 
 /* All records that existed at @as_of_ms are known.  */
@@ -181,8 +181,8 @@
     }
   mm_time_ms now = mm_clock_now_ms ();
   s->due_ms = now + (res->ok ? 0 : MM_STORE_RETRY_MS);
-  s->failures = res->ok || res->history_lost ? 0 : s->failures + 1;
-  bool dropped = s->tailing && res->history_lost;
+  s->failures = res->ok || res->history_dropped ? 0 : s->failures + 1;
+  bool dropped = s->tailing && res->history_dropped;
   if (dropped)
     restart_from_newest (s);
   else
@@ -257,13 +257,13 @@
 }
 
 void
-mm_stream_hurry (mm_stream *s)
+mm_stream_poll_now (mm_stream *s)
 {
   s->due_ms = 0;
 }
 
 bool
-mm_stream_fresh (const mm_stream *s)
+mm_stream_is_current (const mm_stream *s)
 {
   return s->current;
 }
@@ -271,26 +271,26 @@
 /* This instance's calls may fail while the store serves other instances, which
    send it the changes that they read.  */
 bool
-mm_stream_in_touch (const mm_stream *s)
+mm_stream_in_contact (const mm_stream *s)
 {
   return s->in_contact
          || mm_clock_now_ms () - s->known_as_of_ms < MM_STREAM_CONTACT_MS;
 }
 
 mm_time_ms
-mm_stream_known_ms (const mm_stream *s)
+mm_stream_known_as_of_ms (const mm_stream *s)
 {
   return s->known_as_of_ms;
 }
 
 mm_time_ms
-mm_stream_sent_ms (const mm_stream *s)
+mm_stream_last_sent_ms (const mm_stream *s)
 {
   return s->sent_ms;
 }
 
 uint64_t
-mm_stream_next (const mm_stream *s)
+mm_stream_next_offset (const mm_stream *s)
 {
   return s->next;
 }
--- a/src/mm_stream_server.c
+++ b/src/mm_stream_server.c
@@ -327,7 +327,7 @@
   cJSON_AddNumberToObject (o, "generation",
                            (double)mm_group_table_generation (g));
   cJSON *list = cJSON_AddArrayToObject (o, "parts");
-  for (uint32_t i = 0; i < mm_group_table_parts (g); i++)
+  for (uint32_t i = 0; i < mm_group_table_partition_count (g); i++)
     {
       const char *holder = mm_group_table_holder (g, i);
       if (holder && strcmp (holder, member) == 0)
@@ -341,7 +341,7 @@
 {
   cJSON *o = cJSON_CreateObject ();
   cJSON *list = cJSON_AddArrayToObject (o, "holders");
-  for (uint32_t i = 0; i < mm_group_table_parts (g); i++)
+  for (uint32_t i = 0; i < mm_group_table_partition_count (g); i++)
     {
       const char *holder = mm_group_table_holder (g, i);
       if (!holder)
@@ -421,7 +421,7 @@
     {
       g_hash_table_iter_init (&it, s->groups);
       while (g_hash_table_iter_next (&it, NULL, &v))
-        mm_group_table_deal_anew (v);
+        mm_group_table_reassign_all (v);
     }
   cJSON_Delete (in);
   mm_http_reply (req, 200, "{\"status\":\"ok\"}", 0);
--- a/tests/fake_upstreams.c
+++ b/tests/fake_upstreams.c
@@ -154,7 +154,7 @@
 size_t
 fake_unacked_ends (const fake *x)
 {
-  return mm_run_table_ended (x->table);
+  return mm_run_table_unacked_ends (x->table);
 }
 
 void
@@ -231,7 +231,8 @@
 count_double_runs (fake *x, const mm_task_id *task)
 {
   for (GList *l = x->all->upstreams; l; l = l->next)
-    if (l->data != x && mm_run_table_runs (((fake *)l->data)->table, task))
+    if (l->data != x
+        && mm_run_table_is_running (((fake *)l->data)->table, task))
       x->all->counts.double_runs++;
 }
 
@@ -241,7 +242,7 @@
   long long cpu = 0, run_ms = 0;
   sscanf (o->payload, "%lld %lld", &cpu, &run_ms);
   mm_resources need = { .cpu_milli = cpu };
-  bool ran = mm_run_table_runs (x->table, o->task);
+  bool ran = mm_run_table_is_running (x->table, o->task);
   mm_call_verdict v
       = mm_run_table_start (x->table, o, &need, run_ms, x->all->now_ms);
   if (!ran && v == MM_CALL_OK)
@@ -463,7 +464,7 @@
   if (c->kind != CALL_HOLD || c->arrives_ms >= 0 || c->answer_ms >= 0
       || c->lost || c->result.verdict != MM_CALL_OK || c->result.clock_ms == 0)
     return;
-  if (mm_run_table_ended (c->to->table)
+  if (mm_run_table_unacked_ends (c->to->table)
       || c->to->all->now_ms >= c->wait_until_ms)
     c->answer_ms = c->to->all->now_ms + LINK_MS;
 }
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -352,8 +352,8 @@
 /* A store that holds the last call until the test answers it.  */
 typedef struct
 {
-  mm_append_done append_done;
-  mm_records_done records_done;
+  mm_append_answered append_answered;
+  mm_records_answered records_answered;
   void *ctx;
   uint32_t appends;
   uint64_t seq;            /* of the last append */
@@ -363,23 +363,23 @@
 } slow_store;
 
 static void
-slow_append (void *ctx, const mm_append *a, mm_append_done done,
+slow_append (void *ctx, const mm_append *a, mm_append_answered done,
              void *done_ctx)
 {
   slow_store *s = ctx;
   s->appends++;
   s->seq = a->seq;
   s->records = a->n_records;
-  s->append_done = done;
+  s->append_answered = done;
   s->ctx = done_ctx;
 }
 
 static void
 slow_records (void *ctx, uint32_t part, const char *after,
-              mm_time_ms timeout_ms, mm_records_done done, void *done_ctx)
+              mm_time_ms timeout_ms, mm_records_answered done, void *done_ctx)
 {
   slow_store *s = ctx;
-  s->records_done = done;
+  s->records_answered = done;
   s->ctx = done_ctx;
 }
 
@@ -388,8 +388,8 @@
 {
   mm_append_result r
       = { .verdict = v, .expected_seq = expected, .why = "simulated" };
-  mm_append_done done = s->append_done;
-  s->append_done = NULL;
+  mm_append_answered done = s->append_answered;
+  s->append_answered = NULL;
   ck_assert_ptr_nonnull (done);
   done (&r, s->ctx);
 }
@@ -399,8 +399,8 @@
 {
   mm_records_result r
       = { .ok = true, .records = s->stored, .n_records = s->n_stored };
-  mm_records_done done = s->records_done;
-  s->records_done = NULL;
+  mm_records_answered done = s->records_answered;
+  s->records_answered = NULL;
   ck_assert_ptr_nonnull (done);
   done (&r, s->ctx);
 }
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -49,7 +49,7 @@
   bool newest;
   int caller;
   uint64_t from;
-  mm_stream_done done;
+  mm_stream_answered done;
   void *ctx;
 } call;
 
@@ -85,7 +85,7 @@
     {
       fx->no_history = -1;
       res.ok = false;
-      res.history_lost = true;
+      res.history_dropped = true;
     }
   GArray *items = g_array_new (FALSE, FALSE, sizeof (mm_stream_item));
   for (uint64_t i = from; res.ok && i < end; i++)
@@ -106,7 +106,7 @@
 
 static void
 call_store (int caller, fixture *fx, bool newest, uint64_t from,
-            mm_time_ms timeout_ms, mm_stream_done done, void *ctx)
+            mm_time_ms timeout_ms, mm_stream_answered done, void *ctx)
 {
   call *c = g_new0 (call, 1);
   c->fx = fx;
@@ -130,14 +130,15 @@
 
 static void
 store_newest (void *ctx, mm_stream_kind kind, const char *after,
-              mm_time_ms timeout_ms, mm_stream_done done, void *done_ctx)
+              mm_time_ms timeout_ms, mm_stream_answered done, void *done_ctx)
 {
   caller *c = ctx;
   call_store (c->number, c->fixture, true, 0, timeout_ms, done, done_ctx);
 }
 
 static void
-store_tail (void *ctx, const mm_tail *t, mm_stream_done done, void *done_ctx)
+store_tail (void *ctx, const mm_tail *t, mm_stream_answered done,
+            void *done_ctx)
 {
   caller *c = ctx;
   call_store (c->number, c->fixture, false, t->from, t->timeout_ms, done,
@@ -309,9 +310,11 @@
   ck_assert_uint_ge (fx->n_reads, 4);
   mm_time_ms now = mm_clock_now_ms ();
   for (int i = 0; i < INSTANCES; i++)
-    ck_assert_int_le (
-        now - mm_stream_known_ms (mm_list_share_stream (fx->list_share[i])),
-        MM_LIST_POLL_MS + MM_LIST_RANK_DELAY_MS * MM_LIST_RANK_MAX);
+    ck_assert_int_le (now
+                          - mm_stream_known_as_of_ms (
+                              mm_list_share_stream (fx->list_share[i])),
+                      MM_LIST_POLL_MS
+                          + MM_LIST_RANK_DELAY_MS * MM_LIST_RANK_MAX);
   append_record (fx, 7, true);
   ck_assert_int_le (known_to_all_ms (fx, 7), DRAIN_BOUND_MS);
 }
@@ -355,7 +358,8 @@
 static void
 deliver_update (fixture *fx, mm_queue_delay *delay, mm_time_ms sent_ago_ms)
 {
-  uint64_t next = mm_stream_next (mm_list_share_stream (fx->list_share[0]));
+  uint64_t next
+      = mm_stream_next_offset (mm_list_share_stream (fx->list_share[0]));
   mm_list_update n = { .from = next, .to = next, .age_ms = 5 };
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
@@ -380,12 +384,12 @@
   mm_queue_delay delay = { 0 };
   mm_time_ms start_ms = mm_clock_now_ms ();
   deliver_update (fx, &delay, 0);
-  mm_time_ms known_ms = mm_stream_known_ms (list);
+  mm_time_ms known_ms = mm_stream_known_as_of_ms (list);
   run_for (fx, DRAIN_BOUND_MS);
   deliver_update (fx, &delay, mm_clock_now_ms () - start_ms);
-  ck_assert_int_le (mm_stream_known_ms (list) - known_ms, 1);
+  ck_assert_int_le (mm_stream_known_as_of_ms (list) - known_ms, 1);
   deliver_update (fx, &delay, 0);
-  ck_assert_int_le (mm_clock_now_ms () - mm_stream_known_ms (list),
+  ck_assert_int_le (mm_clock_now_ms () - mm_stream_known_as_of_ms (list),
                     MM_EXEC_TICK_MS);
 }
 END_TEST
@@ -488,8 +492,8 @@
   mm_list_log *l = mm_list_log_create ();
   mm_list_log_reset (l, 10);
   mm_upstream_info u = listed_upstream ("a");
-  mm_list_log_add (l, 20, "a", &u);
-  mm_list_log_add (l, 30, "b", NULL);
+  mm_list_log_append (l, 20, "a", &u);
+  mm_list_log_append (l, 30, "b", NULL);
   size_t n;
   mm_list_log_since (l, 10, &n);
   ck_assert_uint_eq (n, 2);
@@ -499,8 +503,8 @@
   mm_list_log_since (l, 30, &n);
   ck_assert_uint_eq (n, 0);
   for (uint64_t i = 0; i < MM_LIST_LOG_MAX; i++)
-    mm_list_log_add (l, 40 + i, "c", NULL);
-  ck_assert_uint_eq (mm_list_log_first (l), 30);
+    mm_list_log_append (l, 40 + i, "c", NULL);
+  ck_assert_uint_eq (mm_list_log_first_offset (l), 30);
   mm_list_log_destroy (l);
 }
 END_TEST
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -47,7 +47,7 @@
   mm_time_ms ttl_ms;
   mm_join_result result;
   uint32_t parts[PARTS];
-  mm_join_done done;
+  mm_join_answered done;
   void *ctx;
 } store_call;
 
@@ -81,7 +81,7 @@
 
 static void
 queue_call (node_store *s, store_call *c, const char *member,
-            mm_time_ms timeout_ms, mm_join_done done, void *ctx)
+            mm_time_ms timeout_ms, mm_join_answered done, void *ctx)
 {
   g_strlcpy (c->member, member, sizeof c->member);
   mm_time_ms way = CALL_MS + s->weather->slow_ms;
@@ -97,7 +97,7 @@
 static void
 store_join (void *ctx, const char *group, const char *member,
             uint64_t generation, mm_time_ms ttl_ms, mm_time_ms timeout_ms,
-            mm_join_done done, void *done_ctx)
+            mm_join_answered done, void *done_ctx)
 {
   store_call *c = g_new0 (store_call, 1);
   c->generation = generation;
@@ -107,7 +107,7 @@
 
 static void
 store_leave (void *ctx, const char *group, const char *member,
-             mm_time_ms timeout_ms, mm_join_done done, void *done_ctx)
+             mm_time_ms timeout_ms, mm_join_answered done, void *done_ctx)
 {
   store_call *c = g_new0 (store_call, 1);
   c->leave = true;
@@ -403,7 +403,7 @@
   world_join (w, 1);
   world_run (w, 4000);
   uint64_t before = mm_group_table_generation (w->group), fence;
-  mm_group_table_deal_anew (w->group);
+  mm_group_table_reassign_all (w->group);
   world_run (w, 3000);
   assert_one_owner_each (w);
   int moved = 0;
@@ -452,7 +452,7 @@
       x->lose_answers = g_rand_int_range (rnd, 0, 4) == 0;
       x->slow_ms = g_rand_int_range (rnd, 0, 3) ? 0 : 300;
       if (g_rand_int_range (rnd, 0, 10) == 0)
-        mm_group_table_deal_anew (w->group);
+        mm_group_table_reassign_all (w->group);
       world_run (w, g_rand_int_range (rnd, 50, 900));
     }
   for (int i = 0; i < NODES; i++)
@@ -520,7 +520,7 @@
   uint64_t first; /* offsets before it are gone */
   uint32_t newest_calls;
   uint32_t tail_calls;
-  mm_stream_done done;
+  mm_stream_answered done;
   void *ctx;
   mm_stream_result result;
   mm_stream_item items[8];
@@ -534,7 +534,7 @@
 
 static void
 key_newest (void *ctx, mm_stream_kind kind, const char *after,
-            mm_time_ms timeout_ms, mm_stream_done done, void *done_ctx)
+            mm_time_ms timeout_ms, mm_stream_answered done, void *done_ctx)
 {
   key_store *k = ctx;
   k->newest_calls++;
@@ -552,7 +552,7 @@
 }
 
 static void
-key_tail (void *ctx, const mm_tail *t, mm_stream_done done, void *done_ctx)
+key_tail (void *ctx, const mm_tail *t, mm_stream_answered done, void *done_ctx)
 {
   key_store *k = ctx;
   k->tail_calls++;
@@ -560,7 +560,7 @@
   k->ctx = done_ctx;
   k->result = (mm_stream_result){ .ok = t->from >= k->first,
                                   .why = "status 410",
-                                  .history_lost = t->from < k->first,
+                                  .history_dropped = t->from < k->first,
                                   .next = k->end,
                                   .end = k->end };
 }
@@ -600,7 +600,7 @@
   mm_stream_tick (s);
   if (!k->done)
     return;
-  mm_stream_done done = k->done;
+  mm_stream_answered done = k->done;
   k->done = NULL;
   done (&k->result, k->ctx);
 }
@@ -648,21 +648,21 @@
   mm_store_port port = { .newest = key_newest, .tail = key_tail, .ctx = &k };
   mm_stream_events ev = { .item = on_item, .whole = on_whole, .ctx = &r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
-  ck_assert (!mm_stream_fresh (s));
+  ck_assert (!mm_stream_is_current (s));
   for (int i = 0; i < 10; i++)
     turn (s, &k);
-  ck_assert (mm_stream_fresh (s));
+  ck_assert (mm_stream_is_current (s));
   mm_stream_tick (s);
   uint32_t calls = k.tail_calls;
   for (int i = 0; i < 10; i++)
     mm_stream_pause (s);
-  ck_assert (!mm_stream_fresh (s));
+  ck_assert (!mm_stream_is_current (s));
   turn (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls);
-  ck_assert (!mm_stream_fresh (s));
+  ck_assert (!mm_stream_is_current (s));
   turn (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls + 1);
-  ck_assert (mm_stream_fresh (s));
+  ck_assert (mm_stream_is_current (s));
   mm_stream_destroy (s);
   mm_clock_set_source (NULL, NULL);
 }
@@ -686,7 +686,7 @@
   mm_stream_tick (s);
   now_ms += CALL_MS;
   k.done (&k.result, k.ctx);
-  ck_assert (mm_stream_fresh (s));
+  ck_assert (mm_stream_is_current (s));
   mm_stream_destroy (s);
   mm_clock_set_source (NULL, NULL);
 }
@@ -703,7 +703,7 @@
   mm_time_ms timeout_ms; /* of the last call */
   mm_time_ms at_ms;      /* and when it was made */
   size_t max_bytes;
-  mm_stream_done done;
+  mm_stream_answered done;
   void *ctx;
   mm_stream_result result;
   mm_stream_item items[10];
@@ -713,7 +713,7 @@
 
 static void
 thin_newest (void *ctx, mm_stream_kind kind, const char *after,
-             mm_time_ms timeout_ms, mm_stream_done done, void *done_ctx)
+             mm_time_ms timeout_ms, mm_stream_answered done, void *done_ctx)
 {
   static char *const keys[]
       = { "a", "b", "c", "d", "e", "f", "g", "h", "i", "j" };
@@ -733,7 +733,8 @@
 }
 
 static void
-thin_tail (void *ctx, const mm_tail *t, mm_stream_done done, void *done_ctx)
+thin_tail (void *ctx, const mm_tail *t, mm_stream_answered done,
+           void *done_ctx)
 {
   thin_store *k = ctx;
   k->tail_calls++;
@@ -755,7 +756,7 @@
   mm_stream_tick (s);
   if (!k->done)
     return;
-  mm_stream_done done = k->done;
+  mm_stream_answered done = k->done;
   k->done = NULL;
   done (&k->result, k->ctx);
 }
@@ -774,7 +775,7 @@
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   for (int i = 0; i < 100 && !k->tail_calls; i++)
     thin_turn (s, k);
-  ck_assert (mm_stream_fresh (s));
+  ck_assert (mm_stream_is_current (s));
   return s;
 }
 
@@ -792,10 +793,10 @@
   k.end += k.max_bytes / THIN_RECORD_BYTES + 10;
   thin_turn (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls + 1);
-  ck_assert (!mm_stream_fresh (s));
+  ck_assert (!mm_stream_is_current (s));
   thin_turn (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls + 2);
-  ck_assert (mm_stream_fresh (s));
+  ck_assert (mm_stream_is_current (s));
   thin_turn (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls + 2);
   ck_assert_uint_eq (k.newest_calls, 1);
