--- a/include/masticmill.h
+++ b/include/masticmill.h
@@ -1,9 +1,9 @@
 /* masticmill: a dispatcher for sub-second tasks.
 
-   This one header lists the whole library, grouped by module.  Each
-   module has a short prefix; opaque types are made with _create and
-   freed with _destroy; every failure is reported through a GError in
-   the MM_ERROR domain.  Times are mm_time_ms, sizes carry _bytes.  */
+   This header declares the public API, grouped by module.  Each module
+   has a short prefix.  Opaque types are allocated with _create and freed
+   with _destroy.  Every failure is reported through a GError in the
+   MM_ERROR domain.  Times are mm_time_ms, names of sizes end in _bytes.  */
 #ifndef MASTICMILL_H
 #define MASTICMILL_H
 
@@ -18,30 +18,30 @@
 {
 #endif
 
-  /* ---- mm_clock: the one clock type (milliseconds) ---------------------- */
-  typedef int64_t mm_time_ms;         /* a time or span in ms */
-  mm_time_ms mm_clock_now_ms (void);  /* monotonic now */
+  /* ---- mm_clock: clocks, all in milliseconds ---------------------------- */
+  typedef int64_t mm_time_ms;        /* a point in time or a duration, in ms */
+  mm_time_ms mm_clock_now_ms (void); /* monotonic clock */
   mm_time_ms mm_clock_wall_ms (void); /* wall clock, ms since 1970 */
   typedef mm_time_ms (*mm_clock_source) (void *ctx);
   void mm_clock_set_source (mm_clock_source now, void *ctx); /* for tests */
 
-/* ---- mm_error: typed failures ------------------------------------------ */
+/* ---- mm_error: error codes --------------------------------------------- */
 #define MM_ERROR (mm_error_quark ())
   typedef enum
   {
-    MM_ERROR_CONFIG_SYNTAX,      /* TOML did not parse */
+    MM_ERROR_CONFIG_SYNTAX,      /* TOML could not be parsed */
     MM_ERROR_CONFIG_UNKNOWN_KEY, /* a key the program does not know */
     MM_ERROR_CONFIG_TYPE,        /* a value of the wrong type */
     MM_ERROR_CONFIG_RANGE,       /* a value out of its range */
     MM_ERROR_IO,                 /* a file or socket failed */
-    MM_ERROR_BAD_REQUEST,        /* a request did not decode */
+    MM_ERROR_BAD_REQUEST,        /* a request could not be decoded */
     MM_ERROR_JOB_SIZE,           /* a job of zero or too many tasks */
-    MM_ERROR_OVERLOADED,         /* admission refused: come back later */
+    MM_ERROR_OVERLOADED,         /* admission refused: retry later */
     MM_ERROR_PLATFORM,           /* the platform's service failed */
     MM_ERROR_UPSTREAM,           /* an upstream failed */
-    MM_ERROR_CONFIG_REJECTED,    /* a published config lost a race */
-    MM_ERROR_TIMEOUT,            /* no answer in time */
-    MM_ERROR_DECODE              /* a peer frame did not decode */
+    MM_ERROR_CONFIG_REJECTED, /* a published config does not follow the head */
+    MM_ERROR_TIMEOUT,         /* no answer in time */
+    MM_ERROR_DECODE           /* a frame of a peer could not be decoded */
   } mm_error_code;
   GQuark mm_error_quark (void);              /* the MM_ERROR domain */
   const char *mm_error_code_name (int code); /* stable name of a code */
@@ -50,12 +50,12 @@
    */
   void mm_log_init (const char *program);        /* JSON lines to stdout */
   void mm_log_init_stderr (const char *program); /* for commands */
-  void mm_log_close (void);                      /* before the exit */
+  void mm_log_close (void);                      /* flush and stop logging */
   void mm_log_flush (void);                      /* never blocks */
   char *mm_log_format_json (const GLogField *fields,
-                            size_t n_fields); /* one line */
+                            size_t n_fields); /* one log line */
 
-  /* ---- mm_counters: metrics by counters of our own -----------------------
+  /* ---- mm_counters: a set of named counters ------------------------------
    */
   typedef struct mm_counters mm_counters;
   mm_counters *mm_counters_create (void);    /* an empty set */
@@ -98,7 +98,7 @@
                                    size_t i);    /* i-th entry */
   const char *mm_toml_source (const mm_toml *t); /* file name or label */
   void mm_toml_overlay (mm_toml *base,
-                        const mm_toml *overlay); /* overlay wins */
+                        const mm_toml *overlay); /* overlay replaces base */
 
   /* ---- mm_settings: checked settings from TOML ---------------------------
    */
@@ -121,11 +121,13 @@
     const char *help;     /* one line for --help and errors */
   } mm_setting_spec;
   bool mm_settings_apply (const mm_setting_spec *specs, void *target,
-                          const mm_toml *t, GError **error); /* check + copy */
+                          const mm_toml *t,
+                          GError **error); /* check and copy */
   bool mm_settings_load_file (const mm_setting_spec *specs, void *target,
-                              const char *path, GError **error); /* file */
+                              const char *path,
+                              GError **error); /* parse, apply */
 
-  /* ---- mm_json: small helpers over cJSON ---------------------------------
+  /* ---- mm_json: helpers for cJSON ----------------------------------------
    */
   char *mm_json_error_body (int code, const char *message,
                             uint32_t retry_after_s); /* {"error":...} */
@@ -149,23 +151,25 @@
   void mm_http_server_quiesce (mm_http_server *s);        /* stop accepting */
   uint32_t
   mm_http_server_in_flight (const mm_http_server *s);     /* open requests */
-  uint16_t mm_http_server_port (const mm_http_server *s); /* bound port */
+  uint16_t mm_http_server_port (const mm_http_server *s); /* listening port */
   const char *mm_http_request_method (const mm_http_request *r); /* "GET" */
   const char *mm_http_request_path (const mm_http_request *r); /* "/v1/jobs" */
   const char *mm_http_request_body (const mm_http_request *r,
                                     size_t *len); /* body */
-  const char *mm_http_request_query (const mm_http_request *r,
-                                     const char *key); /* ?key= */
+  const char *
+  mm_http_request_query (const mm_http_request *r,
+                         const char *key); /* value of ?key=, or NULL */
   const char *mm_http_request_header (const mm_http_request *r,
-                                      const char *name); /* or NULL */
+                                      const char *name); /* value, or NULL */
   void mm_http_reply (mm_http_request *r, unsigned status, const char *body,
                       uint32_t retry_after_s); /* JSON reply, frees r later */
   typedef void (*mm_http_left_cb) (void *ctx);
   void mm_http_request_on_left (mm_http_request *r, mm_http_left_cb left,
-                                void *ctx);            /* the caller closed */
-  void mm_http_server_set_leaving (mm_http_server *s); /* close after each */
+                                void *ctx); /* on caller's close */
+  void
+  mm_http_server_set_leaving (mm_http_server *s); /* close after next answer */
   uint32_t
-  mm_http_server_connections (const mm_http_server *s); /* open ones */
+  mm_http_server_connections (const mm_http_server *s); /* open connections */
 
   /* ---- mm_http_client: HTTP client (libcurl multi) on libev --------------
    */
@@ -174,29 +178,30 @@
   {
     long status;       /* HTTP status, 0 when no answer */
     const char *body;  /* answer body, NUL-terminated */
-    size_t body_bytes; /* its length */
-    bool sent;         /* the request left this process */
+    size_t body_bytes; /* length of body */
+    bool sent;         /* at least a part of the request was written */
     GError *error;     /* transport failure, or NULL */
-    bool open;         /* overdue: it is told once more, when it has ended */
-    bool late;         /* told before as overdue */
+    bool open; /* overdue but not ended: done is called again at its end */
+    bool late; /* ended after it was reported as overdue */
   } mm_http_result;
   typedef void (*mm_http_done) (const mm_http_result *res, void *ctx);
   typedef struct
   {
-    const char *method; /* "GET", "POST", ... */
-    const char *url;    /* full URL */
-    const char *body;   /* text or bytes, or NULL; copied */
-    size_t body_bytes;  /* its length, 0: it is text that ends with NUL */
-    const char *header; /* one more header line, or NULL */
-    bool fresh;         /* on a new connection */
-    mm_time_ms timeout_ms;
-    mm_time_ms late_ms; /* after that it stays open for so long, 0: closed */
+    const char *method;    /* "GET", "POST", ... */
+    const char *url;       /* full URL */
+    const char *body;      /* text or bytes, or NULL; copied */
+    size_t body_bytes;     /* length of body, 0: body ends with NUL */
+    const char *header;    /* additional header line, or NULL */
+    bool fresh;            /* use a new connection */
+    mm_time_ms timeout_ms; /* then the call is overdue */
+    mm_time_ms late_ms;    /* overdue calls stay open for this, 0: closed */
   } mm_http_call;
-  mm_http_client *mm_http_client_create (struct ev_loop *loop,
-                                         uint32_t max_host_connections); /* */
-  void mm_http_client_destroy (mm_http_client *c); /* abort all */
-  void mm_http_client_set_member (mm_http_client *c,
-                                  const char *name); /* who calls */
+  mm_http_client *
+  mm_http_client_create (struct ev_loop *loop,
+                         uint32_t max_host_connections); /* an idle client */
+  void mm_http_client_destroy (mm_http_client *c);       /* abort all calls */
+  void mm_http_client_set_member (
+      mm_http_client *c, const char *name); /* sent as X-Masticmill-Member */
   void mm_http_client_call (mm_http_client *c, const char *method,
                             const char *url, const char *body,
                             mm_time_ms timeout_ms, mm_http_done done,
@@ -216,9 +221,9 @@
   {
     MM_TASK_PENDING, /* not sent anywhere */
     MM_TASK_RUNNING, /* sent to an upstream */
-    MM_TASK_DONE,    /* result in hand */
+    MM_TASK_DONE,    /* its result has arrived */
     MM_TASK_FAILED,  /* ran and failed */
-    MM_TASK_UNKNOWN, /* sent, outcome lost (never retried if not idempotent) */
+    MM_TASK_UNKNOWN, /* sent, outcome not known: retried only if idempotent */
     MM_TASK_NOT_RUN  /* never started anywhere */
   } mm_task_state;
   typedef struct
@@ -228,12 +233,12 @@
     mm_time_ms run_ms;      /* declared run time (a hint) */
     mm_time_ms deadline_ms; /* relative to submission */
     bool idempotent;        /* may be run again */
-    mm_task_state state;    /* where it is */
-    char *result;           /* upstream result, when DONE */
-    uint32_t attempts;      /* sends so far */
-    int32_t upstream;       /* index of the upstream it runs on, -1 none */
+    mm_task_state state;    /* progress of the task */
+    char *result;           /* result from the upstream, when DONE */
+    uint32_t attempts;      /* how often it was sent */
+    int32_t upstream;       /* index of the upstream it was sent to, or -1 */
     mm_time_ms started_ms;  /* when last sent */
-    mm_time_ms finished_ms; /* when its result came */
+    mm_time_ms finished_ms; /* when its result arrived */
   } mm_task;
   typedef struct
   {
@@ -244,10 +249,11 @@
     mm_time_ms submitted_ms; /* when accepted */
   } mm_job;
   mm_job *mm_job_parse_json (const char *body, size_t len, uint32_t max_tasks,
-                             GError **error);                /* decode */
-  bool mm_job_check_ids (const mm_job *job, GError **error); /* distinct? */
-  void mm_job_destroy (mm_job *job);                         /* free a job */
-  const char *mm_task_state_name (mm_task_state s);          /* "done", ... */
+                             GError **error); /* decode from JSON */
+  bool mm_job_check_ids (const mm_job *job,
+                         GError **error); /* task ids must be unique */
+  void mm_job_destroy (mm_job *job);      /* free a job */
+  const char *mm_task_state_name (mm_task_state s);      /* "done", ... */
   bool mm_job_pack (const mm_job *job, GByteArray *out); /* msgpack encode */
   mm_job *mm_job_unpack (const uint8_t *data, size_t len, uint32_t max_tasks,
                          GError **error); /* msgpack decode */
@@ -264,15 +270,15 @@
   typedef struct mm_peer mm_peer;
   typedef struct
   {
-    unsigned status;        /* the owner's HTTP status for the caller */
-    uint32_t retry_after_s; /* its Retry-After, 0 for none */
-    const char *body;       /* its JSON answer */
-    GError *error;          /* link failure: no answer came */
+    unsigned status;        /* HTTP status for the caller, set by the owner */
+    uint32_t retry_after_s; /* Retry-After of the answer, 0 for none */
+    const char *body;       /* JSON answer of the owner */
+    GError *error;          /* the link failed or timed out: no answer */
   } mm_peer_answer;
   typedef void (*mm_peer_request_cb) (mm_peer *p, uint64_t conn_id,
                                       uint64_t req_id, uint32_t hops,
                                       const uint8_t *job, size_t len,
-                                      void *ctx); /* job came */
+                                      void *ctx); /* a peer forwarded a job */
   typedef void (*mm_peer_answer_cb) (const mm_peer_answer *a, void *ctx);
   mm_peer *mm_peer_create (struct ev_loop *loop, const char *host,
                            uint16_t port, mm_peer_request_cb on_request,
@@ -280,43 +286,44 @@
   void mm_peer_destroy (mm_peer *p);                   /* close all links */
   void mm_peer_forward (mm_peer *p, const char *addr, uint32_t hops,
                         const uint8_t *job, size_t len, mm_time_ms timeout_ms,
-                        mm_peer_answer_cb done, void *ctx); /* to the owner */
+                        mm_peer_answer_cb done,
+                        void *ctx); /* send a job to its owner */
   void mm_peer_reply (mm_peer *p, uint64_t conn_id, uint64_t req_id,
                       unsigned status, uint32_t retry_after_s,
                       const char *body); /* answer a forwarded job */
   typedef unsigned (*mm_peer_contact_cb) (void *ctx); /* ping's status */
   void mm_peer_set_contact (mm_peer *p, mm_peer_contact_cb in_contact,
-                            void *ctx); /* what pings are told */
+                            void *ctx); /* answers pings from peers */
   void mm_peer_ping (mm_peer *p, const char *addr, mm_time_ms timeout_ms,
                      mm_peer_answer_cb done,
-                     void *ctx); /* 200: it reaches the platform, 503: not */
+                     void *ctx); /* 200: peer is in contact, 503: it is not */
   typedef enum
   {
-    MM_TELL_USAGE = 1,  /* teams' tasks, see mm_quota */
-    MM_TELL_EJECTED = 2 /* name of an upstream that fails its tasks */
+    MM_TELL_USAGE = 1,  /* number of tasks of each team, see mm_quota */
+    MM_TELL_EJECTED = 2 /* name of an upstream that the peer ejected */
   } mm_tell_kind;
   typedef void (*mm_peer_tell_cb) (mm_tell_kind kind, const char *peer,
                                    const uint8_t *payload, size_t len,
                                    void *ctx);
   void mm_peer_set_tell (mm_peer *p, mm_peer_tell_cb on_tell,
-                         void *ctx); /* who takes news */
+                         void *ctx); /* called for notifications from peers */
   void mm_peer_tell (mm_peer *p, const char *addr, mm_tell_kind kind,
                      const char *self, const uint8_t *payload,
-                     size_t len);                   /* one way */
-  void mm_peer_drop (mm_peer *p, const char *addr); /* fail its link now */
-  uint16_t mm_peer_port (const mm_peer *p);         /* bound port */
+                     size_t len); /* notify; there is no answer */
+  void mm_peer_drop (mm_peer *p, const char *addr); /* close its link now */
+  uint16_t mm_peer_port (const mm_peer *p);         /* listening port */
 
   /* ---- mm_hash: rendezvous hashing (xxhash) ------------------------------
    */
   int mm_hash_owner (const char *key, char *const *members,
-                     size_t n); /* index */
+                     size_t n); /* index of the owner, -1 when n is 0 */
 
   /* ---- mm_daemon: command line shared by the daemons ---------------------
    */
   typedef enum
   {
-    MM_DAEMON_RUN,  /* settings loaded: run */
-    MM_DAEMON_EXIT, /* --help, --version or --check done: exit 0 */
+    MM_DAEMON_RUN,  /* settings are loaded: run the daemon */
+    MM_DAEMON_EXIT, /* --help, --version or --check is done: exit 0 */
     MM_DAEMON_ERROR /* bad arguments or settings: exit 2 */
   } mm_daemon_verdict;
   mm_daemon_verdict mm_daemon_args (int argc, char **argv, const char *summary,
@@ -324,15 +331,16 @@
                                     void *settings,
                                     GError **error); /* parse */
   void mm_daemon_catch_crashes (void);               /* stack on stderr */
-  void mm_daemon_print_settings_help (const mm_setting_spec *specs); /* keys */
+  void mm_daemon_print_settings_help (
+      const mm_setting_spec *specs); /* list all keys */
 
   /* ---- mm_bench: load and experiment runs against entry instances ------- */
   typedef struct
   {
-    const char *name;  /* of this kind of request, NULL ends a list */
+    const char *name;  /* name of the kind of job, NULL ends a list */
     uint32_t tasks;    /* tasks per job, all in parallel */
-    mm_time_ms run_ms; /* of each task */
-    double jobs_per_s; /* mean arrivals */
+    mm_time_ms run_ms; /* run time of each task */
+    double jobs_per_s; /* mean arrival rate */
   } mm_bench_kind;
   const mm_bench_kind *mm_bench_site (const char *site); /* NULL: unknown */
   typedef struct
@@ -344,70 +352,70 @@
     mm_time_ms run_ms;          /* mean task run time */
     mm_time_ms deadline_ms;     /* per task */
     double non_idempotent;      /* share of tasks marked non-idempotent */
-    uint32_t seed;              /* run-time draws */
+    uint32_t seed;              /* seed of the random run times */
     mm_time_ms max_ms;          /* stop submitting after this */
-    const mm_bench_kind *kinds; /* open-loop arrivals of these, or NULL */
-    double scale;               /* times their rates */
+    const mm_bench_kind *kinds; /* of an open loop; NULL: closed loop */
+    double scale;               /* factor for their arrival rates */
   } mm_bench_plan;
   typedef struct
   {
-    uint32_t complete;
-    uint32_t not_served; /* failed or refused */
-    double ratio_p50;
+    uint32_t complete;   /* jobs with a complete answer */
+    uint32_t not_served; /* jobs that failed or were refused */
+    double ratio_p50;    /* response time over ideal */
     double ratio_p99;
   } mm_bench_kind_report;
 #define MM_BENCH_MAX_KINDS 8
   typedef struct
   {
-    uint32_t jobs_complete; /* whole answers */
-    uint32_t jobs_failed;   /* failed answers */
-    uint32_t jobs_refused;  /* refused before start */
-    uint32_t tasks;         /* tasks in answered jobs */
+    uint32_t jobs_complete; /* jobs with a complete answer */
+    uint32_t jobs_failed;   /* jobs that failed after they were accepted */
+    uint32_t jobs_refused;  /* jobs that were refused before they started */
+    uint32_t tasks;         /* tasks of the complete jobs */
     double ratio_p50;       /* response time over ideal */
     double ratio_p99;
     double ratio_p999;
-    mm_time_ms wall_ms;                             /* whole run */
+    mm_time_ms wall_ms;                             /* duration of the run */
     mm_bench_kind_report kinds[MM_BENCH_MAX_KINDS]; /* as in the plan */
   } mm_bench_report;
   bool mm_bench_run (const mm_bench_plan *plan, mm_bench_report *out,
-                     GError **error); /* blocking */
+                     GError **error); /* blocks until the run has ended */
 
-  /* ---- daemons: each runs a loop until told to stop ----------------------
+  /* ---- daemons: each runs on an event loop -------------------------------
    */
-  typedef struct mm_platform mm_platform; /* the platform stand-in */
-  typedef struct mm_upstream mm_upstream; /* the upstream stand-in */
+  typedef struct mm_platform mm_platform; /* platform stand-in */
+  typedef struct mm_upstream mm_upstream; /* upstream stand-in */
   typedef struct mm_entry mm_entry;       /* an entry instance */
 
   typedef struct
   {
     char *listen_host;     /* "127.0.0.1" */
     int64_t port;          /* HTTP port */
-    int64_t retention_ms;  /* log retention */
-    int64_t member_ttl_ms; /* member dropped after this silence */
-    int64_t member_lag_ms; /* the list served is this old */
+    int64_t retention_ms;  /* how long log records are kept */
+    int64_t member_ttl_ms; /* a member without heartbeat expires after */
+    int64_t member_lag_ms; /* age of the member list that is served */
   } mm_platform_settings;
   extern const mm_setting_spec mm_platform_setting_specs[];
   void mm_platform_settings_defaults (mm_platform_settings *s); /* embedded */
   mm_platform *mm_platform_create (struct ev_loop *loop,
                                    const mm_platform_settings *s,
                                    GError **error); /* listen */
-  void mm_platform_destroy (mm_platform *p);        /* close */
+  void mm_platform_destroy (mm_platform *p);        /* stop listening */
   char *mm_platform_dump (const mm_platform *p);    /* state as JSON */
 
   typedef struct
   {
     char *listen_host;    /* "127.0.0.1" */
     int64_t port;         /* HTTP port */
-    int64_t slots;        /* tasks it runs at full speed */
-    int64_t connections;  /* HTTP connections it accepts */
+    int64_t slots;        /* tasks that it runs at full speed */
+    int64_t connections;  /* HTTP connections that it accepts */
     char *name;           /* member name on the platform */
     char *datacentre;     /* data centre it belongs to */
-    char *platform_url;   /* where to heartbeat, "" for none */
+    char *platform_url;   /* receives the heartbeats, "" for none */
     int64_t heartbeat_ms; /* heartbeat period */
-    char *advertise;      /* "host:port" told to others, "" for our own */
-    char *run_log;        /* file that takes a line a start and end, "" */
-    char *poison_jobs;    /* tasks of jobs so named crash it, "" for none */
-    int64_t poison_ms;    /* from such a start to the crash */
+    char *advertise;      /* "host:port" for others, "" for its own */
+    char *run_log;        /* file with a line per start and end, "" none */
+    char *poison_jobs;    /* prefix of jobs that crash it, "" for none */
+    int64_t poison_ms;    /* from the start of such a task to the crash */
     int64_t back_ms;      /* from a crash to the next incarnation */
   } mm_upstream_settings;
   extern const mm_setting_spec mm_upstream_setting_specs[];
@@ -417,9 +425,9 @@
                                    GError **error);
   void mm_upstream_destroy (mm_upstream *u);
   void mm_upstream_drain (mm_upstream *u, void (*drained) (void *),
-                          void *ctx); /* graceful */
+                          void *ctx); /* graceful stop */
   void mm_upstream_on_crash (mm_upstream *u, void (*crash) (void *),
-                             void *ctx); /* a task crashes it */
+                             void *ctx); /* on a poison task */
   char *mm_upstream_dump (const mm_upstream *u);
 
   typedef struct
@@ -431,16 +439,16 @@
     char *site;         /* site (deployment) whose overlay applies */
     char *datacentre;   /* data centre */
     char *platform_url; /* the platform's service */
-    char **upstreams;   /* "host:port" of upstreams, until the list says */
-    char **peers;       /* "name=host:peer_port" of entry peers in the DC */
-    int64_t upstream_slots;     /* slots of an upstream that does not say */
+    char **upstreams;   /* "host:port" of upstreams to start with */
+    char **peers;       /* "name=host:peer_port" of peers in the data centre */
+    int64_t upstream_slots;     /* slots of an upstream that reports none */
     int64_t heartbeat_ms;       /* heartbeat period */
     int64_t member_poll_ms;     /* member list poll period */
     int64_t config_poll_ms;     /* config stream poll period */
-    int64_t config_snapshot_ms; /* re-append the head this often */
-    int64_t done_ttl_ms;        /* finished answers kept for resubmits */
+    int64_t config_snapshot_ms; /* interval of config snapshots */
+    int64_t done_ttl_ms;        /* how long answers are kept for resubmits */
     int64_t shards;             /* shards of the data centre's jobs */
-    int64_t accept_interval_ms; /* least time between a shard\'s appends */
+    int64_t accept_interval_ms; /* min. time between a shard's appends */
   } mm_entry_settings;
   extern const mm_setting_spec mm_entry_setting_specs[];
   void mm_entry_settings_defaults (mm_entry_settings *s);
--- a/src/mm_contact.c
+++ b/src/mm_contact.c
@@ -1,28 +1,30 @@
 /* mm_contact: what an instance may conclude from failing platform calls.
 
-   Failing calls alone do not tell an outage of the platform from being
-   cut off from it.  The difference matters: in an outage nobody can take
-   over our shards, so we may go on without records; when only we are cut
-   off, a peer may own them by now.  So peers are asked: any that is in
-   contact says "cut"; only out-of-contact answers say "outage"; no
-   answer at all says "alone".  */
+   Failing calls alone do not tell an outage of the platform from a
+   failure of this instance's own connection.  In an outage no instance
+   can take over the shards of this one, so it may go on without records.
+   When only this instance is disconnected, a peer may own them by now.
+   Peers are pinged to find out: one peer in contact means "cut", answers
+   only from peers out of contact mean "outage", and no answer at all means
+   "alone".  */
 #include "mm_contact.h"
 
 #include "config.h"
 
 struct mm_contact
 {
-  mm_time_ms last_ok_ms;
-  bool last_failed;
-  mm_time_ms regained_ms; /* when contact came back, 0 never lost */
-  int64_t outage_wall_ms; /* when contact was last known lost */
+  mm_time_ms last_ok_ms;  /* last call to the platform that succeeded */
+  bool last_failed;       /* the last call failed */
+  mm_time_ms regained_ms; /* when contact was regained, 0: never lost */
+  int64_t outage_wall_ms; /* last call that failed without contact */
   GHashTable *votes;      /* peer name -> vote */
 };
 
+/* A peer's answer to a ping.  */
 typedef struct
 {
-  bool in_contact;
-  mm_time_ms at_ms;
+  bool in_contact;        /* whether the peer reaches the platform */
+  mm_time_ms received_ms; /* when its answer arrived */
 } vote;
 
 static const char *const standing_names[]
@@ -53,9 +55,9 @@
 }
 
 /**
- * mm_contact_note() - a call to the platform ended.
+ * mm_contact_note() - record the end of a call to the platform.
  * @c: the contact.
- * @ok: it answered.
+ * @ok: whether the platform answered.
  * @now: mm_clock_now_ms().
  */
 void
@@ -77,12 +79,14 @@
 }
 
 /**
- * mm_contact_list_unsure() - may the member list lack the living?
+ * mm_contact_list_unsure() - whether the member list may lack live members.
  * @c: the contact.
  * @now: mm_clock_now_ms().
  *
- * While the platform was out nobody could heartbeat, so members expired
- * that are alive; they are back soon after its return.
+ * No member can send heartbeats during an outage of the platform, so live
+ * members expire.  They are listed again soon after the outage.
+ *
+ * Return: true without contact and for MM_LIST_GRACE_MS after it.
  */
 bool
 mm_contact_list_unsure (const mm_contact *c, mm_time_ms now)
@@ -92,11 +96,11 @@
 }
 
 /**
- * mm_contact_ping_status() - our answer to a peer's ping.
+ * mm_contact_ping_status() - status that answers a peer's ping.
  * @c: the contact.
  * @now: mm_clock_now_ms().
  *
- * Return: 200 in contact, 503 contact lost, 204 not sure yet (no vote).
+ * Return: 200 in contact, 503 contact lost, 204 not known yet (no vote).
  */
 unsigned
 mm_contact_ping_status (const mm_contact *c, mm_time_ms now)
@@ -106,22 +110,31 @@
   return mm_contact_lost (c, now) ? 503 : 204;
 }
 
+/**
+ * mm_contact_vote() - record a peer's answer to a ping.
+ * @c: the contact.
+ * @peer: name of the peer.
+ * @in_contact: whether the peer reaches the platform.
+ * @now: mm_clock_now_ms().
+ */
 void
 mm_contact_vote (mm_contact *c, const char *peer, bool in_contact,
                  mm_time_ms now)
 {
   vote *v = g_new0 (vote, 1);
   v->in_contact = in_contact;
-  v->at_ms = now;
+  v->received_ms = now;
   g_hash_table_insert (c->votes, g_strdup (peer), v);
 }
 
 /**
- * mm_contact_standing() - what we may do.
+ * mm_contact_standing() - whether the platform is out or only unreachable.
  * @c: the contact.
- * @n_peers: live peers we know of.
+ * @n_peers: number of live peers in the member list.
  * @now: mm_clock_now_ms().
- * @peer: with MM_STANDING_CUT, set to a peer in contact.
+ * @peer: with MM_STANDING_CUT, set to a peer in contact; may be NULL.
+ *
+ * Return: what this instance may do, see mm_standing.
  */
 mm_standing
 mm_contact_standing (const mm_contact *c, uint32_t n_peers, mm_time_ms now,
@@ -138,7 +151,7 @@
   while (g_hash_table_iter_next (&it, &name, &v))
     {
       const vote *w = v;
-      if (now - w->at_ms > MM_VOTE_VALID_MS)
+      if (now - w->received_ms > MM_VOTE_VALID_MS)
         continue;
       answers++;
       if (w->in_contact)
@@ -150,8 +163,9 @@
     }
   if (answers)
     return MM_STANDING_OUTAGE;
-  /* At the start of an outage the peers are not sure yet: wait a little
-     for their word before giving jobs up.  */
+  /* At the start of an outage the peers do not know yet whether they lost
+     contact.  MM_CONTACT_ALONE_MS gives them time to answer before this
+     instance gives up its jobs.  */
   return now - c->last_ok_ms > MM_CONTACT_ALONE_MS ? MM_STANDING_ALONE
                                                    : MM_STANDING_CONTACT;
 }
--- a/src/mm_contact.h
+++ b/src/mm_contact.h
@@ -1,5 +1,5 @@
-/* mm_contact: does this instance reach the platform's service, and do
-   its peers?  Decides what an instance may do while it does not.
+/* mm_contact: tracks whether this instance and its peers reach the
+   platform's service, and what an instance may do without contact.
    Internal.  */
 #ifndef MM_CONTACT_H
 #define MM_CONTACT_H
@@ -8,21 +8,22 @@
 
 typedef enum
 {
-  MM_STANDING_CONTACT, /* the platform answers us, or only just failed */
-  MM_STANDING_OUTAGE,  /* it answers nobody we can ask: views are frozen */
-  MM_STANDING_CUT,     /* it answers a peer, not us: we may be replaced */
-  MM_STANDING_ALONE    /* we reach neither it nor any peer we know */
+  MM_STANDING_CONTACT, /* the platform answers, or failed only just now */
+  MM_STANDING_OUTAGE,  /* no peer that answers reaches it: no owner changes */
+  MM_STANDING_CUT,     /* a peer reaches it: this instance may be replaced */
+  MM_STANDING_ALONE    /* neither the platform nor any known peer answers */
 } mm_standing;
 
 typedef struct mm_contact mm_contact;
 mm_contact *mm_contact_create (mm_time_ms now);
 void mm_contact_destroy (mm_contact *c);
-void mm_contact_note (mm_contact *c, bool ok, mm_time_ms now); /* a call */
+void mm_contact_note (mm_contact *c, bool ok,
+                      mm_time_ms now); /* a call ended */
 bool mm_contact_lost (const mm_contact *c, mm_time_ms now);
 bool mm_contact_list_unsure (const mm_contact *c, mm_time_ms now);
 unsigned mm_contact_ping_status (const mm_contact *c, mm_time_ms now);
 void mm_contact_vote (mm_contact *c, const char *peer, bool in_contact,
-                      mm_time_ms now); /* a peer's answer to our ping */
+                      mm_time_ms now); /* a peer answered a ping */
 mm_standing mm_contact_standing (const mm_contact *c, uint32_t n_peers,
                                  mm_time_ms now, const char **peer);
 int64_t mm_contact_outage_wall_ms (const mm_contact *c); /* last, 0 none */
