--- a/src/mm_entry.c
+++ b/src/mm_entry.c
@@ -98,7 +98,7 @@
 }
 
 static void
-reply_dump (mm_entry *e, mm_http_request *req)
+reply_state (mm_entry *e, mm_http_request *req)
 {
   char *d = mm_entry_dump (e);
   mm_http_reply (req, 200, d, 0);
@@ -106,7 +106,7 @@
 }
 
 static void
-handle (mm_http_request *req, void *ctx)
+handle_request (mm_http_request *req, void *ctx)
 {
   mm_entry *e = ctx;
   const char *m = mm_http_request_method (req);
@@ -114,7 +114,7 @@
   if (g_str_equal (m, "POST") && g_str_equal (p, "/v1/jobs"))
     mm_entry_submit (e, req);
   else if (g_str_equal (p, "/v1/state"))
-    reply_dump (e, req);
+    reply_state (e, req);
   else if (g_str_equal (p, "/v1/health"))
     mm_http_reply (req, e->shutting_down ? 503 : 200,
                    e->shutting_down ? "{\"status\":\"leaving\"}"
@@ -132,7 +132,7 @@
 on_peer_job (mm_peer *p, uint64_t conn_id, uint64_t req_id, uint32_t hops,
              const uint8_t *job, size_t len, void *ctx)
 {
-  mm_entry_take_forwarded (ctx, conn_id, req_id, hops, job, len);
+  mm_entry_submit_forwarded (ctx, conn_id, req_id, hops, job, len);
 }
 
 static void
@@ -140,9 +140,9 @@
 {
   mm_entry *e = w->data;
   ev_idle_stop (loop, w);
-  if (g_hash_table_size (e->jobs) || mm_http_server_in_flight (e->http)
-      || mm_http_client_in_flight (e->upstreams)
-      || !mm_entry_shards_released (e))
+  if (g_hash_table_size (e->jobs) || mm_http_server_in_flight (e->http_server)
+      || mm_http_client_in_flight (e->upstream_client)
+      || !mm_entry_shards_release (e))
     return;
   if (e->shutdown_done)
     {
@@ -173,7 +173,7 @@
   e->jobs = g_hash_table_new (g_str_hash, g_str_equal);
   e->answers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free);
   e->quota = mm_quota_create ();
-  e->peer_config_max = -1;
+  e->peers_max_config_offset = -1;
   e->members_version = -1;
   e->peer_addrs
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -183,28 +183,29 @@
   e->shutdown_check.data = e;
   for (char **u = s->upstreams; u && *u; u++)
     mm_pool_add (e->pool, *u, *u, 0, 0);
-  e->http
-      = mm_http_server_create (loop, s->listen_host, (uint16_t)s->port,
-                               MM_DEFAULT_MAX_BODY_BYTES, handle, e, error);
-  if (!e->http)
+  e->http_server = mm_http_server_create (
+      loop, s->listen_host, (uint16_t)s->port, MM_DEFAULT_MAX_BODY_BYTES,
+      handle_request, e, error);
+  if (!e->http_server)
     {
       mm_entry_destroy (e);
       return NULL;
     }
-  e->peer = mm_peer_create (loop, s->listen_host, (uint16_t)s->peer_port,
-                            on_peer_job, e, error);
-  if (!e->peer)
+  e->peer_links = mm_peer_create (loop, s->listen_host, (uint16_t)s->peer_port,
+                                  on_peer_job, e, error);
+  if (!e->peer_links)
     {
       mm_entry_destroy (e);
       return NULL;
     }
-  e->upstreams = mm_http_client_create (loop, MM_DEFAULT_UPSTREAM_CONNECTIONS);
-  e->platform = mm_http_client_create (loop, MM_PLATFORM_CONNECTIONS);
-  mm_http_client_set_member (e->platform, s->name);
+  e->upstream_client
+      = mm_http_client_create (loop, MM_DEFAULT_UPSTREAM_CONNECTIONS);
+  e->platform_client = mm_http_client_create (loop, MM_PLATFORM_CONNECTIONS);
+  mm_http_client_set_member (e->platform_client, s->name);
   mm_entry_shards_start (e);
   mm_entry_platform_start (e);
   mm_entry_answers_start (e);
-  mm_entry_news_start (e);
+  mm_entry_notify_start (e);
   return e;
 }
 
@@ -214,15 +215,15 @@
   if (!e)
     return;
   mm_entry_platform_stop (e);
-  mm_entry_news_stop (e);
-  ev_timer_stop (e->loop, &e->shutdown_limit);
+  mm_entry_notify_stop (e);
+  ev_timer_stop (e->loop, &e->shutdown_limit_timer);
   ev_idle_stop (e->loop, &e->shutdown_check);
   mm_entry_jobs_free (e);
-  mm_http_server_destroy (e->http);
-  mm_peer_destroy (e->peer);
+  mm_http_server_destroy (e->http_server);
+  mm_peer_destroy (e->peer_links);
   g_hash_table_destroy (e->peer_addrs);
-  mm_http_client_destroy (e->upstreams);
-  mm_http_client_destroy (e->platform);
+  mm_http_client_destroy (e->upstream_client);
+  mm_http_client_destroy (e->platform_client);
   mm_entry_shards_stop (e);
   g_hash_table_destroy (e->jobs);
   g_hash_table_destroy (e->answers);
@@ -253,7 +254,7 @@
   e->shutdown_ctx = ctx;
   if (*e->settings.platform_url)
     mm_entry_heartbeat_now (e);
-  mm_http_server_quiesce (e->http);
+  mm_http_server_quiesce (e->http_server);
   ev_idle_start (e->loop, &e->shutdown_check);
 }
 
--- a/src/mm_entry_admit.c
+++ b/src/mm_entry_admit.c
@@ -23,8 +23,8 @@
 }
 
 static bool
-refusal (mm_refusal *r, unsigned status, int code, const char *why,
-         uint32_t retry_after_s)
+refuse (mm_refusal *r, unsigned status, int code, const char *why,
+        uint32_t retry_after_s)
 {
   *r = (mm_refusal){ status, code, why, retry_after_s };
   return false;
@@ -40,21 +40,23 @@
 mm_entry_admit (mm_entry *e, const mm_job *job, mm_refusal *r)
 {
   const mm_knobs *k = mm_cfg_knobs (e->cfg);
-  uint32_t after = (uint32_t)k->retry_after_s;
+  uint32_t retry_s = (uint32_t)k->retry_after_s;
   int64_t team = mm_quota_used (e->quota, job->team, mm_clock_now_ms ());
-  mm_time_ms wait = expected_wait_ms (e, job->n_tasks);
+  mm_time_ms expected_ms = expected_wait_ms (e, job->n_tasks);
   if (e->tasks_queued + job->n_tasks > (uint64_t)k->max_queued_tasks)
-    return refusal (r, 503, MM_ERROR_OVERLOADED, "instance is full", after);
+    return refuse (r, 503, MM_ERROR_OVERLOADED, "instance is full", retry_s);
   if (team + job->n_tasks > mm_knobs_team_quota (k, job->team))
-    return refusal (r, 429, MM_ERROR_OVERLOADED, "team over its quota", after);
+    return refuse (r, 429, MM_ERROR_OVERLOADED, "team over its quota",
+                   retry_s);
   if (mm_pool_size (e->pool) == 0)
-    return refusal (r, 503, MM_ERROR_UPSTREAM, "no upstream known", after);
+    return refuse (r, 503, MM_ERROR_UPSTREAM, "no upstream known", retry_s);
   /* Guard against answering only at the deadline: a job that the queue
      ahead of it would push past its first deadline is refused now, with
      the expected wait as its time to come back.  */
-  if (wait > mm_entry_first_deadline_ms (job))
-    return refusal (r, 503, MM_ERROR_OVERLOADED,
-                    "the queue would make it miss its deadline",
-                    (uint32_t)MAX ((wait + 999) / 1000, (int64_t)after));
+  if (expected_ms > mm_entry_first_deadline_ms (job))
+    return refuse (
+        r, 503, MM_ERROR_OVERLOADED,
+        "the queue would make it miss its deadline",
+        (uint32_t)MAX ((expected_ms + 999) / 1000, (int64_t)retry_s));
   return true;
 }
--- a/src/mm_entry_answer.c
+++ b/src/mm_entry_answer.c
@@ -51,7 +51,7 @@
 }
 
 /**
- * mm_entry_answer_keep() - keep a finished job's answer for done_ttl_ms.
+ * mm_entry_answer_store() - keep a finished job's answer for done_ttl_ms.
  * @e: the entry instance.
  * @job_id: the job, copied.
  * @answer: from mm_entry_answer_json(), taken.
@@ -60,7 +60,7 @@
  * it goes, so memory stays bounded by the answers of done_ttl_ms.
  */
 void
-mm_entry_answer_keep (mm_entry *e, const char *job_id, char *answer)
+mm_entry_answer_store (mm_entry *e, const char *job_id, char *answer)
 {
   g_hash_table_insert (e->answers, g_strdup (job_id), answer);
   kept_answer *k = g_new0 (kept_answer, 1);
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -16,7 +16,7 @@
 {
   mm_entry_job *ej;
   uint32_t index;
-} task_ref;
+} queued_task;
 
 typedef struct
 {
@@ -43,7 +43,7 @@
 }
 
 static void
-task_settled (mm_entry_job *ej)
+task_finished (mm_entry_job *ej)
 {
   mm_entry *e = ej->entry;
   e->tasks_queued--;
@@ -52,7 +52,7 @@
 
 /* Out of the table, for good; late calls find it FINISHED.  */
 static void
-job_leave (mm_entry_job *ej)
+job_remove (mm_entry_job *ej)
 {
   mm_entry *e = ej->entry;
   ej->phase = MM_JOB_FINISHED;
@@ -75,9 +75,9 @@
 {
   mm_counters_add (ej->entry->counters, "jobs_complete", 1);
   char *answer = mm_entry_answer_json (ej, "complete", 0, NULL, 0);
-  job_leave (ej);
+  job_remove (ej);
   job_answer (ej, 200, answer, 0);
-  mm_entry_answer_keep (ej->entry, ej->job->id, answer);
+  mm_entry_answer_store (ej->entry, ej->job->id, answer);
   mm_entry_job_unref (ej);
 }
 
@@ -97,7 +97,7 @@
    "not run" only when @ours: no other instance can have sent it.
    Return: tasks that ran or may have run.  */
 static uint32_t
-settle_rest (mm_entry_job *ej, bool ours)
+finish_open_tasks (mm_entry_job *ej, bool owned)
 {
   uint32_t ran = 0;
   for (uint32_t i = 0; i < ej->job->n_tasks; i++)
@@ -106,8 +106,8 @@
       if (is_open (t))
         {
           t->state
-              = never_sent (t) && ours ? MM_TASK_NOT_RUN : MM_TASK_UNKNOWN;
-          task_settled (ej);
+              = never_sent (t) && owned ? MM_TASK_NOT_RUN : MM_TASK_UNKNOWN;
+          task_finished (ej);
         }
       ran += t->state != MM_TASK_NOT_RUN;
     }
@@ -115,36 +115,36 @@
 }
 
 static void
-fail_now (mm_entry_job *ej, bool ours)
+fail_now (mm_entry_job *ej, bool owned)
 {
   mm_entry *e = ej->entry;
-  uint32_t ran = settle_rest (ej, ours);
-  uint32_t after = (uint32_t)mm_cfg_knobs (e->cfg)->retry_after_s;
+  uint32_t ran = finish_open_tasks (ej, owned);
+  uint32_t retry_s = (uint32_t)mm_cfg_knobs (e->cfg)->retry_after_s;
   mm_counters_add (e->counters, "jobs_failed", 1);
   g_message ("job %s failed: %s", ej->job->id, ej->fail_why);
   char *answer = mm_entry_answer_json (ej, "failed", ej->fail_code,
-                                       ej->fail_why, after);
-  job_leave (ej);
+                                       ej->fail_why, retry_s);
+  job_remove (ej);
   job_answer (ej, ej->fail_code == MM_ERROR_TIMEOUT ? 504 : 502, answer,
-              after);
+              retry_s);
   if (ran)
-    mm_entry_answer_keep (e, ej->job->id, answer);
+    mm_entry_answer_store (e, ej->job->id, answer);
   else
     free (answer);
   mm_entry_job_unref (ej);
 }
 
 static void
-fail_verified (bool ours, void *ctx)
+fail_after_verify (bool owned, void *ctx)
 {
   mm_entry_job *ej = ctx;
   if (ej->phase == MM_JOB_FAILING)
-    fail_now (ej, ours);
+    fail_now (ej, owned);
   mm_entry_job_unref (ej);
 }
 
 static bool
-any_never_sent (const mm_entry_job *ej)
+has_unsent_task (const mm_entry_job *ej)
 {
   for (uint32_t i = 0; i < ej->job->n_tasks; i++)
     if (never_sent (&ej->job->tasks[i]))
@@ -169,18 +169,19 @@
 {
   if (ej->phase == MM_JOB_FAILING)
     return;
-  bool claims = any_never_sent (ej) && ej->prior == MM_PRIOR_NONE;
+  bool claims_not_run
+      = has_unsent_task (ej) && ej->earlier_accept == MM_EARLIER_ACCEPT_NONE;
   if (ej->phase == MM_JOB_ACCEPTING)
     mm_shard_cancel (ej->shard, ej);
   ej->phase = MM_JOB_FAILING;
   ej->fail_code = code;
   ej->fail_why = why;
-  if (!claims || !*ej->entry->settings.platform_url)
-    fail_now (ej, claims);
+  if (!claims_not_run || !*ej->entry->settings.platform_url)
+    fail_now (ej, claims_not_run);
   else
     {
       mm_entry_job_ref (ej);
-      mm_shard_verify (ej->shard, fail_verified, ej);
+      mm_shard_verify (ej->shard, fail_after_verify, ej);
     }
 }
 
@@ -199,8 +200,8 @@
   mm_counters_add (e->counters, "jobs_moved", 1);
   if (ej->phase != MM_JOB_ACCEPTING)
     mm_shard_remember (ej->shard, ej->job->id, ej->fingerprint);
-  settle_rest (ej, false);
-  job_leave (ej);
+  finish_open_tasks (ej, false);
+  job_remove (ej);
   for (guint i = 0; i < ej->waiters->len; i++)
     {
       mm_waiter *w = g_new (mm_waiter, 1);
@@ -220,7 +221,7 @@
 static void
 enqueue (mm_entry *e, mm_entry_job *ej, uint32_t index, bool front)
 {
-  task_ref *r = g_new0 (task_ref, 1);
+  queued_task *r = g_new0 (queued_task, 1);
   r->ej = ej;
   r->index = index;
   mm_entry_job_ref (ej);
@@ -231,7 +232,7 @@
 }
 
 static mm_outcome
-classify (const mm_http_result *res)
+outcome_of (const mm_http_result *res)
 {
   if (res->status == 200)
     return MM_OUTCOME_OK;
@@ -245,7 +246,7 @@
 }
 
 static void
-send_again (mm_entry_job *ej, mm_task *t, const char *counter)
+requeue (mm_entry_job *ej, mm_task *t, const char *counter)
 {
   t->state = MM_TASK_PENDING;
   mm_counters_add (ej->entry->counters, counter, 1);
@@ -253,7 +254,7 @@
 }
 
 /**
- * mm_entry_task_outcome() - what became of a task that was sent.
+ * mm_entry_handle_task_outcome() - what became of a task that was sent.
  * @ej: its job, not finished; may be finished and freed by this call
  *      unless the caller holds a reference.
  * @t: the task, RUNNING.
@@ -261,8 +262,8 @@
  * @result: with MM_OUTCOME_OK, the task's result, copied.
  */
 void
-mm_entry_task_outcome (mm_entry_job *ej, mm_task *t, mm_outcome o,
-                       const char *result)
+mm_entry_handle_task_outcome (mm_entry_job *ej, mm_task *t, mm_outcome o,
+                              const char *result)
 {
   mm_entry *e = ej->entry;
   const mm_knobs *k = mm_cfg_knobs (e->cfg);
@@ -272,7 +273,7 @@
       t->result = g_strdup (result ? result : "");
       t->state = MM_TASK_DONE;
       t->finished_ms = mm_clock_now_ms ();
-      task_settled (ej);
+      task_finished (ej);
       if (--ej->remaining == 0)
         job_complete (ej);
       return;
@@ -281,7 +282,7 @@
     case MM_OUTCOME_REFUSED:
     case MM_OUTCOME_UNREACHABLE:
       t->attempts--;
-      send_again (ej, t, "resends_not_run");
+      requeue (ej, t, "resends_not_run");
       return;
     /* A later owner has raised the job's epoch at the upstream: we were
        replaced, e.g. while this process was frozen.  */
@@ -299,11 +300,11 @@
      run again, and only within the retry budget.  */
   if (t->idempotent && t->attempts <= (uint32_t)k->retry_budget)
     {
-      send_again (ej, t, "retries");
+      requeue (ej, t, "retries");
       return;
     }
   t->state = o == MM_OUTCOME_FAILED ? MM_TASK_FAILED : MM_TASK_UNKNOWN;
-  task_settled (ej);
+  task_finished (ej);
   mm_entry_job_fail (ej, MM_ERROR_UPSTREAM,
                      o == MM_OUTCOME_FAILED
                          ? "a task failed"
@@ -312,35 +313,36 @@
 }
 
 /**
- * mm_entry_upstream_outcome() - a task's end, for the upstream's record.
+ * mm_entry_handle_upstream_outcome() - a task's end, for the upstream's
+ * record.
  * @e: the entry instance.
  * @upstream: its index in the pool.
  * @o: what became of the task.
  * @mode_seq: with MM_OUTCOME_REFUSED, the upstream's mode_seq.
  */
 void
-mm_entry_upstream_outcome (mm_entry *e, int upstream, mm_outcome o,
-                           int64_t mode_seq)
+mm_entry_handle_upstream_outcome (mm_entry *e, int upstream, mm_outcome o,
+                                  int64_t mode_seq)
 {
   const mm_knobs *k = mm_cfg_knobs (e->cfg);
   if (mm_pool_done (e->pool, upstream, o, mode_seq, mm_clock_now_ms (),
                     (uint32_t)k->eject_after_failures, k->eject_ms))
-    mm_entry_tell_ejected (e, mm_pool_at (e->pool, upstream)->name);
+    mm_entry_notify_ejected (e, mm_pool_at (e->pool, upstream)->name);
 }
 
 static void
-send_done (const mm_http_result *res, void *ctx)
+task_answered (const mm_http_result *res, void *ctx)
 {
   send_ctx *s = ctx;
   mm_entry_job *ej = s->ej;
   mm_entry *e = ej->entry;
   mm_task *t = &ej->job->tasks[s->index];
-  mm_outcome o = classify (res);
+  mm_outcome o = outcome_of (res);
   cJSON *a = NULL;
   if (o == MM_OUTCOME_OK || o == MM_OUTCOME_REFUSED)
     a = cJSON_ParseWithLength (res->body, res->body_bytes);
   const cJSON *seq = cJSON_GetObjectItem (a, "mode_seq");
-  mm_entry_upstream_outcome (
+  mm_entry_handle_upstream_outcome (
       e, s->upstream, o, cJSON_IsNumber (seq) ? (int64_t)seq->valuedouble : 0);
   mm_counters_add (e->counters, "upstream_answers", 1);
   if (o == MM_OUTCOME_OK)
@@ -349,12 +351,12 @@
   if (ej->phase >= MM_JOB_FAILING)
     mm_counters_add (e->counters, "answers_unused", 1);
   else
-    mm_entry_task_outcome (
+    mm_entry_handle_task_outcome (
         ej, t, o, cJSON_GetStringValue (cJSON_GetObjectItem (a, "result")));
   cJSON_Delete (a);
   mm_entry_job_unref (ej);
   g_free (s);
-  mm_entry_pump (e);
+  mm_entry_send_waiting (e);
 }
 
 static void
@@ -382,26 +384,26 @@
   t->started_ms = mm_clock_now_ms ();
   mm_pool_sent (e->pool, upstream);
   mm_counters_add (e->counters, "tasks_sent", 1);
-  mm_http_client_call (e->upstreams, "POST", url, body,
-                       mm_cfg_knobs (e->cfg)->dispatch_timeout_ms, send_done,
-                       s);
+  mm_http_client_call (e->upstream_client, "POST", url, body,
+                       mm_cfg_knobs (e->cfg)->dispatch_timeout_ms,
+                       task_answered, s);
   g_free (url);
   free (body);
 }
 
 /**
- * mm_entry_pump() - send waiting tasks into free upstream slots.
+ * mm_entry_send_waiting() - send waiting tasks into free upstream slots.
  * @e: the entry instance.
  *
  * Tasks of finished jobs are dropped from the queue here.
  */
 void
-mm_entry_pump (mm_entry *e)
+mm_entry_send_waiting (mm_entry *e)
 {
   mm_time_ms now = mm_clock_now_ms ();
   while (!g_queue_is_empty (&e->queue))
     {
-      task_ref *r = g_queue_peek_head (&e->queue);
+      queued_task *r = g_queue_peek_head (&e->queue);
       if (r->ej->phase < MM_JOB_FAILING)
         {
           int up = mm_pool_pick (e->pool, now);
@@ -428,11 +430,11 @@
   for (uint32_t i = 0; i < ej->job->n_tasks; i++)
     if (ej->job->tasks[i].state == MM_TASK_PENDING)
       enqueue (ej->entry, ej, i, false);
-  mm_entry_pump (ej->entry);
+  mm_entry_send_waiting (ej->entry);
 }
 
 static void
-accepted (const mm_accept *a, void *ctx)
+accept_answered (const mm_accept *a, void *ctx)
 {
   mm_entry_job *ej = ctx;
   mm_entry *e = ej->entry;
@@ -443,18 +445,18 @@
   switch (a->verdict)
     {
     case MM_ACCEPT_FRESH:
-      ej->prior = mm_entry_prior (e, ej->job->id);
-      if (ej->prior == MM_PRIOR_MAYBE)
+      ej->earlier_accept = mm_entry_earlier_accept (e, ej->job->id);
+      if (ej->earlier_accept == MM_EARLIER_ACCEPT_POSSIBLE)
         mm_entry_recover (ej, false, 0);
       else
         mm_entry_job_run (ej);
       break;
     case MM_ACCEPT_UNRECORDED:
-      ej->prior = MM_PRIOR_MAYBE;
+      ej->earlier_accept = MM_EARLIER_ACCEPT_POSSIBLE;
       mm_entry_recover (ej, false, 0);
       break;
     case MM_ACCEPT_KNOWN:
-      ej->prior = MM_PRIOR_KNOWN;
+      ej->earlier_accept = MM_EARLIER_ACCEPT_KNOWN;
       mm_entry_recover (ej, true, a->fingerprint);
       break;
     case MM_ACCEPT_MOVED:
@@ -476,7 +478,7 @@
   ej->entry = e;
   ej->job = job;
   ej->shard = mm_entry_shard_of (e, job->id);
-  ej->prior = mm_entry_prior (e, job->id);
+  ej->earlier_accept = mm_entry_earlier_accept (e, job->id);
   ej->waiters = g_ptr_array_new_with_free_func (g_free);
   g_ptr_array_add (ej->waiters, w);
   ej->remaining = job->n_tasks;
@@ -492,7 +494,7 @@
   mm_counters_add (e->counters, "jobs_accepted", 1);
   mm_counters_add (e->counters, "tasks_accepted", job->n_tasks);
   if (*e->settings.platform_url)
-    mm_shard_accept (ej->shard, job->id, accepted, ej);
+    mm_shard_accept (ej->shard, job->id, accept_answered, ej);
   else
     mm_entry_job_run (ej);
 }
@@ -538,7 +540,7 @@
 mm_entry_jobs_free (mm_entry *e)
 {
   mm_entry_answers_free (e);
-  task_ref *r;
+  queued_task *r;
   while ((r = g_queue_pop_head (&e->queue)))
     {
       mm_entry_job_unref (r->ej);
--- a/src/mm_entry_news.c
+++ b/src/mm_entry_news.c
@@ -8,28 +8,29 @@
 #include <string.h>
 
 static void
-tell_all (mm_entry *e, mm_tell_kind kind, const uint8_t *payload, size_t len)
+notify_all (mm_entry *e, mm_tell_kind kind, const uint8_t *payload, size_t len)
 {
   GHashTableIter it;
   gpointer name, addr;
   g_hash_table_iter_init (&it, e->peer_addrs);
   while (g_hash_table_iter_next (&it, &name, &addr))
     {
-      mm_peer_tell (e->peer, addr, kind, e->settings.name, payload, len);
+      mm_peer_tell (e->peer_links, addr, kind, e->settings.name, payload, len);
       mm_counters_add (e->counters, "news_sent", 1);
       mm_counters_add (e->counters, "news_bytes", (int64_t)len);
     }
 }
 
 /**
- * mm_entry_tell_ejected() - an upstream failed us too often.
+ * mm_entry_notify_ejected() - an upstream failed us too often.
  * @e: the entry instance.
  * @upstream: its name.
  */
 void
-mm_entry_tell_ejected (mm_entry *e, const char *upstream)
+mm_entry_notify_ejected (mm_entry *e, const char *upstream)
 {
-  tell_all (e, MM_TELL_EJECTED, (const uint8_t *)upstream, strlen (upstream));
+  notify_all (e, MM_TELL_EJECTED, (const uint8_t *)upstream,
+              strlen (upstream));
 }
 
 static int64_t
@@ -46,12 +47,12 @@
   GByteArray *report = g_byte_array_new ();
   if (mm_quota_report (e->quota, g_hash_table_size (e->peer_addrs) + 1,
                        quota_of, e, report))
-    tell_all (e, MM_TELL_USAGE, report->data, report->len);
+    notify_all (e, MM_TELL_USAGE, report->data, report->len);
   g_byte_array_free (report, TRUE);
 }
 
 static void
-take_usage (mm_entry *e, const char *peer, const uint8_t *data, size_t len)
+apply_usage (mm_entry *e, const char *peer, const uint8_t *data, size_t len)
 {
   GError *err = NULL;
   if (!mm_quota_take_report (e->quota, peer, data, len, mm_clock_now_ms (),
@@ -63,7 +64,7 @@
 }
 
 static void
-take_ejected (mm_entry *e, const uint8_t *data, size_t len)
+apply_ejected (mm_entry *e, const uint8_t *data, size_t len)
 {
   char *name = g_strndup ((const char *)data, len);
   int i = mm_pool_find (e->pool, name);
@@ -73,23 +74,23 @@
 }
 
 static void
-on_tell (mm_tell_kind kind, const char *peer, const uint8_t *payload,
-         size_t len, void *ctx)
+on_notification (mm_tell_kind kind, const char *peer, const uint8_t *payload,
+                 size_t len, void *ctx)
 {
   if (kind == MM_TELL_USAGE)
-    take_usage (ctx, peer, payload, len);
+    apply_usage (ctx, peer, payload, len);
   else if (kind == MM_TELL_EJECTED)
-    take_ejected (ctx, payload, len);
+    apply_ejected (ctx, payload, len);
 }
 
 /**
- * mm_entry_news_start() - tell peers our news, and listen for theirs.
+ * mm_entry_notify_start() - tell peers our news, and listen for theirs.
  * @e: the entry instance.
  */
 void
-mm_entry_news_start (mm_entry *e)
+mm_entry_notify_start (mm_entry *e)
 {
-  mm_peer_set_tell (e->peer, on_tell, e);
+  mm_peer_set_tell (e->peer_links, on_notification, e);
   ev_timer_init (&e->quota_report, report_cb, MM_QUOTA_REPORT_MS / 1000.0,
                  MM_QUOTA_REPORT_MS / 1000.0);
   e->quota_report.data = e;
@@ -97,7 +98,7 @@
 }
 
 void
-mm_entry_news_stop (mm_entry *e)
+mm_entry_notify_stop (mm_entry *e)
 {
   ev_timer_stop (e->loop, &e->quota_report);
 }
--- a/src/mm_entry_platform.c
+++ b/src/mm_entry_platform.c
@@ -12,10 +12,10 @@
 #include <string.h>
 
 static void
-heartbeat_done (const mm_http_result *res, void *ctx)
+heartbeat_answered (const mm_http_result *res, void *ctx)
 {
   mm_entry *e = ctx;
-  mm_entry_contact_note (e, res->status == 200);
+  mm_entry_record_contact (e, res->status == 200);
   mm_counters_add (e->counters,
                    res->status == 200 ? "heartbeats_ok" : "heartbeats_failed",
                    1);
@@ -36,11 +36,11 @@
   cJSON *o = cJSON_CreateObject ();
   cJSON_AddStringToObject (o, "kind", "entry");
   char *addr = g_strdup_printf ("%s:%u", e->settings.listen_host,
-                                mm_http_server_port (e->http));
+                                mm_http_server_port (e->http_server));
   cJSON_AddStringToObject (o, "addr", addr);
   g_free (addr);
   addr = g_strdup_printf ("%s:%u", e->settings.listen_host,
-                          mm_peer_port (e->peer));
+                          mm_peer_port (e->peer_links));
   cJSON_AddStringToObject (o, "peer_addr", addr);
   g_free (addr);
   cJSON_AddStringToObject (o, "datacentre", e->settings.datacentre);
@@ -52,7 +52,8 @@
   cJSON_AddNumberToObject (o, "started_ms", (double)e->started_wall_ms);
   char *body = cJSON_PrintUnformatted (o);
   cJSON_Delete (o);
-  mm_http_client_call (e->platform, "PUT", url, body, 1000, heartbeat_done, e);
+  mm_http_client_call (e->platform_client, "PUT", url, body, 1000,
+                       heartbeat_answered, e);
   g_free (url);
   free (body);
 }
@@ -64,7 +65,7 @@
 }
 
 static void
-take_upstream (mm_entry *e, const cJSON *m)
+apply_upstream (mm_entry *e, const cJSON *m)
 {
   const char *addr = cJSON_GetStringValue (cJSON_GetObjectItem (m, "addr"));
   const char *dc
@@ -87,7 +88,7 @@
 
 /* Add the peers of the list before that the new one lacks.  */
 static void
-keep_peers (mm_entry *e, GHashTable *before, GPtrArray *names)
+add_missing_peers (mm_entry *e, GHashTable *before, GPtrArray *names)
 {
   GHashTableIter it;
   gpointer name, addr;
@@ -109,14 +110,14 @@
 } peer_view;
 
 static int64_t
-number_of (const cJSON *m, const char *key, int64_t otherwise)
+get_number (const cJSON *m, const char *key, int64_t fallback)
 {
   const cJSON *n = cJSON_GetObjectItem (m, key);
-  return cJSON_IsNumber (n) ? (int64_t)n->valuedouble : otherwise;
+  return cJSON_IsNumber (n) ? (int64_t)n->valuedouble : fallback;
 }
 
 static void
-take_peer (mm_entry *e, const cJSON *m, peer_view *view)
+apply_peer (mm_entry *e, const cJSON *m, peer_view *view)
 {
   const char *name = cJSON_GetStringValue (cJSON_GetObjectItem (m, "name"));
   const char *state = cJSON_GetStringValue (cJSON_GetObjectItem (m, "state"));
@@ -128,26 +129,26 @@
       || g_str_equal (name, e->settings.name))
     return;
   view->config_max
-      = MAX (view->config_max, number_of (m, "config_offset", -1));
+      = MAX (view->config_max, get_number (m, "config_offset", -1));
   if (!dc || !addr || !g_str_equal (dc, e->settings.datacentre))
     return;
   g_ptr_array_add (view->names, g_strdup (name));
   g_hash_table_insert (e->peer_addrs, g_strdup (name), g_strdup (addr));
   view->oldest_started_ms
-      = MIN (view->oldest_started_ms, number_of (m, "started_ms", INT64_MAX));
+      = MIN (view->oldest_started_ms, get_number (m, "started_ms", INT64_MAX));
   e->peer_outage_wall_ms
-      = MAX (e->peer_outage_wall_ms, number_of (m, "outage_ms", 0));
+      = MAX (e->peer_outage_wall_ms, get_number (m, "outage_ms", 0));
 }
 
 /* A whole new member list.  */
 static void
-take_members (mm_entry *e, const cJSON *list)
+apply_members (mm_entry *e, const cJSON *list)
 {
   /* Guards against the short list right after an outage, when living
      members had expired: until they had time to come back, the list only
      adds.  It is read whole again on the next poll.  */
-  bool unsure = mm_contact_list_unsure (e->contact, mm_clock_now_ms ());
-  e->members_version = unsure ? -1 : number_of (list, "version", -1);
+  bool incomplete = mm_contact_list_unsure (e->contact, mm_clock_now_ms ());
+  e->members_version = incomplete ? -1 : get_number (list, "version", -1);
   GHashTable *before = e->peer_addrs;
   e->peer_addrs
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
@@ -155,7 +156,7 @@
                      .config_max = -1,
                      .oldest_started_ms = INT64_MAX };
   g_ptr_array_add (view.names, g_strdup (e->settings.name));
-  if (!unsure)
+  if (!incomplete)
     mm_pool_list_begin (e->pool, mm_clock_now_ms ());
   const cJSON *m;
   cJSON_ArrayForEach (m, cJSON_GetObjectItem (list, "members"))
@@ -163,17 +164,17 @@
       const char *kind
           = cJSON_GetStringValue (cJSON_GetObjectItem (m, "kind"));
       if (kind && g_str_equal (kind, "upstream"))
-        take_upstream (e, m);
+        apply_upstream (e, m);
       else if (kind && g_str_equal (kind, "entry"))
-        take_peer (e, m, &view);
+        apply_peer (e, m, &view);
     }
-  if (unsure)
-    keep_peers (e, before, view.names);
+  if (incomplete)
+    add_missing_peers (e, before, view.names);
   mm_pool_list_end (e->pool);
   g_ptr_array_add (view.names, NULL);
   g_strfreev (e->live_entries);
   e->live_entries = (char **)g_ptr_array_free (view.names, FALSE);
-  e->peer_config_max = view.config_max;
+  e->peers_max_config_offset = view.config_max;
   e->peers_started_wall_ms
       = view.oldest_started_ms == INT64_MAX ? 0 : view.oldest_started_ms;
   mm_entry_peers_changed (e, before);
@@ -181,20 +182,20 @@
 }
 
 static void
-members_done (const mm_http_result *res, void *ctx)
+members_answered (const mm_http_result *res, void *ctx)
 {
   mm_entry *e = ctx;
   cJSON *o = res->status == 200
                  ? cJSON_ParseWithLength (res->body, res->body_bytes)
                  : NULL;
-  mm_entry_contact_note (e, o != NULL);
+  mm_entry_record_contact (e, o != NULL);
   if (cJSON_IsTrue (cJSON_GetObjectItem (o, "unchanged")))
     mm_counters_add (e->counters, "member_polls_unchanged", 1);
   else if (cJSON_IsArray (cJSON_GetObjectItem (o, "members")))
     {
-      take_members (e, o);
+      apply_members (e, o);
       mm_counters_add (e->counters, "member_polls_ok", 1);
-      mm_entry_pump (e);
+      mm_entry_send_waiting (e);
     }
   else
     mm_counters_add (e->counters, "member_polls_failed", 1);
@@ -211,7 +212,8 @@
   char *url = g_strdup_printf (
       "%s/v1/members?datacentre=%s&since=%" G_GINT64_FORMAT,
       e->settings.platform_url, e->settings.datacentre, e->members_version);
-  mm_http_client_call (e->platform, "GET", url, NULL, 1000, members_done, e);
+  mm_http_client_call (e->platform_client, "GET", url, NULL, 1000,
+                       members_answered, e);
   g_free (url);
 }
 
@@ -223,7 +225,7 @@
   int64_t before = mm_cfg_head (e->cfg);
   if (mm_cfg_offer (e->cfg, offset, text, &err))
     {
-      e->head_seen_ms = mm_clock_now_ms ();
+      e->head_refreshed_ms = mm_clock_now_ms ();
       mm_counters_add (e->counters, "config_applied", 1);
       g_message ("config %" G_GINT64_FORMAT " in force (was %" G_GINT64_FORMAT
                  ")",
@@ -242,7 +244,7 @@
 /* A fresh instance whose log window no longer starts at 0 adopts the
    head that live peers report, else the last snapshot in the window.  */
 static int64_t
-adopt_start (mm_entry *e, const cJSON *records)
+adopt_head (mm_entry *e, const cJSON *records)
 {
   const cJSON *r, *pick = NULL;
   cJSON_ArrayForEach (r, records)
@@ -252,8 +254,9 @@
       const cJSON *d = cJSON_GetObjectItem (r, "data");
       const char *kind
           = cJSON_GetStringValue (cJSON_GetObjectItem (d, "kind"));
-      if (e->peer_config_max >= 0 ? off == e->peer_config_max
-                                  : kind && g_str_equal (kind, "snapshot"))
+      if (e->peers_max_config_offset >= 0
+              ? off == e->peers_max_config_offset
+              : kind && g_str_equal (kind, "snapshot"))
         pick = r;
     }
   if (!pick)
@@ -264,7 +267,7 @@
   GError *err = NULL;
   if (mm_cfg_adopt (e->cfg, off, text, &err))
     {
-      e->head_seen_ms = mm_clock_now_ms ();
+      e->head_refreshed_ms = mm_clock_now_ms ();
       g_message ("config %" G_GINT64_FORMAT " adopted at start", off);
     }
   g_clear_error (&err);
@@ -273,7 +276,7 @@
 }
 
 static void
-snapshot_done (const mm_http_result *res, void *ctx)
+snapshot_answered (const mm_http_result *res, void *ctx)
 {
   mm_entry *e = ctx;
   mm_counters_add (
@@ -284,10 +287,11 @@
 /* Before retention drops the head, one live instance (the rendezvous
    owner of "config-snapshot") appends it again as a snapshot.  */
 static void
-maybe_snapshot (mm_entry *e)
+append_snapshot_if_due (mm_entry *e)
 {
   if (mm_cfg_head (e->cfg) < 0 || !e->live_entries
-      || mm_clock_now_ms () - e->head_seen_ms < e->settings.config_snapshot_ms)
+      || mm_clock_now_ms () - e->head_refreshed_ms
+             < e->settings.config_snapshot_ms)
     return;
   int owner = mm_hash_owner ("config-snapshot", e->live_entries,
                              g_strv_length (e->live_entries));
@@ -295,18 +299,19 @@
     return;
   char *rec = mm_cfg_snapshot_record (e->cfg);
   char *url = g_strdup_printf ("%s/v1/log/config", e->settings.platform_url);
-  mm_http_client_call (e->platform, "POST", url, rec, 1000, snapshot_done, e);
-  e->head_seen_ms = mm_clock_now_ms ();
+  mm_http_client_call (e->platform_client, "POST", url, rec, 1000,
+                       snapshot_answered, e);
+  e->head_refreshed_ms = mm_clock_now_ms ();
   g_free (url);
   free (rec);
 }
 
 static void
-config_done (const mm_http_result *res, void *ctx)
+config_answered (const mm_http_result *res, void *ctx)
 {
   mm_entry *e = ctx;
-  e->config_reading = false;
-  mm_entry_contact_note (e, res->status == 200);
+  e->config_poll_pending = false;
+  mm_entry_record_contact (e, res->status == 200);
   if (res->status != 200)
     {
       mm_counters_add (e->counters, "config_polls_failed", 1);
@@ -318,7 +323,7 @@
   const cJSON *records = cJSON_GetObjectItem (o, "records");
   int64_t skip_to = -1;
   if (first > e->config_cursor && mm_cfg_head (e->cfg) < 0)
-    skip_to = adopt_start (e, records);
+    skip_to = adopt_head (e, records);
   const cJSON *r;
   cJSON_ArrayForEach (r, records)
     {
@@ -329,19 +334,20 @@
       e->config_cursor = off + 1;
     }
   cJSON_Delete (o);
-  maybe_snapshot (e);
+  append_snapshot_if_due (e);
 }
 
 static void
 config_poll_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_entry *e = w->data;
-  if (e->config_reading)
+  if (e->config_poll_pending)
     return;
-  e->config_reading = true;
+  e->config_poll_pending = true;
   char *url = g_strdup_printf ("%s/v1/log/config?from=%" G_GINT64_FORMAT,
                                e->settings.platform_url, e->config_cursor);
-  mm_http_client_call (e->platform, "GET", url, NULL, 1000, config_done, e);
+  mm_http_client_call (e->platform_client, "GET", url, NULL, 1000,
+                       config_answered, e);
   g_free (url);
 }
 
--- a/src/mm_entry_priv.h
+++ b/src/mm_entry_priv.h
@@ -36,10 +36,10 @@
 /* May an earlier owner have run a job that is new to us?  */
 typedef enum
 {
-  MM_PRIOR_NONE,  /* no: it is in no record, and none is missing */
-  MM_PRIOR_MAYBE, /* records may be missing, or are not read yet */
-  MM_PRIOR_KNOWN  /* an earlier owner accepted it */
-} mm_prior;
+  MM_EARLIER_ACCEPT_NONE,     /* no: it is in no record, and none is missing */
+  MM_EARLIER_ACCEPT_POSSIBLE, /* records may be missing, or are not read yet */
+  MM_EARLIER_ACCEPT_KNOWN     /* an earlier owner accepted it */
+} mm_earlier_accept;
 
 /* A job on this instance.  */
 typedef struct
@@ -49,7 +49,7 @@
   mm_shard *shard;
   GPtrArray *waiters; /* mm_waiter * */
   mm_job_phase phase;
-  mm_prior prior;
+  mm_earlier_accept earlier_accept;
   int fail_code; /* a failure that waits for the log's word */
   const char *fail_why;
   int64_t epoch;         /* carried by its task starts */
@@ -64,12 +64,12 @@
 {
   struct ev_loop *loop;
   mm_entry_settings settings;
-  mm_http_server *http;
-  mm_http_client *upstreams; /* calls to upstreams */
-  mm_http_client *platform;  /* calls to the platform's service */
-  mm_peer *peer;             /* links to the other entry instances */
-  GHashTable *peer_addrs;    /* live entry name -> "host:peer_port" */
-  GHashTable *suspects;      /* entry name -> mm_time_ms it failed us */
+  mm_http_server *http_server;
+  mm_http_client *upstream_client; /* calls to upstreams */
+  mm_http_client *platform_client; /* calls to the platform's service */
+  mm_peer *peer_links;             /* links to the other entry instances */
+  GHashTable *peer_addrs;          /* live entry name -> "host:peer_port" */
+  GHashTable *suspect_peers;       /* entry name -> mm_time_ms it failed us */
   mm_counters *counters;
   mm_pool *pool;
   mm_cfg *cfg;
@@ -77,9 +77,9 @@
   mm_shard_env shard_env;
   mm_shard **shards; /* settings.shards of them */
   ev_timer shard_tick;
-  mm_time_ms pinged_ms;
-  mm_time_ms view_changed_ms;    /* when the set of peers last changed */
-  bool view_checked;             /* held shards were verified since */
+  mm_time_ms last_ping_ms;
+  mm_time_ms peers_changed_ms;   /* when the set of peers last changed */
+  bool shards_verified;          /* held shards were verified since */
   int64_t peer_outage_wall_ms;   /* latest outage that peers report */
   int64_t started_wall_ms;       /* our start */
   int64_t peers_started_wall_ms; /* the longest-running live peer\'s, or 0 */
@@ -95,24 +95,26 @@
   ev_timer heartbeat;
   ev_timer member_poll;
   ev_timer config_poll;
-  bool config_reading;
-  int64_t config_cursor;   /* next config offset to read */
-  mm_time_ms head_seen_ms; /* when the head config was applied */
-  int64_t peer_config_max; /* highest config offset live peers report */
-  char **live_entries;     /* names of live entry instances in the DC */
-  int64_t members_version; /* version of the list last read, -1 none */
+  bool config_poll_pending;
+  int64_t config_cursor;        /* next config offset to read */
+  mm_time_ms head_refreshed_ms; /* when the head config was applied */
+  int64_t
+      peers_max_config_offset; /* highest config offset live peers report */
+  char **live_entries;         /* names of live entry instances in the DC */
+  int64_t members_version;     /* version of the list last read, -1 none */
   bool shutting_down;
   void (*shutdown_done) (void *);
   void *shutdown_ctx;
   ev_idle shutdown_check;
-  ev_timer shutdown_limit; /* hand-over of shards waits no longer */
-  bool shutdown_late;
+  ev_timer shutdown_limit_timer; /* hand-over of shards waits no longer */
+  bool shutdown_limit_passed;
 };
 
 /* mm_entry_route.c: where a request's job goes */
 void mm_entry_submit (mm_entry *e, mm_http_request *req);
-void mm_entry_take_forwarded (mm_entry *e, uint64_t conn_id, uint64_t req_id,
-                              uint32_t hops, const uint8_t *data, size_t len);
+void mm_entry_submit_forwarded (mm_entry *e, uint64_t conn_id, uint64_t req_id,
+                                uint32_t hops, const uint8_t *data,
+                                size_t len);
 void mm_entry_waiter_reply (mm_entry *e, const mm_waiter *w, unsigned status,
                             const char *body, uint32_t retry_after_s);
 void mm_entry_refuse (mm_entry *e, const mm_waiter *w, unsigned status,
@@ -132,14 +134,14 @@
 mm_time_ms mm_entry_first_deadline_ms (const mm_job *job);
 
 /* mm_entry_news.c: what the instances of a data centre tell each other */
-void mm_entry_news_start (mm_entry *e);
-void mm_entry_news_stop (mm_entry *e);
-void mm_entry_tell_ejected (mm_entry *e, const char *upstream);
+void mm_entry_notify_start (mm_entry *e);
+void mm_entry_notify_stop (mm_entry *e);
+void mm_entry_notify_ejected (mm_entry *e, const char *upstream);
 
 /* mm_entry_answer.c: answers, built once and kept for resubmits */
 char *mm_entry_answer_json (const mm_entry_job *ej, const char *status,
                             int code, const char *why, uint32_t retry_after_s);
-void mm_entry_answer_keep (mm_entry *e, const char *job_id, char *answer);
+void mm_entry_answer_store (mm_entry *e, const char *job_id, char *answer);
 void mm_entry_answers_start (mm_entry *e);
 void mm_entry_answers_free (mm_entry *e);
 
@@ -150,11 +152,12 @@
 void mm_entry_job_moved (mm_entry_job *ej, const char *holder);
 void mm_entry_job_ref (mm_entry_job *ej);
 void mm_entry_job_unref (mm_entry_job *ej);
-void mm_entry_task_outcome (mm_entry_job *ej, mm_task *t, mm_outcome o,
-                            const char *result);
-void mm_entry_upstream_outcome (mm_entry *e, int upstream, mm_outcome o,
-                                int64_t mode_seq); /* keep the pool's books */
-void mm_entry_pump (mm_entry *e);
+void mm_entry_handle_task_outcome (mm_entry_job *ej, mm_task *t, mm_outcome o,
+                                   const char *result);
+void mm_entry_handle_upstream_outcome (
+    mm_entry *e, int upstream, mm_outcome o,
+    int64_t mode_seq); /* keep the pool's books */
+void mm_entry_send_waiting (mm_entry *e);
 char *mm_entry_jobs_dump (const mm_entry *e);
 void mm_entry_jobs_free (mm_entry *e);
 
@@ -166,15 +169,15 @@
 /* mm_entry_shards.c: which jobs are ours */
 void mm_entry_shards_start (mm_entry *e);
 void mm_entry_shards_stop (mm_entry *e);
-bool mm_entry_shards_released (mm_entry *e); /* begins the release */
+bool mm_entry_shards_release (mm_entry *e); /* begins the release */
 void mm_entry_shards_dump (const mm_entry *e, cJSON *out);
 mm_shard *mm_entry_shard_of (mm_entry *e, const char *job_id);
 const char *mm_entry_route (mm_entry *e, const char *job_id, uint32_t hops);
-void mm_entry_settle_holder (mm_entry *e, const char *job_id);
-void mm_entry_suspect (mm_entry *e, const char *peer);
-void mm_entry_contact_note (mm_entry *e, bool ok);
+void mm_entry_check_holder (mm_entry *e, const char *job_id);
+void mm_entry_suspect_peer (mm_entry *e, const char *peer);
+void mm_entry_record_contact (mm_entry *e, bool ok);
 void mm_entry_peers_changed (mm_entry *e, GHashTable *before);
-mm_prior mm_entry_prior (mm_entry *e, const char *job_id);
+mm_earlier_accept mm_entry_earlier_accept (mm_entry *e, const char *job_id);
 
 /* mm_entry_platform.c */
 void mm_entry_platform_start (mm_entry *e);
--- a/src/mm_entry_recover.c
+++ b/src/mm_entry_recover.c
@@ -20,10 +20,11 @@
   uint32_t open; /* reports awaited */
   bool complete; /* every upstream reported */
   bool check_fingerprint;
-  uint64_t want;        /* fingerprint when the job was accepted */
-  GHashTable *reported; /* set of int64: incarnations that reported */
-  GHashTable *by_id;    /* task id -> mm_task */
-  GHashTable *running;  /* set of mm_task: the earlier owner's, not ended */
+  uint64_t expected_fingerprint; /* fingerprint when the job was accepted */
+  GHashTable
+      *reported_incarnations; /* set of int64: incarnations that reported */
+  GHashTable *tasks_by_id;    /* task id -> mm_task */
+  GHashTable *running; /* set of mm_task: the earlier owner's, not ended */
   ev_timer poll;
 };
 
@@ -32,9 +33,9 @@
   mm_entry_job *ej;
   int upstream;
   bool poll; /* only for tasks already known to run there */
-} report_ctx;
+} fence_ctx;
 
-static void ask (mm_entry_job *ej, int upstream, bool poll);
+static void send_fence (mm_entry_job *ej, int upstream, bool poll);
 
 void
 mm_entry_recovery_free (mm_entry_job *ej)
@@ -48,31 +49,32 @@
   while (g_hash_table_iter_next (&it, &t, NULL))
     mm_pool_done (ej->entry->pool, ((mm_task *)t)->upstream, MM_OUTCOME_FENCED,
                   0, 0, 0, 0);
-  g_hash_table_destroy (ej->recovery->by_id);
+  g_hash_table_destroy (ej->recovery->tasks_by_id);
   g_hash_table_destroy (ej->recovery->running);
-  g_hash_table_destroy (ej->recovery->reported);
+  g_hash_table_destroy (ej->recovery->reported_incarnations);
   g_free (ej->recovery);
   ej->recovery = NULL;
 }
 
 static bool
-recovered_on (const mm_entry_job *ej, mm_task *t, int upstream)
+is_recovered_on (const mm_entry_job *ej, mm_task *t, int upstream)
 {
   return t->upstream == upstream
          && g_hash_table_contains (ej->recovery->running, t);
 }
 
 static void
-recovered_end (mm_entry_job *ej, mm_task *t, mm_outcome o, const char *result)
+end_recovered_task (mm_entry_job *ej, mm_task *t, mm_outcome o,
+                    const char *result)
 {
   g_hash_table_remove (ej->recovery->running, t);
-  mm_entry_upstream_outcome (ej->entry, t->upstream, o, 0);
-  mm_entry_task_outcome (ej, t, o, result);
+  mm_entry_handle_upstream_outcome (ej->entry, t->upstream, o, 0);
+  mm_entry_handle_task_outcome (ej, t, o, result);
 }
 
 /* One task an upstream names.  */
 static void
-take_row (mm_entry_job *ej, const cJSON *row, int upstream)
+apply_reported_task (mm_entry_job *ej, const cJSON *row, int upstream)
 {
   mm_entry *e = ej->entry;
   const char *id = cJSON_GetStringValue (cJSON_GetObjectItem (row, "id"));
@@ -80,7 +82,7 @@
       = cJSON_GetStringValue (cJSON_GetObjectItem (row, "state"));
   const char *result
       = cJSON_GetStringValue (cJSON_GetObjectItem (row, "result"));
-  mm_task *t = id ? g_hash_table_lookup (ej->recovery->by_id, id) : NULL;
+  mm_task *t = id ? g_hash_table_lookup (ej->recovery->tasks_by_id, id) : NULL;
   if (!t || !state)
     return;
   if (ej->phase == MM_JOB_RECOVERING && t->state == MM_TASK_PENDING)
@@ -93,13 +95,13 @@
       mm_pool_sent (e->pool, upstream);
       mm_counters_add (e->counters, "tasks_recovered", 1);
     }
-  if (!recovered_on (ej, t, upstream))
+  if (!is_recovered_on (ej, t, upstream))
     return;
   if (g_str_equal (state, "done"))
-    recovered_end (ej, t, MM_OUTCOME_OK, result);
+    end_recovered_task (ej, t, MM_OUTCOME_OK, result);
   /* A failure may lead to a retry: only when all have reported.  */
   else if (g_str_equal (state, "failed") && ej->phase == MM_JOB_RUNNING)
-    recovered_end (ej, t, MM_OUTCOME_FAILED, NULL);
+    end_recovered_task (ej, t, MM_OUTCOME_FAILED, NULL);
 }
 
 /* Every report is in: start what started nowhere.  */
@@ -109,15 +111,16 @@
   mm_recovery *r = ej->recovery;
   /* With a record, those must have reported that it was made under;
      without one, everybody we know of.  */
-  bool exact = r->check_fingerprint
-                   ? mm_pool_covers (ej->entry->pool, r->reported, r->want)
-                   : r->complete;
-  if (!exact)
+  bool all_known
+      = r->check_fingerprint ? mm_pool_covers (
+            ej->entry->pool, r->reported_incarnations, r->expected_fingerprint)
+                             : r->complete;
+  if (!all_known)
     mm_counters_add (ej->entry->counters, "recoveries_inexact", 1);
   for (uint32_t i = 0; i < ej->job->n_tasks; i++)
     {
       mm_task *t = &ej->job->tasks[i];
-      if (t->state != MM_TASK_PENDING || exact)
+      if (t->state != MM_TASK_PENDING || all_known)
         continue;
       if (!t->idempotent)
         {
@@ -133,17 +136,17 @@
 
 /* An upstream that ran recovered tasks does not answer any more.  */
 static void
-lose_tasks_on (mm_entry_job *ej, int upstream)
+end_tasks_in_doubt (mm_entry_job *ej, int upstream)
 {
   for (uint32_t i = 0; i < ej->job->n_tasks && ej->phase < MM_JOB_FAILING; i++)
-    if (recovered_on (ej, &ej->job->tasks[i], upstream))
-      recovered_end (ej, &ej->job->tasks[i], MM_OUTCOME_LOST, NULL);
+    if (is_recovered_on (ej, &ej->job->tasks[i], upstream))
+      end_recovered_task (ej, &ej->job->tasks[i], MM_OUTCOME_LOST, NULL);
 }
 
 static void
-report_done (const mm_http_result *res, void *ctx)
+fence_answered (const mm_http_result *res, void *ctx)
 {
-  report_ctx *c = ctx;
+  fence_ctx *c = ctx;
   mm_entry_job *ej = c->ej;
   mm_entry *e = ej->entry;
   const mm_pool_member *m = mm_pool_at (e->pool, c->upstream);
@@ -168,7 +171,7 @@
           int64_t *hash = g_new (int64_t, 1);
           *hash = (int64_t)mm_pool_fingerprint_of (
               m->name, m->boot_ms ? (int64_t)boot->valuedouble : 0);
-          g_hash_table_add (r->reported, hash);
+          g_hash_table_add (r->reported_incarnations, hash);
         }
       else
         r->complete = false;
@@ -176,36 +179,36 @@
       cJSON_ArrayForEach (row, cJSON_GetObjectItem (o, "tasks"))
         {
           if (ej->phase < MM_JOB_FAILING)
-            take_row (ej, row, c->upstream);
+            apply_reported_task (ej, row, c->upstream);
         }
       if (c->poll && !o)
-        lose_tasks_on (ej, c->upstream);
+        end_tasks_in_doubt (ej, c->upstream);
       if (ej->phase == MM_JOB_RECOVERING && !r->open)
         all_reported (ej);
     }
   cJSON_Delete (o);
   mm_entry_job_unref (ej);
   g_free (c);
-  mm_entry_pump (e);
+  mm_entry_send_waiting (e);
 }
 
 static void
-ask (mm_entry_job *ej, int upstream, bool poll)
+send_fence (mm_entry_job *ej, int upstream, bool poll)
 {
   mm_entry *e = ej->entry;
   char *id = g_uri_escape_string (ej->job->id, NULL, FALSE);
   char *url = g_strdup_printf ("%s/v1/jobs/%s/fence",
                                mm_pool_at (e->pool, upstream)->url, id);
   char *body = g_strdup_printf ("{\"epoch\":%" G_GINT64_FORMAT "}", ej->epoch);
-  report_ctx *c = g_new0 (report_ctx, 1);
+  fence_ctx *c = g_new0 (fence_ctx, 1);
   c->ej = ej;
   c->upstream = upstream;
   c->poll = poll;
   mm_entry_job_ref (ej);
   ej->recovery->open++;
   mm_counters_add (e->counters, "fences_sent", 1);
-  mm_http_client_call (e->upstreams, "POST", url, body, MM_FENCE_TIMEOUT_MS,
-                       report_done, c);
+  mm_http_client_call (e->upstream_client, "POST", url, body,
+                       MM_FENCE_TIMEOUT_MS, fence_answered, c);
   g_free (body);
   g_free (url);
   g_free (id);
@@ -232,7 +235,7 @@
     g_hash_table_add (upstreams, GINT_TO_POINTER (((mm_task *)t)->upstream));
   g_hash_table_iter_init (&it, upstreams);
   while (g_hash_table_iter_next (&it, &upstream, NULL))
-    ask (ej, GPOINTER_TO_INT (upstream), true);
+    send_fence (ej, GPOINTER_TO_INT (upstream), true);
   g_hash_table_destroy (upstreams);
 }
 
@@ -250,10 +253,10 @@
   mm_recovery *r = g_new0 (mm_recovery, 1);
   r->complete = true;
   r->check_fingerprint = check_fingerprint;
-  r->want = fingerprint;
-  r->by_id = g_hash_table_new (g_str_hash, g_str_equal);
+  r->expected_fingerprint = fingerprint;
+  r->tasks_by_id = g_hash_table_new (g_str_hash, g_str_equal);
   r->running = g_hash_table_new (NULL, NULL);
-  r->reported
+  r->reported_incarnations
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
   ev_timer_init (&r->poll, poll_cb, MM_RECOVER_POLL_MS / 1000.0,
                  MM_RECOVER_POLL_MS / 1000.0);
@@ -264,11 +267,12 @@
   g_message ("job %s: recovering at epoch %" G_GINT64_FORMAT, ej->job->id,
              ej->epoch);
   for (uint32_t i = 0; i < ej->job->n_tasks; i++)
-    g_hash_table_insert (r->by_id, ej->job->tasks[i].id, &ej->job->tasks[i]);
+    g_hash_table_insert (r->tasks_by_id, ej->job->tasks[i].id,
+                         &ej->job->tasks[i]);
   for (uint32_t i = 0; i < mm_pool_size (e->pool); i++)
-    if (mm_pool_worth_asking (e->pool, (int)i, mm_clock_now_ms (),
-                              e->settings.done_ttl_ms))
-      ask (ej, (int)i, false);
+    if (mm_pool_listed_within (e->pool, (int)i, mm_clock_now_ms (),
+                               e->settings.done_ttl_ms))
+      send_fence (ej, (int)i, false);
   ev_timer_start (e->loop, &r->poll);
   if (!r->open)
     all_reported (ej);
--- a/src/mm_entry_route.c
+++ b/src/mm_entry_route.c
@@ -32,7 +32,7 @@
   if (w->http)
     mm_http_reply (w->http, status, body, retry_after_s);
   else
-    mm_peer_reply (e->peer, w->conn_id, w->req_id, status, retry_after_s,
+    mm_peer_reply (e->peer_links, w->conn_id, w->req_id, status, retry_after_s,
                    body);
 }
 
@@ -61,7 +61,7 @@
 }
 
 static void
-answer_kept (mm_entry *e, const mm_waiter *w, const char *answer)
+reply_stored_answer (mm_entry *e, const mm_waiter *w, const char *answer)
 {
   mm_counters_add (e->counters, "resubmits_answered", 1);
   cJSON *o = cJSON_Parse (answer);
@@ -75,13 +75,13 @@
 /* We have the job already: its answer, or its run in progress.  Takes @w
    when true.  */
 static bool
-join_own (mm_entry *e, mm_waiter *w, const char *job_id)
+join_known_job (mm_entry *e, mm_waiter *w, const char *job_id)
 {
   const char *answer = g_hash_table_lookup (e->answers, job_id);
   mm_entry_job *running = g_hash_table_lookup (e->jobs, job_id);
   if (answer)
     {
-      answer_kept (e, w, answer);
+      reply_stored_answer (e, w, answer);
       g_free (w);
     }
   else if (running)
@@ -101,14 +101,14 @@
 } verified_refusal;
 
 static void
-refuse_verified (bool ours, void *ctx)
+refuse_after_verify (bool owned, void *ctx)
 {
   verified_refusal *v = ctx;
   const mm_refusal *r = &v->refusal;
   char *text = g_strdup_printf (
       "%s; %s", r->why,
-      ours ? "not run"
-           : "not taken, what came of an earlier submission is unknown");
+      owned ? "not run"
+            : "not taken, what came of an earlier submission is unknown");
   mm_entry_refuse (v->entry, v->waiter, r->status, r->code, text,
                    r->retry_after_s);
   g_free (text);
@@ -128,21 +128,21 @@
   v->refusal = *r;
   mm_counters_add (e->counters, "jobs_refused", 1);
   if (!*e->settings.platform_url)
-    refuse_verified (true, v);
-  else if (mm_entry_prior (e, job->id) != MM_PRIOR_NONE)
-    refuse_verified (false, v);
+    refuse_after_verify (true, v);
+  else if (mm_entry_earlier_accept (e, job->id) != MM_EARLIER_ACCEPT_NONE)
+    refuse_after_verify (false, v);
   else
-    mm_shard_verify (mm_entry_shard_of (e, job->id), refuse_verified, v);
+    mm_shard_verify (mm_entry_shard_of (e, job->id), refuse_after_verify, v);
 }
 
 /* The job is ours to run: admit and start it.  Takes @w and @job.  */
 static void
-take_job (mm_entry *e, mm_waiter *w, mm_job *job)
+admit_job (mm_entry *e, mm_waiter *w, mm_job *job)
 {
   mm_refusal r;
   /* A job that an earlier owner accepted was admitted then.  */
   if (!e->shutting_down
-      && (mm_entry_prior (e, job->id) == MM_PRIOR_KNOWN
+      && (mm_entry_earlier_accept (e, job->id) == MM_EARLIER_ACCEPT_KNOWN
           || mm_entry_admit (e, job, &r)))
     {
       mm_entry_job_start (e, w, job);
@@ -163,7 +163,7 @@
 }
 
 static void
-free_routed (routed_request *q)
+routed_request_destroy (routed_request *q)
 {
   g_byte_array_free (q->packed, TRUE);
   g_free (q->job_id);
@@ -175,7 +175,7 @@
 /* Nobody answered for the job: the caller hears it now.  The job may be
    running somewhere, so it is not called "not run".  */
 static void
-give_up (routed_request *q, const char *why)
+fail_request (routed_request *q, const char *why)
 {
   mm_entry *e = q->entry;
   char *text = g_strdup_printf (
@@ -184,11 +184,11 @@
   mm_entry_refuse (e, q->waiter, 503, MM_ERROR_UPSTREAM, text,
                    retry_after_s (e));
   g_free (text);
-  free_routed (q);
+  routed_request_destroy (q);
 }
 
 static void
-forward_done (const mm_peer_answer *a, void *ctx)
+forward_answered (const mm_peer_answer *a, void *ctx)
 {
   routed_request *q = ctx;
   mm_entry *e = q->entry;
@@ -196,15 +196,15 @@
     {
       mm_entry_waiter_reply (e, q->waiter, a->status, a->body,
                              a->retry_after_s);
-      free_routed (q);
+      routed_request_destroy (q);
     }
   else if (a->error && a->error->code == MM_ERROR_TIMEOUT)
-    give_up (q, "the owner did not answer in time");
+    fail_request (q, "the owner did not answer in time");
   else
     {
       mm_counters_add (e->counters, "reroutes", 1);
       q->failures++;
-      mm_entry_suspect (e, q->peer);
+      mm_entry_suspect_peer (e, q->peer);
       route (q, NULL);
     }
 }
@@ -213,13 +213,13 @@
 forward (routed_request *q, const char *peer)
 {
   mm_entry *e = q->entry;
-  mm_time_ms left = q->deadline_ms - mm_clock_now_ms ();
+  mm_time_ms remaining_ms = q->deadline_ms - mm_clock_now_ms ();
   g_free (q->peer);
   q->peer = g_strdup (peer);
   mm_counters_add (e->counters, "jobs_forwarded", 1);
-  mm_peer_forward (e->peer, g_hash_table_lookup (e->peer_addrs, peer),
+  mm_peer_forward (e->peer_links, g_hash_table_lookup (e->peer_addrs, peer),
                    q->waiter->hops + 1, q->packed->data, q->packed->len,
-                   left + MM_FORWARD_SLACK_MS, forward_done, q);
+                   remaining_ms + MM_FORWARD_SLACK_MS, forward_answered, q);
 }
 
 /* Send a request where its job belongs now: a peer, or ourselves.  */
@@ -230,7 +230,7 @@
   if (q->failures > MM_FORWARD_MAX_HOPS
       || mm_clock_now_ms () >= q->deadline_ms)
     {
-      give_up (q, "no instance answered for the job");
+      fail_request (q, "no instance answered for the job");
       return;
     }
   const char *peer = holder && g_hash_table_contains (e->peer_addrs, holder)
@@ -243,13 +243,13 @@
     }
   mm_waiter *w = g_new (mm_waiter, 1);
   *w = *q->waiter;
-  mm_entry_settle_holder (e, q->job_id);
-  if (!join_own (e, w, q->job_id))
+  mm_entry_check_holder (e, q->job_id);
+  if (!join_known_job (e, w, q->job_id))
     {
       GError *err = NULL;
       mm_job *job = unpack (e, q->packed->data, q->packed->len, &err);
       if (job)
-        take_job (e, w, job);
+        admit_job (e, w, job);
       else
         {
           mm_entry_refuse (e, w, 413, err->code, err->message, 0);
@@ -257,11 +257,11 @@
           g_error_free (err);
         }
     }
-  free_routed (q);
+  routed_request_destroy (q);
 }
 
 static routed_request *
-make_routed (mm_entry *e, mm_waiter *w, const mm_job *job)
+routed_request_create (mm_entry *e, mm_waiter *w, const mm_job *job)
 {
   routed_request *q = g_new0 (routed_request, 1);
   q->entry = e;
@@ -284,12 +284,12 @@
 mm_entry_reroute (mm_entry *e, mm_waiter *w, const mm_job *job,
                   const char *holder)
 {
-  routed_request *q = make_routed (e, w, job);
+  routed_request *q = routed_request_create (e, w, job);
   if (!holder && !mm_entry_route (e, job->id, w->hops)
       && mm_contact_lost (e->contact, mm_clock_now_ms ()))
     {
       /* Neither a record nor another owner can be had: say so now.  */
-      give_up (q, "the platform's log cannot be reached");
+      fail_request (q, "the platform's log cannot be reached");
       return;
     }
   route (q, holder);
@@ -297,9 +297,9 @@
 
 /* A job came in, from a caller or a peer.  Takes @w and @job.  */
 static void
-take_request (mm_entry *e, mm_waiter *w, mm_job *job)
+handle_job (mm_entry *e, mm_waiter *w, mm_job *job)
 {
-  if (join_own (e, w, job->id))
+  if (join_known_job (e, w, job->id))
     {
       mm_job_destroy (job);
       return;
@@ -316,15 +316,15 @@
   const char *peer = mm_entry_route (e, job->id, w->hops);
   if (!peer || !g_hash_table_contains (e->peer_addrs, peer))
     {
-      take_job (e, w, job);
+      admit_job (e, w, job);
       return;
     }
-  forward (make_routed (e, w, job), peer);
+  forward (routed_request_create (e, w, job), peer);
   mm_job_destroy (job);
 }
 
 static void
-refuse_bad (mm_entry *e, mm_waiter *w, GError *err)
+refuse_bad_request (mm_entry *e, mm_waiter *w, GError *err)
 {
   mm_counters_add (e->counters, "requests_bad", 1);
   mm_entry_refuse (e, w, err->code == MM_ERROR_JOB_SIZE ? 413 : 400, err->code,
@@ -349,13 +349,13 @@
   mm_waiter *w = g_new0 (mm_waiter, 1);
   w->http = req;
   if (job)
-    take_request (e, w, job);
+    handle_job (e, w, job);
   else
-    refuse_bad (e, w, err);
+    refuse_bad_request (e, w, err);
 }
 
 /**
- * mm_entry_take_forwarded() - a job a peer forwarded to us.
+ * mm_entry_submit_forwarded() - a job a peer forwarded to us.
  * @e: the entry instance.
  * @conn_id: the peer link.
  * @req_id: the peer's request id.
@@ -364,8 +364,8 @@
  * @len: its length.
  */
 void
-mm_entry_take_forwarded (mm_entry *e, uint64_t conn_id, uint64_t req_id,
-                         uint32_t hops, const uint8_t *data, size_t len)
+mm_entry_submit_forwarded (mm_entry *e, uint64_t conn_id, uint64_t req_id,
+                           uint32_t hops, const uint8_t *data, size_t len)
 {
   GError *err = NULL;
   mm_waiter *w = g_new0 (mm_waiter, 1);
@@ -376,8 +376,8 @@
   if (job)
     {
       mm_counters_add (e->counters, "jobs_taken_from_peers", 1);
-      take_request (e, w, job);
+      handle_job (e, w, job);
     }
   else
-    refuse_bad (e, w, err);
+    refuse_bad_request (e, w, err);
 }
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -18,7 +18,7 @@
 }
 
 static uint32_t
-index_of (const mm_entry *e, const mm_shard *shard)
+shard_index (const mm_entry *e, const mm_shard *shard)
 {
   uint32_t i = 0;
   while (e->shards[i] != shard)
@@ -29,12 +29,12 @@
 static bool
 is_suspect (const mm_entry *e, const char *peer)
 {
-  const mm_time_ms *at = g_hash_table_lookup (e->suspects, peer);
+  const mm_time_ms *at = g_hash_table_lookup (e->suspect_peers, peer);
   return at && mm_clock_now_ms () - *at < MM_PEER_SUSPECT_MS;
 }
 
 /**
- * mm_entry_suspect() - a peer did not answer.
+ * mm_entry_suspect_peer() - a peer did not answer.
  * @e: the entry instance.
  * @peer: its name.
  *
@@ -42,11 +42,11 @@
  * need not wait until the lagging member list drops a dead peer.
  */
 void
-mm_entry_suspect (mm_entry *e, const char *peer)
+mm_entry_suspect_peer (mm_entry *e, const char *peer)
 {
   mm_time_ms *at = g_new0 (mm_time_ms, 1);
   *at = mm_clock_now_ms ();
-  g_hash_table_insert (e->suspects, g_strdup (peer), at);
+  g_hash_table_insert (e->suspect_peers, g_strdup (peer), at);
 }
 
 static bool
@@ -59,7 +59,7 @@
 /* The rendezvous choice for a shard, suspects left out, and ourselves
    when we are leaving; NULL for us or nobody.  */
 static const char *
-chosen_owner (const mm_entry *e, uint32_t shard)
+rendezvous_owner (const mm_entry *e, uint32_t shard)
 {
   if (!e->live_entries)
     return NULL;
@@ -78,7 +78,7 @@
 }
 
 static mm_standing
-standing (const mm_entry *e, const char **peer)
+current_standing (const mm_entry *e, const char **peer)
 {
   return mm_contact_standing (e->contact, g_hash_table_size (e->peer_addrs),
                               mm_clock_now_ms (), peer);
@@ -100,7 +100,7 @@
   const char *contact_peer = NULL;
   if (hops >= MM_FORWARD_MAX_HOPS || !*e->settings.platform_url)
     return NULL;
-  if (standing (e, &contact_peer) == MM_STANDING_CUT
+  if (current_standing (e, &contact_peer) == MM_STANDING_CUT
       && is_routable (e, contact_peer))
     return contact_peer;
   if (mm_shard_held (s) && !e->shutting_down)
@@ -111,11 +111,11 @@
        || mm_contact_lost (e->contact, mm_clock_now_ms ()))
       && is_routable (e, mm_shard_holder (s)))
     return mm_shard_holder (s);
-  return chosen_owner (e, index_of (e, s));
+  return rendezvous_owner (e, shard_index (e, s));
 }
 
 /**
- * mm_entry_settle_holder() - a job stays here: who has its shard?
+ * mm_entry_check_holder() - a job stays here: who has its shard?
  * @e: the entry instance.
  * @job_id: the job.
  *
@@ -123,7 +123,7 @@
  * holder; when that one is gone, we take it back without waiting.
  */
 void
-mm_entry_settle_holder (mm_entry *e, const char *job_id)
+mm_entry_check_holder (mm_entry *e, const char *job_id)
 {
   mm_shard *s = mm_entry_shard_of (e, job_id);
   const char *holder = mm_shard_holder (s);
@@ -153,24 +153,24 @@
       {
         changed = true;
         mm_counters_add (e->counters, "peers_gone", 1);
-        mm_peer_drop (e->peer, addr);
+        mm_peer_drop (e->peer_links, addr);
       }
   if (changed)
     {
-      e->view_changed_ms = mm_clock_now_ms ();
-      e->view_checked = false;
+      e->peers_changed_ms = mm_clock_now_ms ();
+      e->shards_verified = false;
     }
 }
 
 static bool
-check_due (const mm_entry *e)
+verify_due (const mm_entry *e)
 {
-  return !e->view_checked
-         && mm_clock_now_ms () - e->view_changed_ms > 2 * MM_VIEW_SETTLE_MS;
+  return !e->shards_verified
+         && mm_clock_now_ms () - e->peers_changed_ms > 2 * MM_VIEW_SETTLE_MS;
 }
 
 static void
-checked (bool ours, void *ctx)
+ignore_verified (bool owned, void *ctx)
 {
 }
 
@@ -182,22 +182,22 @@
    later the log is asked about those we hold, as an idle one may have
    been taken from us without a word.  */
 static void
-align_shard (mm_entry *e, uint32_t i)
+align_with_members (mm_entry *e, uint32_t i)
 {
   mm_shard *s = e->shards[i];
   mm_time_ms now = mm_clock_now_ms ();
-  bool settled = now - e->view_changed_ms > MM_VIEW_SETTLE_MS;
+  bool settled = now - e->peers_changed_ms > MM_VIEW_SETTLE_MS;
   if (mm_shard_held (s))
     {
-      if (check_due (e))
-        mm_shard_verify (s, checked, NULL);
+      if (verify_due (e))
+        mm_shard_verify (s, ignore_verified, NULL);
     }
-  else if (!chosen_owner (e, i) && !mm_shard_yielded (s, now))
+  else if (!rendezvous_owner (e, i) && !mm_shard_yielded (s, now))
     mm_shard_take (s, !settled);
 }
 
 void
-mm_entry_contact_note (mm_entry *e, bool ok)
+mm_entry_record_contact (mm_entry *e, bool ok)
 {
   mm_contact_note (e->contact, ok, mm_clock_now_ms ());
 }
@@ -213,23 +213,23 @@
 }
 
 /**
- * mm_entry_prior() - may an earlier owner have run a job?
+ * mm_entry_earlier_accept() - may an earlier owner have run a job?
  * @e: the entry instance, which neither runs it nor has its answer.
  * @job_id: the job.
  */
-mm_prior
-mm_entry_prior (mm_entry *e, const char *job_id)
+mm_earlier_accept
+mm_entry_earlier_accept (mm_entry *e, const char *job_id)
 {
   mm_shard *s = mm_entry_shard_of (e, job_id);
   if (mm_shard_knows (s, job_id))
-    return MM_PRIOR_KNOWN;
+    return MM_EARLIER_ACCEPT_KNOWN;
   if (!*e->settings.platform_url)
-    return MM_PRIOR_NONE;
+    return MM_EARLIER_ACCEPT_NONE;
   if (!mm_shard_held (s)
       || (mm_shard_owner_gap (s)
           && (mm_shard_unwitnessed (s) || outage_within_ttl (e))))
-    return MM_PRIOR_MAYBE;
-  return MM_PRIOR_NONE;
+    return MM_EARLIER_ACCEPT_POSSIBLE;
+  return MM_EARLIER_ACCEPT_NONE;
 }
 
 typedef struct
@@ -253,9 +253,9 @@
 ping_peers (mm_entry *e)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  if (now - e->pinged_ms < MM_VOTE_VALID_MS / 3)
+  if (now - e->last_ping_ms < MM_VOTE_VALID_MS / 3)
     return;
-  e->pinged_ms = now;
+  e->last_ping_ms = now;
   GList *names = g_hash_table_get_keys (e->peer_addrs);
   for (GList *l = names; l; l = l->next)
     {
@@ -263,7 +263,8 @@
       p->entry = e;
       p->peer = g_strdup (l->data);
       mm_counters_add (e->counters, "pings", 1);
-      mm_peer_ping (e->peer, g_hash_table_lookup (e->peer_addrs, l->data),
+      mm_peer_ping (e->peer_links,
+                    g_hash_table_lookup (e->peer_addrs, l->data),
                     MM_PEER_PING_TIMEOUT_MS, ping_done, p);
     }
   g_list_free (names);
@@ -278,14 +279,14 @@
 
 /* One shard's step while the log does not answer, or after it failed.  */
 static void
-tend_shard (mm_entry *e, uint32_t i, mm_standing st, const char *peer)
+update_shard (mm_entry *e, uint32_t i, mm_standing standing, const char *peer)
 {
   mm_shard *s = e->shards[i];
-  switch (st)
+  switch (standing)
     {
     case MM_STANDING_CONTACT:
       if (!e->shutting_down && e->live_entries)
-        align_shard (e, i);
+        align_with_members (e, i);
       mm_shard_retry (s);
       break;
     case MM_STANDING_OUTAGE:
@@ -304,17 +305,17 @@
 }
 
 static void
-tick_cb (struct ev_loop *loop, ev_timer *w, int revents)
+shard_tick_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_entry *e = w->data;
   const char *peer = NULL;
   if (mm_contact_lost (e->contact, mm_clock_now_ms ()))
     ping_peers (e);
-  mm_standing st = standing (e, &peer);
+  mm_standing standing = current_standing (e, &peer);
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
-    tend_shard (e, i, st, peer);
-  if (check_due (e) && st == MM_STANDING_CONTACT)
-    e->view_checked = true;
+    update_shard (e, i, standing, peer);
+  if (verify_due (e) && standing == MM_STANDING_CONTACT)
+    e->shards_verified = true;
   if (e->shutting_down)
     ev_idle_start (loop, &e->shutdown_check);
 }
@@ -326,9 +327,9 @@
 }
 
 static void
-note_contact (bool ok, void *ctx)
+record_contact (bool ok, void *ctx)
 {
-  mm_entry_contact_note (ctx, ok);
+  mm_entry_record_contact (ctx, ok);
 }
 
 /* Guards against jobs that every instance served unrecorded in an outage
@@ -336,7 +337,7 @@
    outage.  Vanished owners' shards are taken within seconds, so whoever
    has been up for MM_WITNESS_MS was there in the earlier owner's time.  */
 static bool
-is_witnessed (void *ctx)
+has_witness (void *ctx)
 {
   const mm_entry *e = ctx;
   int64_t oldest = e->started_wall_ms;
@@ -348,7 +349,7 @@
 static bool
 in_outage (void *ctx)
 {
-  return standing (ctx, NULL) == MM_STANDING_OUTAGE;
+  return current_standing (ctx, NULL) == MM_STANDING_OUTAGE;
 }
 
 /**
@@ -359,13 +360,13 @@
 mm_entry_shards_start (mm_entry *e)
 {
   e->contact = mm_contact_create (mm_clock_now_ms ());
-  e->view_changed_ms = mm_clock_now_ms ();
+  e->peers_changed_ms = mm_clock_now_ms ();
   e->started_wall_ms = mm_clock_wall_ms ();
-  e->suspects
+  e->suspect_peers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   e->shard_env = (mm_shard_env){
     .loop = e->loop,
-    .http = e->platform,
+    .http = e->platform_client,
     .counters = e->counters,
     .platform_url = e->settings.platform_url,
     .datacentre = e->settings.datacentre,
@@ -376,16 +377,16 @@
     .ttl_ms = e->settings.done_ttl_ms,
     .accept_interval_ms = e->settings.accept_interval_ms,
     .fingerprint = listed_fingerprint,
-    .contact = note_contact,
+    .contact = record_contact,
     .outage = in_outage,
-    .witnessed = is_witnessed,
+    .witnessed = has_witness,
     .ctx = e,
   };
   e->shards = g_new0 (mm_shard *, e->settings.shards);
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
     e->shards[i] = mm_shard_create (&e->shard_env, i);
-  mm_peer_set_contact (e->peer, ping_status, e);
-  ev_timer_init (&e->shard_tick, tick_cb, MM_SHARD_TICK_MS / 1000.0,
+  mm_peer_set_contact (e->peer_links, ping_status, e);
+  ev_timer_init (&e->shard_tick, shard_tick_cb, MM_SHARD_TICK_MS / 1000.0,
                  MM_SHARD_TICK_MS / 1000.0);
   e->shard_tick.data = e;
   if (*e->settings.platform_url)
@@ -402,20 +403,20 @@
     mm_shard_destroy (e->shards[i]);
   g_free (e->shards);
   g_free (e->shard_env.incarnation);
-  g_hash_table_destroy (e->suspects);
+  g_hash_table_destroy (e->suspect_peers);
   mm_contact_destroy (e->contact);
 }
 
 static void
-limit_cb (struct ev_loop *loop, ev_timer *w, int revents)
+shutdown_limit_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_entry *e = w->data;
-  e->shutdown_late = true;
+  e->shutdown_limit_passed = true;
   ev_idle_start (loop, &e->shutdown_check);
 }
 
 /**
- * mm_entry_shards_released() - hand our shards over when shutting down.
+ * mm_entry_shards_release() - hand our shards over when shutting down.
  * @e: the entry instance; its jobs have ended.
  *
  * A release in the log tells the next owner that nothing unrecorded was
@@ -425,7 +426,7 @@
  * Return: true when no shard is held any more, or the limit has passed.
  */
 bool
-mm_entry_shards_released (mm_entry *e)
+mm_entry_shards_release (mm_entry *e)
 {
   uint32_t held = 0;
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
@@ -434,14 +435,14 @@
         held++;
         mm_shard_release (e->shards[i]);
       }
-  if (!held || e->shutdown_late)
+  if (!held || e->shutdown_limit_passed)
     return true;
-  if (!ev_is_active (&e->shutdown_limit))
+  if (!ev_is_active (&e->shutdown_limit_timer))
     {
-      ev_timer_init (&e->shutdown_limit, limit_cb,
+      ev_timer_init (&e->shutdown_limit_timer, shutdown_limit_cb,
                      MM_RELEASE_LIMIT_MS / 1000.0, 0.);
-      e->shutdown_limit.data = e;
-      ev_timer_start (e->loop, &e->shutdown_limit);
+      e->shutdown_limit_timer.data = e;
+      ev_timer_start (e->loop, &e->shutdown_limit_timer);
     }
   return false;
 }
@@ -460,5 +461,5 @@
     }
   cJSON_AddNumberToObject (o, "jobs_known_from_earlier_owners", known);
   cJSON_AddStringToObject (out, "standing",
-                           mm_standing_name (standing (e, NULL)));
+                           mm_standing_name (current_standing (e, NULL)));
 }
--- a/src/mm_pool.c
+++ b/src/mm_pool.c
@@ -21,7 +21,7 @@
 {
   GPtrArray *members; /* mm_pool_member * */
   uint32_t default_slots;
-  GQueue lists; /* listed_set *, newest first */
+  GQueue listed_sets; /* listed_set *, newest first */
 };
 
 /* The upstream incarnations of one member list.  */
@@ -31,7 +31,7 @@
   GArray *hashes; /* uint64_t, one for each */
 } listed_set;
 
-#define KEPT_LISTS 256
+#define MAX_REMEMBERED_LISTS 256
 
 static void
 free_member (gpointer data)
@@ -43,7 +43,7 @@
 }
 
 static void
-free_list (gpointer data)
+free_listed_set (gpointer data)
 {
   listed_set *l = data;
   g_array_free (l->hashes, TRUE);
@@ -56,7 +56,7 @@
   mm_pool *p = g_new0 (mm_pool, 1);
   p->members = g_ptr_array_new_with_free_func (free_member);
   p->default_slots = default_slots;
-  g_queue_init (&p->lists);
+  g_queue_init (&p->listed_sets);
   return p;
 }
 
@@ -66,7 +66,7 @@
   if (!p)
     return;
   g_ptr_array_free (p->members, TRUE);
-  g_queue_clear_full (&p->lists, free_list);
+  g_queue_clear_full (&p->listed_sets, free_listed_set);
   g_free (p);
 }
 
@@ -157,14 +157,14 @@
 uint64_t
 mm_pool_fingerprint (const mm_pool *p)
 {
-  uint64_t sum = 0;
+  uint64_t hash_xor = 0;
   for (guint i = 0; i < p->members->len; i++)
     {
       const mm_pool_member *m = p->members->pdata[i];
       if (m->listed)
-        sum ^= mm_pool_fingerprint_of (m->name, m->boot_ms);
+        hash_xor ^= mm_pool_fingerprint_of (m->name, m->boot_ms);
     }
-  return sum;
+  return hash_xor;
 }
 
 /**
@@ -195,9 +195,9 @@
 }
 
 static listed_set *
-find_list (const mm_pool *p, uint64_t fingerprint)
+find_listed_set (const mm_pool *p, uint64_t fingerprint)
 {
-  for (GList *l = p->lists.head; l; l = l->next)
+  for (GList *l = p->listed_sets.head; l; l = l->next)
     if (((listed_set *)l->data)->fingerprint == fingerprint)
       return l->data;
   return NULL;
@@ -214,7 +214,7 @@
 mm_pool_list_end (mm_pool *p)
 {
   uint64_t fingerprint = mm_pool_fingerprint (p);
-  if (find_list (p, fingerprint))
+  if (find_listed_set (p, fingerprint))
     return;
   listed_set *l = g_new0 (listed_set, 1);
   l->fingerprint = fingerprint;
@@ -226,9 +226,9 @@
       if (m->listed)
         g_array_append_val (l->hashes, hash);
     }
-  g_queue_push_head (&p->lists, l);
-  if (p->lists.length > KEPT_LISTS)
-    free_list (g_queue_pop_tail (&p->lists));
+  g_queue_push_head (&p->listed_sets, l);
+  if (p->listed_sets.length > MAX_REMEMBERED_LISTS)
+    free_listed_set (g_queue_pop_tail (&p->listed_sets));
 }
 
 /**
@@ -243,7 +243,7 @@
 bool
 mm_pool_covers (const mm_pool *p, GHashTable *hashes, uint64_t fingerprint)
 {
-  const listed_set *l = find_list (p, fingerprint);
+  const listed_set *l = find_listed_set (p, fingerprint);
   if (l)
     {
       for (guint i = 0; i < l->hashes->len; i++)
@@ -252,17 +252,17 @@
           return false;
       return true;
     }
-  uint64_t sum = 0;
+  uint64_t hash_xor = 0;
   GHashTableIter it;
   gpointer hash;
   g_hash_table_iter_init (&it, hashes);
   while (g_hash_table_iter_next (&it, &hash, NULL))
-    sum ^= *(uint64_t *)hash;
-  return sum == fingerprint;
+    hash_xor ^= *(uint64_t *)hash;
+  return hash_xor == fingerprint;
 }
 
 /**
- * mm_pool_worth_asking() - may an upstream know of a job of the last
+ * mm_pool_listed_within() - may an upstream know of a job of the last
  * @ttl_ms?
  * @p: the pool.
  * @i: the upstream.
@@ -270,15 +270,15 @@
  * @ttl_ms: how far back.
  */
 bool
-mm_pool_worth_asking (const mm_pool *p, int i, mm_time_ms now,
-                      mm_time_ms ttl_ms)
+mm_pool_listed_within (const mm_pool *p, int i, mm_time_ms now,
+                       mm_time_ms ttl_ms)
 {
   const mm_pool_member *m = p->members->pdata[i];
   return m->listed || now - m->unlisted_ms < ttl_ms;
 }
 
 static bool
-takes_work (mm_pool_member *m, mm_time_ms now)
+accepts_tasks (mm_pool_member *m, mm_time_ms now)
 {
   if (m->state == MM_UPSTREAM_EJECTED && now >= m->ejected_until_ms)
     m->state = MM_UPSTREAM_ON_TRIAL;
@@ -333,7 +333,7 @@
   for (guint i = 0; i < p->members->len; i++)
     {
       mm_pool_member *m = p->members->pdata[i];
-      if (!takes_work (m, now) || m->in_flight >= usable_slots (m))
+      if (!accepts_tasks (m, now) || m->in_flight >= usable_slots (m))
         continue;
       uint32_t free_slots = usable_slots (m) - m->in_flight;
       if (free_slots > best_free)
@@ -418,7 +418,7 @@
   for (guint i = 0; i < p->members->len; i++)
     {
       mm_pool_member *m = p->members->pdata[i];
-      if (takes_work (m, now) && m->in_flight < usable_slots (m))
+      if (accepts_tasks (m, now) && m->in_flight < usable_slots (m))
         n += usable_slots (m) - m->in_flight;
     }
   return n;
@@ -438,7 +438,7 @@
   for (guint i = 0; i < p->members->len; i++)
     {
       mm_pool_member *m = p->members->pdata[i];
-      if (takes_work (m, now))
+      if (accepts_tasks (m, now))
         n += usable_slots (m);
     }
   return n;
--- a/src/mm_pool.h
+++ b/src/mm_pool.h
@@ -45,8 +45,8 @@
                  uint32_t slots, int64_t boot_ms);    /* or refresh; index */
 void mm_pool_list_begin (mm_pool *p, mm_time_ms now); /* a whole list */
 void mm_pool_list_end (mm_pool *p);                   /* has been added */
-bool mm_pool_worth_asking (const mm_pool *p, int i, mm_time_ms now,
-                           mm_time_ms ttl_ms);   /* may know of old jobs */
+bool mm_pool_listed_within (const mm_pool *p, int i, mm_time_ms now,
+                            mm_time_ms ttl_ms);  /* may know of old jobs */
 uint64_t mm_pool_fingerprint (const mm_pool *p); /* listed upstreams */
 bool mm_pool_covers (const mm_pool *p, GHashTable *hashes,
                      uint64_t fingerprint); /* did all of them report? */
