--- a/src/mm_entry.c
+++ b/src/mm_entry.c
@@ -1,7 +1,8 @@
-/* mm_entry: an entry instance.  Callers POST /v1/jobs and get the whole
-   answer; GET /v1/state dumps the instance; GET /v1/health says whether
-   it takes work.  Settings come from TOML (mm_entry_setting_specs);
-   what operators change at run time comes through the config stream.  */
+/* mm_entry: an entry instance.  Callers POST /v1/jobs and get one complete
+   answer.  GET /v1/state dumps the state of the instance, GET /v1/health
+   answers whether it accepts jobs.  Settings come from TOML
+   (mm_entry_setting_specs); the configuration that operators change at run
+   time comes from the config stream.  */
 #include "config.h"
 #include "mm_entry_priv.h"
 
@@ -154,7 +155,7 @@
 
 /**
  * mm_entry_create() - start an entry instance.
- * @loop: its loop.
+ * @loop: the event loop that it runs on.
  * @s: settings, copied.
  * @error: MM_ERROR_IO when a port cannot be bound.
  *
@@ -242,9 +243,9 @@
  * @done: called once no job, request or upstream call is open.
  * @ctx: context pointer for @done.
  *
- * The member list hears "leaving" at once, so the balancer and peers stop
- * sending; new jobs are refused as not run with a Retry-After; jobs in
- * flight run to their answer.
+ * A heartbeat with the state "leaving" goes to the member list at once, so
+ * that the balancer and peers stop sending.  New jobs are refused as not run
+ * with a Retry-After.  Jobs in flight run until they are answered.
  */
 void
 mm_entry_shutdown (mm_entry *e, void (*done) (void *), void *ctx)
@@ -259,7 +260,7 @@
 }
 
 /**
- * mm_entry_dump() - the instance's state.
+ * mm_entry_dump() - dump the state of the instance.
  * @e: the instance.
  *
  * Return: JSON text (settings, config head, upstreams, jobs, counters);
--- a/src/mm_entry_admit.c
+++ b/src/mm_entry_admit.c
@@ -1,6 +1,13 @@
-/* mm_entry_admit: whether a job fits, decided whole and at once.  */
+/* mm_entry_admit: admits or refuses a complete job before any of its tasks
+   is started.  */
 #include "mm_entry_priv.h"
 
+/**
+ * mm_entry_first_deadline_ms() - shortest deadline of a job's tasks.
+ * @job: the job.
+ *
+ * Return: milliseconds from the submission.
+ */
 mm_time_ms
 mm_entry_first_deadline_ms (const mm_job *job)
 {
@@ -10,8 +17,8 @@
   return d;
 }
 
-/* How long until the last task of a new job could start, if every live
-   slot works through the queue at the observed run time.  */
+/* Estimates how long the last task of a new job waits for its start, if
+   all usable slots work through the queue at the average run time.  */
 static mm_time_ms
 expected_wait_ms (mm_entry *e, uint32_t n_tasks)
 {
@@ -31,10 +38,12 @@
 }
 
 /**
- * mm_entry_admit() - does a job fit?
+ * mm_entry_admit() - decide whether a job is admitted.
  * @e: the entry instance.
- * @job: the job, new to us.
- * @r: filled in when it does not, with a time to come back.
+ * @job: a job that this instance does not have yet.
+ * @r: set when the job is refused; retry_after_s says when to submit again.
+ *
+ * Return: true when the job is admitted.
  */
 bool
 mm_entry_admit (mm_entry *e, const mm_job *job, mm_refusal *r)
@@ -50,9 +59,9 @@
                    retry_s);
   if (mm_pool_size (e->pool) == 0)
     return refuse (r, 503, MM_ERROR_UPSTREAM, "no upstream known", retry_s);
-  /* Guard against answering only at the deadline: a job that the queue
-     ahead of it would push past its first deadline is refused now, with
-     the expected wait as its time to come back.  */
+  /* A job whose expected wait exceeds its first deadline is refused now
+     instead of failing at the deadline.  Its Retry-After is the expected
+     wait.  */
   if (expected_ms > mm_entry_first_deadline_ms (job))
     return refuse (
         r, 503, MM_ERROR_OVERLOADED,
--- a/src/mm_entry_answer.c
+++ b/src/mm_entry_answer.c
@@ -1,19 +1,20 @@
-/* mm_entry_answer: a job's one answer, and keeping it for resubmits.  */
+/* mm_entry_answer: builds the single answer of a job and keeps it for
+   resubmits.  */
 #include "mm_entry_priv.h"
 
 typedef struct
 {
   char *job_id;
-  mm_time_ms at_ms;
+  mm_time_ms stored_ms;
 } kept_answer;
 
 /**
- * mm_entry_answer_json() - the whole answer of a job.
+ * mm_entry_answer_json() - build the complete answer of a job.
  * @ej: the job.
  * @status: "complete" or "failed".
  * @code: mm_error_code of a failure.
- * @why: what failed, or NULL.
- * @retry_after_s: when to come back after a failure.
+ * @why: message of a failure, or NULL.
+ * @retry_after_s: when to submit again after a failure.
  *
  * Return: JSON text, free with free().
  */
@@ -51,13 +52,13 @@
 }
 
 /**
- * mm_entry_answer_store() - keep a finished job's answer for done_ttl_ms.
+ * mm_entry_answer_store() - store the answer of a finished job.
  * @e: the entry instance.
  * @job_id: the job, copied.
- * @answer: from mm_entry_answer_json(), taken.
+ * @answer: from mm_entry_answer_json(); ownership is taken.
  *
- * A resubmit in that time gets it without running anything; after that
- * it goes, so memory stays bounded by the answers of done_ttl_ms.
+ * A resubmit within done_ttl_ms gets this answer and runs nothing.  Then the
+ * answer is dropped, which bounds memory to the answers of done_ttl_ms.
  */
 void
 mm_entry_answer_store (mm_entry *e, const char *job_id, char *answer)
@@ -65,7 +66,7 @@
   g_hash_table_insert (e->answers, g_strdup (job_id), answer);
   kept_answer *k = g_new0 (kept_answer, 1);
   k->job_id = g_strdup (job_id);
-  k->at_ms = mm_clock_now_ms ();
+  k->stored_ms = mm_clock_now_ms ();
   g_queue_push_tail (&e->answer_order, k);
 }
 
@@ -74,7 +75,8 @@
 {
   mm_time_ms now = mm_clock_now_ms ();
   kept_answer *k;
-  while ((k = g_queue_peek_head (&e->answer_order)) && now - k->at_ms > ttl_ms)
+  while ((k = g_queue_peek_head (&e->answer_order))
+         && now - k->stored_ms > ttl_ms)
     {
       g_queue_pop_head (&e->answer_order);
       g_hash_table_remove (e->answers, k->job_id);
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -1,28 +1,30 @@
-/* mm_entry_job: a job on an entry instance, from accept to answer.
-
-   First the job is recorded in its shard's log (ACCEPTING), so that
-   whoever owns the shard later knows of it.  If an earlier owner had it,
-   the upstreams are asked what already ran (RECOVERING).  Then its tasks
-   wait in one FIFO queue and go out only into free upstream slots
-   (RUNNING).  The answer is built once, when every task has a result
-   (complete) or when the job can no longer complete (failed): never a
-   partial answer.  Every caller that submitted the same job id gets that
-   same whole answer.  */
+/* mm_entry_job: a job on an entry instance, from its acceptance to its
+   answer.
+
+   First the job is recorded in its shard's log (ACCEPTING), so that later
+   owners of the shard know of it.  If an earlier owner may have accepted it,
+   the upstreams report what already ran (RECOVERING).  Then its tasks wait
+   in one FIFO queue and are sent only into free upstream slots (RUNNING).
+   The answer is built once, when every task has a result (complete) or when
+   the job can no longer complete (failed); there are no partial answers.
+   Every caller that submitted the same job id gets that same answer.  */
 #include "mm_entry_priv.h"
 
 #include <string.h>
 
+/* An entry of the queue of tasks that wait for a slot.  */
 typedef struct
 {
   mm_entry_job *ej;
-  uint32_t index;
+  uint32_t index; /* of the task in the job */
 } queued_task;
 
+/* Context of a call that runs a task on an upstream.  */
 typedef struct
 {
   mm_entry_job *ej;
-  uint32_t index;
-  int upstream;
+  uint32_t index; /* of the task in the job */
+  int upstream;   /* index in the pool */
 } send_ctx;
 
 void
@@ -50,7 +52,7 @@
   mm_quota_add (e->quota, ej->job->team, -1);
 }
 
-/* Out of the table, for good; late calls find it FINISHED.  */
+/* Removes the job from the table.  Calls that end later find it FINISHED.  */
 static void
 job_remove (mm_entry_job *ej)
 {
@@ -93,9 +95,10 @@
   return t->state == MM_TASK_PENDING && t->attempts == 0;
 }
 
-/* Settle every task that has no final state.  One that we never sent is
-   "not run" only when @ours: no other instance can have sent it.
-   Return: tasks that ran or may have run.  */
+/* Gives every task without a final state one.  A task that was never sent
+   from here is "not run" only when @owned, as no other instance can have sent
+   it then; otherwise it is "unknown".  Returns the number of tasks that ran
+   or may have run.  */
 static uint32_t
 finish_open_tasks (mm_entry_job *ej, bool owned)
 {
@@ -156,13 +159,13 @@
  * mm_entry_job_fail() - end a job that can no longer complete.
  * @ej: the job.
  * @code: mm_error_code.
- * @why: told to the callers; a constant string.
+ * @why: message for the callers; a constant string.
  *
- * Guards against calling a task "not run" that a later owner has run:
- * we may have been frozen and replaced without knowing.  If there is
- * such a claim to make, the log is first asked whether the shard is
- * still ours, which takes one call, MM_VERIFY_TIMEOUT_MS at most.  A job
- * of which nothing ran is not kept: a resubmit may run it.
+ * This instance may have been frozen and replaced without noticing.  Before
+ * its answer calls any task "not run", which a later owner may have run, the
+ * log confirms that this instance still owns the shard.  That takes one call
+ * of at most MM_VERIFY_TIMEOUT_MS.  The answer of a job of which nothing ran
+ * is not kept, so that a resubmit may run the job.
  */
 void
 mm_entry_job_fail (mm_entry_job *ej, int code, const char *why)
@@ -186,12 +189,12 @@
 }
 
 /**
- * mm_entry_job_moved() - another instance owns the job now.
- * @ej: the job; it ends here without an answer of ours.
- * @holder: the instance that has it, or NULL when unknown.
+ * mm_entry_job_moved() - leave a job to the instance that owns it now.
+ * @ej: the job; it ends here without an answer from this instance.
+ * @holder: the new owner, or NULL when not known.
  *
- * Every waiter's request goes on to the new owner, which finds out at
- * the upstreams what we started.
+ * Every waiting request is routed to the new owner, which finds out from the
+ * upstreams what this instance started.
  */
 void
 mm_entry_job_moved (mm_entry_job *ej, const char *holder)
@@ -254,9 +257,9 @@
 }
 
 /**
- * mm_entry_handle_task_outcome() - what became of a task that was sent.
- * @ej: its job, not finished; may be finished and freed by this call
- *      unless the caller holds a reference.
+ * mm_entry_handle_task_outcome() - finish a sent task, or send it again.
+ * @ej: its job, not finished; this call may finish and free it, unless the
+ *      caller holds a reference.
  * @t: the task, RUNNING.
  * @o: the outcome.
  * @result: with MM_OUTCOME_OK, the task's result, copied.
@@ -277,15 +280,16 @@
       if (--ej->remaining == 0)
         job_complete (ej);
       return;
-    /* Refused before start or never reached: it did not run, so sending
-       it elsewhere cannot start it twice, idempotent or not.  */
+    /* The task was refused before its start or never reached the upstream.
+       It did not run, so sending it elsewhere cannot start it twice, whether
+       it is idempotent or not.  */
     case MM_OUTCOME_REFUSED:
     case MM_OUTCOME_UNREACHABLE:
       t->attempts--;
       requeue (ej, t, "resends_not_run");
       return;
-    /* A later owner has raised the job's epoch at the upstream: we were
-       replaced, e.g. while this process was frozen.  */
+    /* A later owner has raised the job's epoch at the upstream: it replaced
+       this instance, for example while this process was frozen.  */
     case MM_OUTCOME_FENCED:
       t->attempts--;
       t->state = MM_TASK_PENDING;
@@ -296,7 +300,7 @@
     case MM_OUTCOME_LOST:
       break;
     }
-  /* It ran and failed, or it may have run: only an idempotent task may
+  /* The task ran and failed, or may have run.  Only an idempotent task may
      run again, and only within the retry budget.  */
   if (t->idempotent && t->attempts <= (uint32_t)k->retry_budget)
     {
@@ -313,12 +317,13 @@
 }
 
 /**
- * mm_entry_handle_upstream_outcome() - a task's end, for the upstream's
- * record.
+ * mm_entry_handle_upstream_outcome() - record a task's end for its upstream.
  * @e: the entry instance.
  * @upstream: its index in the pool.
- * @o: what became of the task.
+ * @o: the outcome of the task.
  * @mode_seq: with MM_OUTCOME_REFUSED, the upstream's mode_seq.
+ *
+ * The peers are notified when this outcome ejects the upstream.
  */
 void
 mm_entry_handle_upstream_outcome (mm_entry *e, int upstream, mm_outcome o,
@@ -421,7 +426,7 @@
 
 /**
  * mm_entry_job_run() - queue the job's pending tasks.
- * @ej: the job, accepted, and recovered if need be.
+ * @ej: the job, accepted, and recovered if an earlier owner may have run it.
  */
 void
 mm_entry_job_run (mm_entry_job *ej)
@@ -466,10 +471,10 @@
 }
 
 /**
- * mm_entry_job_start() - take a job on.
+ * mm_entry_job_start() - accept a job.
  * @e: the entry instance.
- * @w: who waits for its answer; taken.
- * @job: the job; taken.
+ * @w: the request that waits for its answer; ownership is taken.
+ * @job: the job; ownership is taken.
  */
 void
 mm_entry_job_start (mm_entry *e, mm_waiter *w, mm_job *job)
@@ -500,7 +505,7 @@
 }
 
 /**
- * mm_entry_jobs_dump() - jobs in progress, for the state dump.
+ * mm_entry_jobs_dump() - list the jobs in progress for the state dump.
  * @e: the entry instance.
  *
  * Return: JSON text, free with free().
@@ -533,7 +538,8 @@
 }
 
 /**
- * mm_entry_jobs_free() - drop every job, for destroy.
+ * mm_entry_jobs_free() - free all jobs and answers when the instance is
+ * destroyed.
  * @e: the entry instance; its loop no longer runs.
  */
 void
--- a/src/mm_entry_news.c
+++ b/src/mm_entry_news.c
@@ -1,7 +1,9 @@
-/* mm_entry_news: what the instances of a data centre tell each other, over
-   their peer links and without answers: how much of their quota teams use
-   (mm_quota.c), and which upstream fails its tasks (mm_pool.c).  Lost
-   news costs a little accuracy, never a promise.  */
+/* mm_entry_notify: notifications between the instances of a data centre,
+   sent over their peer links without answers.  They report how many tasks
+   teams have, counted against the quotas (mm_quota.c), and which upstream
+   was ejected because it failed its tasks (mm_pool.c).  A notification that
+   is lost makes quotas and placement a little less accurate, but violates no
+   guarantee.  */
 #include "config.h"
 #include "mm_entry_priv.h"
 
@@ -22,7 +24,7 @@
 }
 
 /**
- * mm_entry_notify_ejected() - an upstream failed us too often.
+ * mm_entry_notify_ejected() - notify the peers that an upstream was ejected.
  * @e: the entry instance.
  * @upstream: its name.
  */
@@ -84,7 +86,7 @@
 }
 
 /**
- * mm_entry_notify_start() - tell peers our news, and listen for theirs.
+ * mm_entry_notify_start() - start sending and receiving notifications.
  * @e: the entry instance.
  */
 void
--- a/src/mm_entry_platform.c
+++ b/src/mm_entry_platform.c
@@ -1,11 +1,10 @@
-/* mm_entry_platform: what an entry instance does with the platform's
-   service: heartbeats into the member list, upstreams and peers taken
-   from that (lagging) list, and the config stream read in log order.
+/* mm_entry_platform: an entry instance's use of the platform's service.  It
+   sends heartbeats to the member list, reads upstreams and peers from that
+   list, which lags, and reads the config stream in log order.
 
-   When the platform is down, all of this simply fails and is retried on
-   the next tick: the instance keeps its last upstreams and its last
-   configuration, and goes on serving (a cut-off data centre serves what
-   it can).  */
+   While the platform is down, each call fails and is retried on the next
+   tick.  The instance keeps its last upstreams and its last configuration
+   and goes on serving, so a disconnected data centre serves what it can.  */
 #include "mm_entry_priv.h"
 
 #include <cJSON.h>
@@ -22,11 +21,11 @@
 }
 
 /**
- * mm_entry_heartbeat_now() - tell the member list we are here.
+ * mm_entry_heartbeat_now() - send a heartbeat to the member list.
  * @e: the entry instance.
  *
- * Carries our state (live or leaving) and the config offset in force,
- * which operators and starting peers read.
+ * A heartbeat carries the state of this instance (live or leaving) and the
+ * config offset in force, which operators and starting peers read.
  */
 void
 mm_entry_heartbeat_now (mm_entry *e)
@@ -86,13 +85,13 @@
                      cJSON_IsNumber (seq) ? (int64_t)seq->valuedouble : 0);
 }
 
-/* Add the peers of the list before that the new one lacks.  */
+/* Adds the peers of the previous list that are missing in the new one.  */
 static void
-add_missing_peers (mm_entry *e, GHashTable *before, GPtrArray *names)
+add_missing_peers (mm_entry *e, GHashTable *old_addrs, GPtrArray *names)
 {
   GHashTableIter it;
   gpointer name, addr;
-  g_hash_table_iter_init (&it, before);
+  g_hash_table_iter_init (&it, old_addrs);
   while (g_hash_table_iter_next (&it, &name, &addr))
     if (!g_hash_table_contains (e->peer_addrs, name))
       {
@@ -101,12 +100,12 @@
       }
 }
 
-/* What one reading of the member list says of our peers.  */
+/* The peers as one member list shows them.  */
 typedef struct
 {
-  GPtrArray *names;          /* live instances of our data centre, and us */
-  int64_t config_max;        /* the highest offset in force, -1 none */
-  int64_t oldest_started_ms; /* INT64_MAX: no peer says */
+  GPtrArray *names;          /* live instances of the data centre, with this */
+  int64_t config_max;        /* highest config offset in force, -1 none */
+  int64_t oldest_started_ms; /* earliest start, INT64_MAX none */
 } peer_view;
 
 static int64_t
@@ -140,16 +139,16 @@
       = MAX (e->peer_outage_wall_ms, get_number (m, "outage_ms", 0));
 }
 
-/* A whole new member list.  */
+/* Applies a complete new member list.  */
 static void
 apply_members (mm_entry *e, const cJSON *list)
 {
-  /* Guards against the short list right after an outage, when living
-     members had expired: until they had time to come back, the list only
-     adds.  It is read whole again on the next poll.  */
+  /* Right after an outage of the platform the list lacks live members that
+     expired during the outage.  Until these had time to return, the list only
+     adds members, and the next poll reads it in full again.  */
   bool incomplete = mm_contact_list_unsure (e->contact, mm_clock_now_ms ());
   e->members_version = incomplete ? -1 : get_number (list, "version", -1);
-  GHashTable *before = e->peer_addrs;
+  GHashTable *old_addrs = e->peer_addrs;
   e->peer_addrs
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   peer_view view = { .names = g_ptr_array_new (),
@@ -169,7 +168,7 @@
         apply_peer (e, m, &view);
     }
   if (incomplete)
-    add_missing_peers (e, before, view.names);
+    add_missing_peers (e, old_addrs, view.names);
   mm_pool_list_end (e->pool);
   g_ptr_array_add (view.names, NULL);
   g_strfreev (e->live_entries);
@@ -177,8 +176,8 @@
   e->peers_max_config_offset = view.config_max;
   e->peers_started_wall_ms
       = view.oldest_started_ms == INT64_MAX ? 0 : view.oldest_started_ms;
-  mm_entry_peers_changed (e, before);
-  g_hash_table_destroy (before);
+  mm_entry_peers_changed (e, old_addrs);
+  g_hash_table_destroy (old_addrs);
 }
 
 static void
@@ -206,9 +205,9 @@
 member_poll_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_entry *e = w->data;
-  /* Only our data centre, and only when it changed: a full list of the
-     whole fleet on every poll would break the control-traffic budget
-     (docs/CAPACITY.md).  */
+  /* Requests only the members of this data centre, and only when the list
+     has changed.  Reading the list of the whole fleet on every poll would
+     exceed the budget for control traffic (docs/CAPACITY.md).  */
   char *url = g_strdup_printf (
       "%s/v1/members?datacentre=%s&since=%" G_GINT64_FORMAT,
       e->settings.platform_url, e->settings.datacentre, e->members_version);
@@ -222,14 +221,14 @@
 {
   char *text = cJSON_PrintUnformatted (data);
   GError *err = NULL;
-  int64_t before = mm_cfg_head (e->cfg);
+  int64_t old_head = mm_cfg_head (e->cfg);
   if (mm_cfg_offer (e->cfg, offset, text, &err))
     {
       e->head_refreshed_ms = mm_clock_now_ms ();
       mm_counters_add (e->counters, "config_applied", 1);
       g_message ("config %" G_GINT64_FORMAT " in force (was %" G_GINT64_FORMAT
                  ")",
-                 offset, before);
+                 offset, old_head);
     }
   else if (err)
     {
@@ -241,8 +240,10 @@
   free (text);
 }
 
-/* A fresh instance whose log window no longer starts at 0 adopts the
-   head that live peers report, else the last snapshot in the window.  */
+/* Adopts a head config at the start, when the log no longer holds the records
+   from offset 0: the head that live peers report, or the last snapshot in the
+   log when none reports one.  Returns the offset of the record, or -1 when
+   there is none.  */
 static int64_t
 adopt_head (mm_entry *e, const cJSON *records)
 {
@@ -284,8 +285,9 @@
       res->status == 200 ? "config_snapshots" : "config_snapshots_failed", 1);
 }
 
-/* Before retention drops the head, one live instance (the rendezvous
-   owner of "config-snapshot") appends it again as a snapshot.  */
+/* Appends the head config again as a snapshot before the log's retention
+   drops it.  One live instance does so, the rendezvous owner of
+   "config-snapshot".  */
 static void
 append_snapshot_if_due (mm_entry *e)
 {
--- a/src/mm_entry_priv.h
+++ b/src/mm_entry_priv.h
@@ -1,4 +1,4 @@
-/* The entry instance's internals, shared by its source files.  */
+/* Internals of the entry instance, shared by its source files.  */
 #ifndef MM_ENTRY_PRIV_H
 #define MM_ENTRY_PRIV_H
 
@@ -11,13 +11,13 @@
 
 #include <cJSON.h>
 
-/* Who waits for a job's answer: a caller on HTTP, or a peer instance
-   that forwarded the job to us.  */
+/* A request that waits for a job's answer: from a caller on HTTP, or from a
+   peer instance that forwarded the job.  */
 typedef struct
 {
-  mm_http_request *http; /* NULL for a peer */
-  uint64_t conn_id;      /* peer link */
-  uint64_t req_id;       /* peer request */
+  mm_http_request *http; /* the caller's request, NULL for a peer */
+  uint64_t conn_id;      /* link to the peer */
+  uint64_t req_id;       /* request id of the peer */
   uint32_t hops;         /* how often the job was forwarded */
 } mm_waiter;
 
@@ -26,17 +26,18 @@
 
 typedef enum
 {
-  MM_JOB_ACCEPTING,  /* its record is on the way to the log */
-  MM_JOB_RECOVERING, /* asking the upstreams what already ran */
+  MM_JOB_ACCEPTING,  /* its record is being appended to the log */
+  MM_JOB_RECOVERING, /* the upstreams report what already ran */
   MM_JOB_RUNNING,    /* its tasks are queued or sent */
-  MM_JOB_FAILING,    /* nothing more is sent; the log is asked who owns it */
-  MM_JOB_FINISHED    /* answered; late task answers are dropped */
+  MM_JOB_FAILING,    /* nothing more is sent; the log confirms the owner */
+  MM_JOB_FINISHED    /* answered; later answers of tasks are dropped */
 } mm_job_phase;
 
-/* May an earlier owner have run a job that is new to us?  */
+/* Whether an earlier owner may have run a job that this instance does not
+   have.  */
 typedef enum
 {
-  MM_EARLIER_ACCEPT_NONE,     /* no: it is in no record, and none is missing */
+  MM_EARLIER_ACCEPT_NONE,     /* no: no record of it, and none is missing */
   MM_EARLIER_ACCEPT_POSSIBLE, /* records may be missing, or are not read yet */
   MM_EARLIER_ACCEPT_KNOWN     /* an earlier owner accepted it */
 } mm_earlier_accept;
@@ -50,14 +51,14 @@
   GPtrArray *waiters; /* mm_waiter * */
   mm_job_phase phase;
   mm_earlier_accept earlier_accept;
-  int fail_code; /* a failure that waits for the log's word */
-  const char *fail_why;
-  int64_t epoch;         /* carried by its task starts */
+  int fail_code;         /* mm_error_code of the failure, while FAILING */
+  const char *fail_why;  /* message of the failure; a constant string */
+  int64_t epoch;         /* sent with each of its tasks */
   uint64_t fingerprint;  /* upstreams listed when it was accepted */
   uint32_t remaining;    /* tasks without a final state */
-  uint32_t refs;         /* table + queue entries + calls in flight */
-  mm_recovery *recovery; /* while RECOVERING or polling */
-  ev_timer deadline;
+  uint32_t refs;         /* references: table, queue entries, open calls */
+  mm_recovery *recovery; /* set by mm_entry_recover(), else NULL */
+  ev_timer deadline;     /* the first deadline of its tasks */
 } mm_entry_job;
 
 struct mm_entry
@@ -69,48 +70,47 @@
   mm_http_client *platform_client; /* calls to the platform's service */
   mm_peer *peer_links;             /* links to the other entry instances */
   GHashTable *peer_addrs;          /* live entry name -> "host:peer_port" */
-  GHashTable *suspect_peers;       /* entry name -> mm_time_ms it failed us */
+  GHashTable *suspect_peers; /* entry name -> mm_time_ms of its failure */
   mm_counters *counters;
   mm_pool *pool;
   mm_cfg *cfg;
   mm_contact *contact;
   mm_shard_env shard_env;
-  mm_shard **shards; /* settings.shards of them */
+  mm_shard **shards; /* array of settings.shards */
   ev_timer shard_tick;
-  mm_time_ms last_ping_ms;
+  mm_time_ms last_ping_ms;       /* when the peers were last pinged */
   mm_time_ms peers_changed_ms;   /* when the set of peers last changed */
-  bool shards_verified;          /* held shards were verified since */
+  bool shards_verified;          /* held shards were verified after that */
   int64_t peer_outage_wall_ms;   /* latest outage that peers report */
-  int64_t started_wall_ms;       /* our start */
-  int64_t peers_started_wall_ms; /* the longest-running live peer\'s, or 0 */
+  int64_t started_wall_ms;       /* start of this process */
+  int64_t peers_started_wall_ms; /* earliest start of a live peer, 0 none */
   GHashTable *jobs;              /* job id -> mm_entry_job, not finished */
-  GHashTable *answers;           /* job id -> finished answer (JSON) */
-  GQueue answer_order;           /* kept_answer *, oldest first */
+  GHashTable *answers; /* job id -> answer of a finished job (JSON) */
+  GQueue answer_order; /* kept_answer *, oldest first */
   ev_timer answer_sweep;
   mm_quota *quota;
   ev_timer quota_report;
-  GQueue queue;          /* task_ref *, waiting for a slot */
-  uint32_t tasks_queued; /* waiting or running */
-  double run_ewma_ms;    /* observed task run time, moving mean */
+  GQueue queue;          /* queued_task *, waiting for a slot */
+  uint32_t tasks_queued; /* tasks that wait or run */
+  double run_ewma_ms;    /* moving average of the tasks' run times */
   ev_timer heartbeat;
   ev_timer member_poll;
   ev_timer config_poll;
-  bool config_poll_pending;
-  int64_t config_cursor;        /* next config offset to read */
-  mm_time_ms head_refreshed_ms; /* when the head config was applied */
-  int64_t
-      peers_max_config_offset; /* highest config offset live peers report */
-  char **live_entries;         /* names of live entry instances in the DC */
-  int64_t members_version;     /* version of the list last read, -1 none */
+  bool config_poll_pending;        /* a read of the config stream is open */
+  int64_t config_cursor;           /* next config offset to read */
+  mm_time_ms head_refreshed_ms;    /* last apply or append of the head */
+  int64_t peers_max_config_offset; /* highest that live peers report */
+  char **live_entries;     /* live entry instances of the data centre */
+  int64_t members_version; /* version of the last member list, -1: read all */
   bool shutting_down;
   void (*shutdown_done) (void *);
   void *shutdown_ctx;
   ev_idle shutdown_check;
-  ev_timer shutdown_limit_timer; /* hand-over of shards waits no longer */
+  ev_timer shutdown_limit_timer; /* limits the release of shards */
   bool shutdown_limit_passed;
 };
 
-/* mm_entry_route.c: where a request's job goes */
+/* mm_entry_route.c: routes each request to the owner of its job */
 void mm_entry_submit (mm_entry *e, mm_http_request *req);
 void mm_entry_submit_forwarded (mm_entry *e, uint64_t conn_id, uint64_t req_id,
                                 uint32_t hops, const uint8_t *data,
@@ -120,32 +120,32 @@
 void mm_entry_refuse (mm_entry *e, const mm_waiter *w, unsigned status,
                       int code, const char *why, uint32_t retry_after_s);
 void mm_entry_reroute (mm_entry *e, mm_waiter *w, const mm_job *job,
-                       const char *holder); /* takes w */
+                       const char *holder); /* takes ownership of w */
 
-/* mm_entry_admit.c: does a job fit? */
+/* mm_entry_admit.c: decides whether a job is admitted */
 typedef struct
 {
-  unsigned status; /* HTTP */
+  unsigned status; /* HTTP status */
   int code;        /* mm_error_code */
-  const char *why;
+  const char *why; /* message for the caller */
   uint32_t retry_after_s;
 } mm_refusal;
 bool mm_entry_admit (mm_entry *e, const mm_job *job, mm_refusal *r);
 mm_time_ms mm_entry_first_deadline_ms (const mm_job *job);
 
-/* mm_entry_news.c: what the instances of a data centre tell each other */
+/* mm_entry_notify.c: notifications between the instances of a data centre */
 void mm_entry_notify_start (mm_entry *e);
 void mm_entry_notify_stop (mm_entry *e);
 void mm_entry_notify_ejected (mm_entry *e, const char *upstream);
 
-/* mm_entry_answer.c: answers, built once and kept for resubmits */
+/* mm_entry_answer.c: builds answers and keeps them for resubmits */
 char *mm_entry_answer_json (const mm_entry_job *ej, const char *status,
                             int code, const char *why, uint32_t retry_after_s);
 void mm_entry_answer_store (mm_entry *e, const char *job_id, char *answer);
 void mm_entry_answers_start (mm_entry *e);
 void mm_entry_answers_free (mm_entry *e);
 
-/* mm_entry_job.c: a job from accept to answer */
+/* mm_entry_job.c: runs a job from its acceptance to its answer */
 void mm_entry_job_start (mm_entry *e, mm_waiter *w, mm_job *job);
 void mm_entry_job_run (mm_entry_job *ej); /* queue its pending tasks */
 void mm_entry_job_fail (mm_entry_job *ej, int code, const char *why);
@@ -154,32 +154,31 @@
 void mm_entry_job_unref (mm_entry_job *ej);
 void mm_entry_handle_task_outcome (mm_entry_job *ej, mm_task *t, mm_outcome o,
                                    const char *result);
-void mm_entry_handle_upstream_outcome (
-    mm_entry *e, int upstream, mm_outcome o,
-    int64_t mode_seq); /* keep the pool's books */
+void mm_entry_handle_upstream_outcome (mm_entry *e, int upstream, mm_outcome o,
+                                       int64_t mode_seq);
 void mm_entry_send_waiting (mm_entry *e);
 char *mm_entry_jobs_dump (const mm_entry *e);
 void mm_entry_jobs_free (mm_entry *e);
 
-/* mm_entry_recover.c: what an earlier owner already ran */
+/* mm_entry_recover.c: finds out what an earlier owner already ran */
 void mm_entry_recover (mm_entry_job *ej, bool check_fingerprint,
                        uint64_t fingerprint);
 void mm_entry_recovery_free (mm_entry_job *ej);
 
-/* mm_entry_shards.c: which jobs are ours */
+/* mm_entry_shards.c: which jobs this instance owns */
 void mm_entry_shards_start (mm_entry *e);
 void mm_entry_shards_stop (mm_entry *e);
-bool mm_entry_shards_release (mm_entry *e); /* begins the release */
+bool mm_entry_shards_release (mm_entry *e); /* true when done */
 void mm_entry_shards_dump (const mm_entry *e, cJSON *out);
 mm_shard *mm_entry_shard_of (mm_entry *e, const char *job_id);
 const char *mm_entry_route (mm_entry *e, const char *job_id, uint32_t hops);
 void mm_entry_check_holder (mm_entry *e, const char *job_id);
 void mm_entry_suspect_peer (mm_entry *e, const char *peer);
 void mm_entry_record_contact (mm_entry *e, bool ok);
-void mm_entry_peers_changed (mm_entry *e, GHashTable *before);
+void mm_entry_peers_changed (mm_entry *e, GHashTable *old_addrs);
 mm_earlier_accept mm_entry_earlier_accept (mm_entry *e, const char *job_id);
 
-/* mm_entry_platform.c */
+/* mm_entry_platform.c: heartbeats, member list and config stream */
 void mm_entry_platform_start (mm_entry *e);
 void mm_entry_platform_stop (mm_entry *e);
 void mm_entry_heartbeat_now (mm_entry *e);
--- a/src/mm_entry_recover.c
+++ b/src/mm_entry_recover.c
@@ -1,38 +1,38 @@
-/* mm_entry_recover: take over a job that an earlier owner accepted.
+/* mm_entry_recover: takes over a job that an earlier owner accepted.
 
-   The earlier owner died, froze or lost its shard, and with it the
-   knowledge of which tasks it started.  The upstreams know: each is told
-   the job's new epoch and reports the job's tasks that started there.
-   From its report on, an upstream refuses starts of the older epoch, so
-   once all have reported, a task that none of them names has not started
-   and never will by the earlier owner's hand: we start it.  Results are
-   taken over, and running tasks are asked for until they end.
+   The earlier owner died, froze or lost its shard, so only the upstreams know
+   which tasks it started.  Each upstream receives the job's new epoch in a
+   fence request and reports the tasks of the job that started there.  From
+   then on it refuses starts with an older epoch.  Once all have reported, a
+   task that is in no report has not started and cannot be started by the
+   earlier owner any more, so this instance starts it.  Results are taken
+   over, and running tasks are polled until they end.
 
-   When an upstream does not report, or the set of upstream incarnations
-   is not the one the job was accepted under, a task may have started on
-   one that is gone: then it is "unknown", and runs again only if it is
-   idempotent.  */
+   When an upstream does not report, or the upstream incarnations differ from
+   those listed when the job was accepted, a task may have started on an
+   upstream that is gone.  Such a task is "unknown" and runs again only if it
+   is idempotent.  */
 #include "config.h"
 #include "mm_entry_priv.h"
 
 struct mm_recovery
 {
-  uint32_t open; /* reports awaited */
-  bool complete; /* every upstream reported */
-  bool check_fingerprint;
-  uint64_t expected_fingerprint; /* fingerprint when the job was accepted */
-  GHashTable
-      *reported_incarnations; /* set of int64: incarnations that reported */
-  GHashTable *tasks_by_id;    /* task id -> mm_task */
-  GHashTable *running; /* set of mm_task: the earlier owner's, not ended */
-  ev_timer poll;
+  uint32_t reports_pending; /* fence requests without an answer */
+  bool all_answered;        /* no upstream has failed to report */
+  bool check_fingerprint;   /* expected_fingerprint is known */
+  uint64_t
+      expected_fingerprint; /* upstreams listed when the job was accepted */
+  GHashTable *reported_incarnations; /* set of int64: their hashes */
+  GHashTable *tasks_by_id;           /* task id -> mm_task */
+  GHashTable *running_tasks; /* set of mm_task that an earlier owner started */
+  ev_timer poll_timer;
 };
 
 typedef struct
 {
   mm_entry_job *ej;
   int upstream;
-  bool poll; /* only for tasks already known to run there */
+  bool poll; /* repeated request for tasks that are known to run there */
 } fence_ctx;
 
 static void send_fence (mm_entry_job *ej, int upstream, bool poll);
@@ -42,15 +42,15 @@
 {
   if (!ej->recovery)
     return;
-  ev_timer_stop (ej->entry->loop, &ej->recovery->poll);
+  ev_timer_stop (ej->entry->loop, &ej->recovery->poll_timer);
   GHashTableIter it;
   gpointer t;
-  g_hash_table_iter_init (&it, ej->recovery->running);
+  g_hash_table_iter_init (&it, ej->recovery->running_tasks);
   while (g_hash_table_iter_next (&it, &t, NULL))
     mm_pool_done (ej->entry->pool, ((mm_task *)t)->upstream, MM_OUTCOME_FENCED,
                   0, 0, 0, 0);
   g_hash_table_destroy (ej->recovery->tasks_by_id);
-  g_hash_table_destroy (ej->recovery->running);
+  g_hash_table_destroy (ej->recovery->running_tasks);
   g_hash_table_destroy (ej->recovery->reported_incarnations);
   g_free (ej->recovery);
   ej->recovery = NULL;
@@ -60,19 +60,19 @@
 is_recovered_on (const mm_entry_job *ej, mm_task *t, int upstream)
 {
   return t->upstream == upstream
-         && g_hash_table_contains (ej->recovery->running, t);
+         && g_hash_table_contains (ej->recovery->running_tasks, t);
 }
 
 static void
 end_recovered_task (mm_entry_job *ej, mm_task *t, mm_outcome o,
                     const char *result)
 {
-  g_hash_table_remove (ej->recovery->running, t);
+  g_hash_table_remove (ej->recovery->running_tasks, t);
   mm_entry_handle_upstream_outcome (ej->entry, t->upstream, o, 0);
   mm_entry_handle_task_outcome (ej, t, o, result);
 }
 
-/* One task an upstream names.  */
+/* Applies an upstream's report on one task.  */
 static void
 apply_reported_task (mm_entry_job *ej, const cJSON *row, int upstream)
 {
@@ -91,7 +91,7 @@
       t->upstream = upstream;
       t->attempts = 1;
       t->started_ms = mm_clock_now_ms ();
-      g_hash_table_add (ej->recovery->running, t);
+      g_hash_table_add (ej->recovery->running_tasks, t);
       mm_pool_sent (e->pool, upstream);
       mm_counters_add (e->counters, "tasks_recovered", 1);
     }
@@ -99,22 +99,22 @@
     return;
   if (g_str_equal (state, "done"))
     end_recovered_task (ej, t, MM_OUTCOME_OK, result);
-  /* A failure may lead to a retry: only when all have reported.  */
+  /* A failure may cause a retry, which has to wait for all reports.  */
   else if (g_str_equal (state, "failed") && ej->phase == MM_JOB_RUNNING)
     end_recovered_task (ej, t, MM_OUTCOME_FAILED, NULL);
 }
 
-/* Every report is in: start what started nowhere.  */
+/* All reports have arrived: starts the tasks that have not started.  */
 static void
 all_reported (mm_entry_job *ej)
 {
   mm_recovery *r = ej->recovery;
-  /* With a record, those must have reported that it was made under;
-     without one, everybody we know of.  */
+  /* With a record of the job, the upstreams that were listed when it was
+     written must have reported; without one, all known upstreams.  */
   bool all_known
       = r->check_fingerprint ? mm_pool_covers (
             ej->entry->pool, r->reported_incarnations, r->expected_fingerprint)
-                             : r->complete;
+                             : r->all_answered;
   if (!all_known)
     mm_counters_add (ej->entry->counters, "recoveries_inexact", 1);
   for (uint32_t i = 0; i < ej->job->n_tasks; i++)
@@ -129,12 +129,13 @@
                              "upstream that is gone; its outcome is unknown");
           return;
         }
-      t->attempts = 1; /* it may have run: this is its retry */
+      t->attempts = 1; /* it may have run once: the next run is a retry */
     }
   mm_entry_job_run (ej);
 }
 
-/* An upstream that ran recovered tasks does not answer any more.  */
+/* Ends the recovered tasks on an upstream that does not answer any more; their
+   outcome is not known.  */
 static void
 end_tasks_in_doubt (mm_entry_job *ej, int upstream)
 {
@@ -156,7 +157,7 @@
                  : NULL;
   const cJSON *epoch = cJSON_GetObjectItem (o, "epoch");
   const cJSON *boot = cJSON_GetObjectItem (o, "boot_ms");
-  r->open--;
+  r->reports_pending--;
   if (ej->phase >= MM_JOB_FAILING)
     ;
   else if (cJSON_IsNumber (epoch) && (int64_t)epoch->valuedouble > ej->epoch)
@@ -174,7 +175,7 @@
           g_hash_table_add (r->reported_incarnations, hash);
         }
       else
-        r->complete = false;
+        r->all_answered = false;
       const cJSON *row;
       cJSON_ArrayForEach (row, cJSON_GetObjectItem (o, "tasks"))
         {
@@ -183,7 +184,7 @@
         }
       if (c->poll && !o)
         end_tasks_in_doubt (ej, c->upstream);
-      if (ej->phase == MM_JOB_RECOVERING && !r->open)
+      if (ej->phase == MM_JOB_RECOVERING && !r->reports_pending)
         all_reported (ej);
     }
   cJSON_Delete (o);
@@ -205,7 +206,7 @@
   c->upstream = upstream;
   c->poll = poll;
   mm_entry_job_ref (ej);
-  ej->recovery->open++;
+  ej->recovery->reports_pending++;
   mm_counters_add (e->counters, "fences_sent", 1);
   mm_http_client_call (e->upstream_client, "POST", url, body,
                        MM_FENCE_TIMEOUT_MS, fence_answered, c);
@@ -214,13 +215,13 @@
   g_free (id);
 }
 
-/* Ask again where recovered tasks still run.  */
+/* Requests a new report from each upstream where recovered tasks run.  */
 static void
 poll_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_entry_job *ej = w->data;
-  GHashTable *running = ej->recovery->running;
-  if (ej->recovery->open)
+  GHashTable *running = ej->recovery->running_tasks;
+  if (ej->recovery->reports_pending)
     return;
   if (ej->phase >= MM_JOB_FAILING || !g_hash_table_size (running))
     {
@@ -240,10 +241,11 @@
 }
 
 /**
- * mm_entry_recover() - find out what ran of a job, then run the rest.
+ * mm_entry_recover() - find out which tasks of a job ran, then run the rest.
  * @ej: the job, accepted at a new epoch.
- * @check_fingerprint: @fingerprint is known.
- * @fingerprint: the upstream incarnations listed when it was accepted.
+ * @check_fingerprint: whether @fingerprint is known.
+ * @fingerprint: of the upstream incarnations listed when the job was
+ *               accepted.
  */
 void
 mm_entry_recover (mm_entry_job *ej, bool check_fingerprint,
@@ -251,16 +253,16 @@
 {
   mm_entry *e = ej->entry;
   mm_recovery *r = g_new0 (mm_recovery, 1);
-  r->complete = true;
+  r->all_answered = true;
   r->check_fingerprint = check_fingerprint;
   r->expected_fingerprint = fingerprint;
   r->tasks_by_id = g_hash_table_new (g_str_hash, g_str_equal);
-  r->running = g_hash_table_new (NULL, NULL);
+  r->running_tasks = g_hash_table_new (NULL, NULL);
   r->reported_incarnations
       = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, NULL);
-  ev_timer_init (&r->poll, poll_cb, MM_RECOVER_POLL_MS / 1000.0,
+  ev_timer_init (&r->poll_timer, poll_cb, MM_RECOVER_POLL_MS / 1000.0,
                  MM_RECOVER_POLL_MS / 1000.0);
-  r->poll.data = ej;
+  r->poll_timer.data = ej;
   ej->recovery = r;
   ej->phase = MM_JOB_RECOVERING;
   mm_counters_add (e->counters, "jobs_recovered", 1);
@@ -273,7 +275,7 @@
     if (mm_pool_listed_within (e->pool, (int)i, mm_clock_now_ms (),
                                e->settings.done_ttl_ms))
       send_fence (ej, (int)i, false);
-  ev_timer_start (e->loop, &r->poll);
-  if (!r->open)
+  ev_timer_start (e->loop, &r->poll_timer);
+  if (!r->reports_pending)
     all_reported (ej);
 }
--- a/src/mm_entry_route.c
+++ b/src/mm_entry_route.c
@@ -1,26 +1,26 @@
-/* mm_entry_route: a request's job goes to the instance that owns it.
+/* mm_entry_route: routes the job of a request to the instance that owns it.
 
-   The owner is found by shard (mm_entry_shards.c).  When the owner does
-   not answer, the request is routed again: the log decides who owns the
-   shard and the upstreams know what ran, so handing the same job in at
-   another instance starts no task twice.  The caller waits for the one
+   The owner is found by shard (mm_entry_shards.c).  When the owner does not
+   answer, the request is routed again.  The log decides which instance owns
+   the shard and the upstreams know what ran, so submitting the same job to
+   another instance starts no task twice.  The caller waits for the single
    answer, at most until the job's deadline.  */
 #include "config.h"
 #include "mm_entry_priv.h"
 
-/* A leaving instance's answer to a peer: route the job elsewhere.  */
+/* Answer of a leaving instance to a peer: route the job elsewhere.  */
 #define PEER_LEAVING_STATUS 421
 
-/* A request on its way to another instance.  */
+/* A request that is routed to another instance.  */
 typedef struct
 {
   mm_entry *entry;
   mm_waiter *waiter;
   char *job_id;
-  char *peer; /* where it is now */
-  GByteArray *packed;
-  mm_time_ms deadline_ms; /* by mm_clock_now_ms() */
-  uint32_t failures;      /* links that failed under it */
+  char *peer;             /* the peer that has it now */
+  GByteArray *packed;     /* the job, from mm_job_pack() */
+  mm_time_ms deadline_ms; /* on the clock of mm_clock_now_ms() */
+  uint32_t failures;      /* peers that did not serve it */
 } routed_request;
 
 static void route (routed_request *q, const char *holder);
@@ -37,13 +37,13 @@
 }
 
 /**
- * mm_entry_refuse() - a typed failure to one waiter.
+ * mm_entry_refuse() - answer one request with an error.
  * @e: the entry instance.
- * @w: who is told.
+ * @w: the request.
  * @status: HTTP status.
  * @code: mm_error_code.
- * @why: for the caller.
- * @retry_after_s: when to come back, 0 for never.
+ * @why: message for the caller.
+ * @retry_after_s: when to submit again, 0 for never.
  */
 void
 mm_entry_refuse (mm_entry *e, const mm_waiter *w, unsigned status, int code,
@@ -72,8 +72,9 @@
   mm_entry_waiter_reply (e, w, complete ? 200 : 502, answer, 0);
 }
 
-/* We have the job already: its answer, or its run in progress.  Takes @w
-   when true.  */
+/* Answers the request from a stored answer, or adds it to the job in
+   progress.  Returns false when this instance has neither; otherwise takes
+   ownership of @w.  */
 static bool
 join_known_job (mm_entry *e, mm_waiter *w, const char *job_id)
 {
@@ -92,7 +93,7 @@
   return answer || running;
 }
 
-/* A refusal that waits for the log's word on who owns the shard.  */
+/* A refusal that waits until the log confirms the owner of the shard.  */
 typedef struct
 {
   mm_entry *entry;
@@ -116,9 +117,10 @@
   g_free (v);
 }
 
-/* Guards against "not run" for a job that another instance ran: we may
-   have lost its shard without knowing.  The claim is made only after the
-   log, asked now, names us as the owner.  Takes @w.  */
+/* Refuses a job.  This instance may have lost the job's shard without
+   noticing, and another instance may have run the job, so "not run" is
+   claimed only after the log confirms this instance as the owner.  Takes
+   ownership of @w.  */
 static void
 refuse (mm_entry *e, mm_waiter *w, const mm_job *job, const mm_refusal *r)
 {
@@ -135,12 +137,13 @@
     mm_shard_verify (mm_entry_shard_of (e, job->id), refuse_after_verify, v);
 }
 
-/* The job is ours to run: admit and start it.  Takes @w and @job.  */
+/* Admits and starts a job that this instance owns, or refuses it.  Takes
+   ownership of @w and @job.  */
 static void
 admit_job (mm_entry *e, mm_waiter *w, mm_job *job)
 {
   mm_refusal r;
-  /* A job that an earlier owner accepted was admitted then.  */
+  /* A job that an earlier owner accepted has been admitted already.  */
   if (!e->shutting_down
       && (mm_entry_earlier_accept (e, job->id) == MM_EARLIER_ACCEPT_KNOWN
           || mm_entry_admit (e, job, &r)))
@@ -172,8 +175,8 @@
   g_free (q);
 }
 
-/* Nobody answered for the job: the caller hears it now.  The job may be
-   running somewhere, so it is not called "not run".  */
+/* Answers the caller that no instance answered for the job.  The job may be
+   running somewhere, so the answer does not call it "not run".  */
 static void
 fail_request (routed_request *q, const char *why)
 {
@@ -222,7 +225,7 @@
                    remaining_ms + MM_FORWARD_SLACK_MS, forward_answered, q);
 }
 
-/* Send a request where its job belongs now: a peer, or ourselves.  */
+/* Routes a request to the peer that owns its job now, or handles it here.  */
 static void
 route (routed_request *q, const char *holder)
 {
@@ -274,11 +277,11 @@
 }
 
 /**
- * mm_entry_reroute() - a job we had is not ours any more.
+ * mm_entry_reroute() - route a request whose job moved to another instance.
  * @e: the entry instance.
- * @w: one of its waiters; taken.
+ * @w: a request that waits for the job; ownership is taken.
  * @job: the job.
- * @holder: who has it now, or NULL when that is not known.
+ * @holder: the instance that owns it now, or NULL when not known.
  */
 void
 mm_entry_reroute (mm_entry *e, mm_waiter *w, const mm_job *job,
@@ -288,14 +291,14 @@
   if (!holder && !mm_entry_route (e, job->id, w->hops)
       && mm_contact_lost (e->contact, mm_clock_now_ms ()))
     {
-      /* Neither a record nor another owner can be had: say so now.  */
+      /* Neither a record nor another owner is available: fail at once.  */
       fail_request (q, "the platform's log cannot be reached");
       return;
     }
   route (q, holder);
 }
 
-/* A job came in, from a caller or a peer.  Takes @w and @job.  */
+/* Handles a job from a caller or a peer.  Takes ownership of @w and @job.  */
 static void
 handle_job (mm_entry *e, mm_waiter *w, mm_job *job)
 {
@@ -304,8 +307,8 @@
       mm_job_destroy (job);
       return;
     }
-  /* Guards against a job that bounces between a leaving instance and a
-     peer whose member list still names it as the owner.  */
+  /* Prevents a job from bouncing between this leaving instance and a peer
+     whose member list still shows this instance as the owner.  */
   if (e->shutting_down && !w->http)
     {
       mm_entry_waiter_reply (e, w, PEER_LEAVING_STATUS, "", 0);
@@ -334,9 +337,9 @@
 }
 
 /**
- * mm_entry_submit() - take a caller's POST /v1/jobs.
+ * mm_entry_submit() - handle a caller's POST /v1/jobs.
  * @e: the entry instance.
- * @req: the request; answered now or when the job ends.
+ * @req: the request; it is answered now or when the job ends.
  */
 void
 mm_entry_submit (mm_entry *e, mm_http_request *req)
@@ -355,13 +358,13 @@
 }
 
 /**
- * mm_entry_submit_forwarded() - a job a peer forwarded to us.
+ * mm_entry_submit_forwarded() - handle a job that a peer forwarded.
  * @e: the entry instance.
- * @conn_id: the peer link.
+ * @conn_id: the link to the peer.
  * @req_id: the peer's request id.
- * @hops: how often it was forwarded.
+ * @hops: how often the job was forwarded.
  * @data: the packed job.
- * @len: its length.
+ * @len: length of @data in bytes.
  */
 void
 mm_entry_submit_forwarded (mm_entry *e, uint64_t conn_id, uint64_t req_id,
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -1,9 +1,10 @@
-/* mm_entry_shards: which jobs belong to this instance.
+/* mm_entry_shards: decides which jobs belong to this instance.
 
-   A job's shard is a hash of its id; the shard's rendezvous choice over
-   the live entry instances of the data centre takes it ahead of jobs.
-   Who really owns a shard is decided by its log stream (mm_shard.c):
-   member lists that lag or differ cost a detour, never a double start. */
+   A job's shard is a hash of its id.  Rendezvous hashing over the live entry
+   instances of the data centre chooses an instance for each shard, which
+   takes the shard before jobs arrive.  The shard's log stream decides which
+   instance really owns it (mm_shard.c), so member lists that lag or differ
+   cost an extra hop, but never start a task twice.  */
 #include "config.h"
 #include "mm_entry_priv.h"
 
@@ -34,12 +35,13 @@
 }
 
 /**
- * mm_entry_suspect_peer() - a peer did not answer.
+ * mm_entry_suspect_peer() - record that a peer did not answer.
  * @e: the entry instance.
- * @peer: its name.
+ * @peer: name of the peer.
  *
- * For MM_PEER_SUSPECT_MS its shards belong to the next choice, so jobs
- * need not wait until the lagging member list drops a dead peer.
+ * For MM_PEER_SUSPECT_MS the next choice of the rendezvous hashing gets the
+ * peer's shards, so that jobs need not wait until the lagging member list
+ * drops a dead peer.
  */
 void
 mm_entry_suspect_peer (mm_entry *e, const char *peer)
@@ -56,8 +58,9 @@
          && !is_suspect (e, peer);
 }
 
-/* The rendezvous choice for a shard, suspects left out, and ourselves
-   when we are leaving; NULL for us or nobody.  */
+/* Returns the rendezvous choice for a shard, without suspect peers and, while
+   this instance is leaving, without itself.  Returns NULL for this instance
+   and when no instance remains.  */
 static const char *
 rendezvous_owner (const mm_entry *e, uint32_t shard)
 {
@@ -85,13 +88,14 @@
 }
 
 /**
- * mm_entry_route() - where a job goes.
+ * mm_entry_route() - choose the instance that gets a job.
  * @e: the entry instance.
  * @job_id: the job.
- * @hops: how often it was forwarded already; after MM_FORWARD_MAX_HOPS
- *        it stays here, so differing member lists cannot bounce it on.
+ * @hops: how often the job was forwarded already; after MM_FORWARD_MAX_HOPS
+ *        it stays here, so that member lists that differ cannot make it
+ *        bounce between instances.
  *
- * Return: the name of a peer, or NULL when it is for us.
+ * Return: the name of a peer, or NULL for this instance.
  */
 const char *
 mm_entry_route (mm_entry *e, const char *job_id, uint32_t hops)
@@ -105,8 +109,8 @@
     return contact_peer;
   if (mm_shard_held (s) && !e->shutting_down)
     return NULL;
-  /* Who was fenced, and who cannot reach the log to take the shard,
-     passes the job to the holder.  */
+  /* An instance that was fenced, or that cannot reach the log to take the
+     shard, passes the job to the holder.  */
   if ((mm_shard_yielded (s, mm_clock_now_ms ())
        || mm_contact_lost (e->contact, mm_clock_now_ms ()))
       && is_routable (e, mm_shard_holder (s)))
@@ -115,12 +119,14 @@
 }
 
 /**
- * mm_entry_check_holder() - a job stays here: who has its shard?
+ * mm_entry_check_holder() - check the shard's holder for a job that stays
+ * here.
  * @e: the entry instance.
  * @job_id: the job.
  *
- * When a shard was taken from us just now, its jobs wait for the new
- * holder; when that one is gone, we take it back without waiting.
+ * When another instance took a shard from this one just now, the shard's jobs
+ * wait for the new holder.  When that holder is gone, this instance takes the
+ * shard back without waiting.
  */
 void
 mm_entry_check_holder (mm_entry *e, const char *job_id)
@@ -133,21 +139,22 @@
 }
 
 /**
- * mm_entry_peers_changed() - a new member list was read.
- * @e: the entry instance, its peer_addrs new.
- * @before: the peer_addrs of the list before.
+ * mm_entry_peers_changed() - apply changes of the set of peers.
+ * @e: the entry instance, with peer_addrs from the new member list.
+ * @old_addrs: peer_addrs from the previous member list.
  *
- * Guards against waiting for a frozen peer until the deadline: its
- * sockets stay open, but it leaves the list; calls to it fail now.
+ * The sockets of a frozen peer stay open, but it leaves the member list.  Its
+ * link is dropped here, so that requests to it fail now instead of waiting
+ * until their deadline.
  */
 void
-mm_entry_peers_changed (mm_entry *e, GHashTable *before)
+mm_entry_peers_changed (mm_entry *e, GHashTable *old_addrs)
 {
   GHashTableIter it;
   gpointer name, addr;
   bool changed
-      = g_hash_table_size (before) != g_hash_table_size (e->peer_addrs);
-  g_hash_table_iter_init (&it, before);
+      = g_hash_table_size (old_addrs) != g_hash_table_size (e->peer_addrs);
+  g_hash_table_iter_init (&it, old_addrs);
   while (g_hash_table_iter_next (&it, &name, &addr))
     if (!g_hash_table_contains (e->peer_addrs, name))
       {
@@ -169,18 +176,19 @@
          && mm_clock_now_ms () - e->peers_changed_ms > 2 * MM_VIEW_SETTLE_MS;
 }
 
+/* The shard itself applies the answer of the log.  */
 static void
 ignore_verified (bool owned, void *ctx)
 {
 }
 
-/* Bring who holds which shard in line with the member list.  What nobody
-   holds is taken at once, and what another holds once the list has stood
-   for a while; at a start, instances that see only themselves would else
-   take everything from each other in turn.  There is no moment in which
-   nobody holds a shard, so an outage finds every shard served.  A little
-   later the log is asked about those we hold, as an idle one may have
-   been taken from us without a word.  */
+/* Aligns the holder of a shard with the member list.  A shard without a holder
+   is taken at once, a shard of another holder only when the list has not
+   changed for MM_VIEW_SETTLE_MS.  Otherwise instances that start and still see
+   only themselves would take all shards from each other in turn.  Every shard
+   has a holder at any moment, so that all are served when an outage starts.  A
+   little later the log is read for the shards held here, because another
+   instance may have taken an idle one without notice.  */
 static void
 align_with_members (mm_entry *e, uint32_t i)
 {
@@ -196,14 +204,20 @@
     mm_shard_take (s, !settled);
 }
 
+/**
+ * mm_entry_record_contact() - record the end of a call to the platform.
+ * @e: the entry instance.
+ * @ok: whether the platform answered.
+ */
 void
 mm_entry_record_contact (mm_entry *e, bool ok)
 {
   mm_contact_note (e->contact, ok, mm_clock_now_ms ());
 }
 
-/* May accepts be missing in the log?  We or a live peer saw the platform
-   out while an answer of that time could still be asked for.  */
+/* Returns whether the log may lack accepted jobs: this instance or a live peer
+   saw an outage of the platform within done_ttl_ms, so a caller may still
+   resubmit a job of that time.  */
 static bool
 outage_within_ttl (const mm_entry *e)
 {
@@ -213,9 +227,11 @@
 }
 
 /**
- * mm_entry_earlier_accept() - may an earlier owner have run a job?
- * @e: the entry instance, which neither runs it nor has its answer.
+ * mm_entry_earlier_accept() - whether an earlier owner may have run a job.
+ * @e: the entry instance, which neither runs the job nor has its answer.
  * @job_id: the job.
+ *
+ * Return: whether an earlier owner accepted it, see mm_earlier_accept.
  */
 mm_earlier_accept
 mm_entry_earlier_accept (mm_entry *e, const char *job_id)
@@ -277,7 +293,7 @@
   return mm_contact_ping_status (e->contact, mm_clock_now_ms ());
 }
 
-/* One shard's step while the log does not answer, or after it failed.  */
+/* Updates one shard on a tick, according to the contact with the platform.  */
 static void
 update_shard (mm_entry *e, uint32_t i, mm_standing standing, const char *peer)
 {
@@ -332,10 +348,12 @@
   mm_entry_record_contact (ctx, ok);
 }
 
-/* Guards against jobs that every instance served unrecorded in an outage
-   and took with them when all died in it: nobody is left who saw the
-   outage.  Vanished owners' shards are taken within seconds, so whoever
-   has been up for MM_WITNESS_MS was there in the earlier owner's time.  */
+/* Returns whether this instance or a live peer has been up for MM_WITNESS_MS.
+   Without one, jobs that all instances served without records in an outage
+   would go unnoticed when all of these instances died in it, as no live
+   instance saw the outage.  The shards of an owner that vanished are taken
+   within seconds, so an instance that has been up for MM_WITNESS_MS was up at
+   the time of the earlier owner.  */
 static bool
 has_witness (void *ctx)
 {
@@ -353,8 +371,8 @@
 }
 
 /**
- * mm_entry_shards_start() - set up the shards.
- * @e: the entry instance, its platform client created.
+ * mm_entry_shards_start() - create the shards and start their timer.
+ * @e: the entry instance, with its platform client and peer links.
  */
 void
 mm_entry_shards_start (mm_entry *e)
@@ -416,12 +434,12 @@
 }
 
 /**
- * mm_entry_shards_release() - hand our shards over when shutting down.
+ * mm_entry_shards_release() - release the shards before a shutdown.
  * @e: the entry instance; its jobs have ended.
  *
- * A release in the log tells the next owner that nothing unrecorded was
- * left behind.  It is a courtesy: with the log out of reach the process
- * goes without after MM_RELEASE_LIMIT_MS.
+ * A release in the log tells the next owner that this instance left no
+ * unrecorded jobs behind.  The release is optional: when the log cannot be
+ * reached, the process stops without it after MM_RELEASE_LIMIT_MS.
  *
  * Return: true when no shard is held any more, or the limit has passed.
  */
--- a/src/mm_pool.c
+++ b/src/mm_pool.c
@@ -1,15 +1,17 @@
-/* mm_pool: which upstream gets the next task.
-
-   Upstreams start whatever they are given, fits or not, so the entry
-   instance keeps its own count of each one's tasks in flight and sends
-   only into free slots: least loaded first (most free slots), ties to
-   the lower index.  An upstream that is leaving gets no new work.
-
-   Some upstreams fail every task they start.  One that fails eject_after
-   times in a row is ejected for eject_ms, then on trial with one task at
-   a time: a task done ends the trial, a failure ejects it for twice as
-   long as before.  Peers that hear of an ejection put the upstream on
-   trial, so that each need not lose eject_after tasks of its own.  */
+/* mm_pool: chooses the upstream for the next task.
+
+   Upstreams start all tasks that they receive, also those that exceed their
+   slots.  The entry instance therefore counts the tasks in flight of each
+   upstream and sends only into free slots: to the upstream with the most free
+   slots, and among equals to the lower index.  An upstream that is leaving
+   gets no new tasks.
+
+   Some upstreams fail every task that they start.  An upstream that fails
+   eject_after times in a row is ejected for eject_ms.  Then it is on trial
+   with one task at a time: a task that is done ends the trial, a failure
+   ejects the upstream for twice as long as before.  Peers that are notified
+   of an ejection put the upstream on trial, so that each of them need not lose
+   eject_after tasks of its own.  */
 #include "mm_pool.h"
 
 #include "config.h"
@@ -19,16 +21,16 @@
 
 struct mm_pool
 {
-  GPtrArray *members; /* mm_pool_member * */
-  uint32_t default_slots;
-  GQueue listed_sets; /* listed_set *, newest first */
+  GPtrArray *members;     /* mm_pool_member * */
+  uint32_t default_slots; /* of an upstream that reports none */
+  GQueue listed_sets;     /* listed_set *, newest first */
 };
 
-/* The upstream incarnations of one member list.  */
+/* The set of upstream incarnations in one member list.  */
 typedef struct
 {
   uint64_t fingerprint;
-  GArray *hashes; /* uint64_t, one for each */
+  GArray *hashes; /* uint64_t, one per incarnation */
 } listed_set;
 
 #define MAX_REMEMBERED_LISTS 256
@@ -82,13 +84,15 @@
 /**
  * mm_pool_add() - add an upstream, or refresh one already known.
  * @p: the pool.
- * @name: its member name.
+ * @name: member name of the upstream.
  * @addr: "host:port".
- * @slots: its slots, 0 for the default.
- * @boot_ms: names its incarnation, 0 when not told.
+ * @slots: number of slots, 0 for the default.
+ * @boot_ms: identifies the incarnation, 0 when not known.
  *
- * Members are never removed, so indexes held by tasks in flight stay
- * valid.  Return: its index.
+ * Members are never removed, so that the indexes in tasks in flight stay
+ * valid.
+ *
+ * Return: index of the upstream.
  */
 int
 mm_pool_add (mm_pool *p, const char *name, const char *addr, uint32_t slots,
@@ -108,7 +112,7 @@
     }
   m->slots = slots ? slots : p->default_slots;
   m->listed = true;
-  /* A new incarnation at an old address starts with a clean record.  */
+  /* The failures of an earlier incarnation do not count for a new one.  */
   if (boot_ms != m->boot_ms)
     {
       m->boot_ms = boot_ms;
@@ -120,14 +124,14 @@
 }
 
 /**
- * mm_pool_list_begin() - a whole new member list follows.
+ * mm_pool_list_begin() - prepare for a complete new member list.
  * @p: the pool.
  * @now: mm_clock_now_ms().
  *
- * Guards against work for an upstream that crashed: it vanishes from the
- * list without ever having said that it leaves.  Whoever is not added
- * again after this gets no new work until it is listed again.  Upstreams
- * that only the settings name (boot_ms 0) stay.
+ * An upstream that crashed vanishes from the list without ever having been
+ * shown as leaving.  An upstream that is not added again after this call
+ * therefore gets no new tasks until it is listed again.  Upstreams that only
+ * the settings name (boot_ms 0) stay listed.
  */
 void
 mm_pool_list_begin (mm_pool *p, mm_time_ms now)
@@ -141,6 +145,11 @@
     }
 }
 
+/**
+ * mm_pool_fingerprint_of() - hash of one upstream incarnation.
+ * @name: member name of the upstream.
+ * @boot_ms: identifies the incarnation, 0 when not known.
+ */
 uint64_t
 mm_pool_fingerprint_of (const char *name, int64_t boot_ms)
 {
@@ -148,11 +157,11 @@
 }
 
 /**
- * mm_pool_fingerprint() - which upstream incarnations are listed.
+ * mm_pool_fingerprint() - hash of the set of listed upstream incarnations.
  * @p: the pool.
  *
- * Return: equal for equal sets, whatever their order (an exclusive or of
- * one hash each).
+ * Return: the exclusive or of the hashes of all incarnations, which does not
+ * depend on their order.
  */
 uint64_t
 mm_pool_fingerprint (const mm_pool *p)
@@ -168,16 +177,16 @@
 }
 
 /**
- * mm_pool_set_state() - the member list's word on an upstream.
+ * mm_pool_set_state() - apply the state of an upstream in the member list.
  * @p: the pool.
- * @i: the upstream.
- * @s: live or leaving.
- * @seq: the upstream's mode_seq behind that word.
+ * @i: index of the upstream.
+ * @s: MM_UPSTREAM_LIVE or MM_UPSTREAM_LEAVING.
+ * @seq: the upstream's mode_seq of that state.
  *
- * Guards against a lagging list: an upstream that refused us because it
- * drains (seq N) is still shown live, with seq N-1 or N, for up to the
- * list's lag.  Only a word newer than what we know (higher seq) moves
- * the state, so the list cannot send new work to a leaving upstream.
+ * The member list lags: an upstream that refused a task because it drains
+ * (seq N) is shown as live, with seq N-1 or N, for as long as the list lags.
+ * Only a state with a higher seq than the known one sets a leaving upstream
+ * live again, so the list cannot send new tasks to it.
  */
 void
 mm_pool_set_state (mm_pool *p, int i, mm_upstream_state s, int64_t seq)
@@ -190,7 +199,7 @@
   m->state_seq = seq;
   if ((m->state == MM_UPSTREAM_EJECTED || m->state == MM_UPSTREAM_ON_TRIAL)
       && s == MM_UPSTREAM_LIVE)
-    return; /* an ejection ends by time, not by the member list */
+    return; /* an ejection ends after its time, not by the member list */
   m->state = s;
 }
 
@@ -204,11 +213,11 @@
 }
 
 /**
- * mm_pool_list_end() - the new member list has been added.
+ * mm_pool_list_end() - finish a new member list, all of it being added.
  * @p: the pool.
  *
- * Its set of upstreams is remembered by fingerprint, so that an accept
- * record that names the fingerprint tells which upstreams it meant.
+ * The set of listed upstreams is remembered by its fingerprint, so that the
+ * upstreams of an accept record are found by the fingerprint in the record.
  */
 void
 mm_pool_list_end (mm_pool *p)
@@ -232,13 +241,14 @@
 }
 
 /**
- * mm_pool_covers() - did all upstreams of an old list report?
+ * mm_pool_covers() - whether all upstreams of an earlier list reported.
  * @p: the pool.
- * @hashes: set of mm_pool_fingerprint_of() (as int64 keys) that did.
- * @fingerprint: the old list's.
+ * @hashes: set of mm_pool_fingerprint_of() (as int64 keys) of the upstreams
+ *          that reported.
+ * @fingerprint: fingerprint of the earlier list.
  *
- * Return: false also when we never saw that list, unless just those
- * reported that it names.
+ * Return: true when they did.  For a list that is not remembered here, true
+ * only when exactly the upstreams of that list reported.
  */
 bool
 mm_pool_covers (const mm_pool *p, GHashTable *hashes, uint64_t fingerprint)
@@ -262,12 +272,14 @@
 }
 
 /**
- * mm_pool_listed_within() - may an upstream know of a job of the last
- * @ttl_ms?
+ * mm_pool_listed_within() - whether an upstream was listed recently.
  * @p: the pool.
- * @i: the upstream.
+ * @i: index of the upstream.
  * @now: mm_clock_now_ms().
- * @ttl_ms: how far back.
+ * @ttl_ms: the time to look back.
+ *
+ * Return: true when the upstream was listed within the last @ttl_ms, so that
+ * it may know of jobs of that time.
  */
 bool
 mm_pool_listed_within (const mm_pool *p, int i, mm_time_ms now,
@@ -305,9 +317,9 @@
 }
 
 /**
- * mm_pool_doubt() - a peer ejected an upstream.
+ * mm_pool_doubt() - put a live upstream on trial, as a peer ejected it.
  * @p: the pool.
- * @i: the upstream.
+ * @i: index of the upstream.
  */
 void
 mm_pool_doubt (mm_pool *p, int i)
@@ -318,12 +330,12 @@
 }
 
 /**
- * mm_pool_pick() - the upstream for the next task.
+ * mm_pool_pick() - choose the upstream for the next task.
  * @p: the pool.
  * @now: mm_clock_now_ms().
  *
- * Return: index of the live upstream with the most free slots, or -1
- * when every slot is taken (the task then waits in the entry's queue).
+ * Return: index of the upstream with the most free slots, or -1 when no slot
+ * is free (the task then waits in the entry instance's queue).
  */
 int
 mm_pool_pick (mm_pool *p, mm_time_ms now)
@@ -352,18 +364,19 @@
 }
 
 /**
- * mm_pool_done() - account for a task's answer.
+ * mm_pool_done() - record the outcome of a task.
  * @p: the pool.
- * @i: the upstream it ran on.
- * @o: what happened.
+ * @i: index of the upstream that it was sent to.
+ * @o: the outcome.
  * @seq: with MM_OUTCOME_REFUSED, the upstream's mode_seq, else ignored.
  * @now: mm_clock_now_ms().
- * @eject_after: failures in a row that eject it.
- * @eject_ms: how long an ejection lasts.
+ * @eject_after: number of failures in a row that ejects the upstream.
+ * @eject_ms: duration of the first ejection.
+ *
+ * A refusal sets the upstream to leaving, because it shows that the upstream
+ * drains before the lagging member list does.
  *
- * A refusal marks the upstream leaving: the upstream says it drains
- * before the lagging member list does.  Return: true when this answer
- * ejected it.
+ * Return: true when this outcome ejected the upstream.
  */
 bool
 mm_pool_done (mm_pool *p, int i, mm_outcome o, int64_t seq, mm_time_ms now,
@@ -425,11 +438,11 @@
 }
 
 /**
- * mm_pool_live_slots() - slots of the upstreams that take work.
+ * mm_pool_live_slots() - number of slots of the upstreams that accept tasks.
  * @p: the pool.
  * @now: mm_clock_now_ms().
  *
- * Return: the sum of their slots, taken or free.
+ * Return: the sum of their slots, used or free.
  */
 uint32_t
 mm_pool_live_slots (const mm_pool *p, mm_time_ms now)
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -1,6 +1,7 @@
-/* The promise about configuration: an accepted change is in force at
-   every entry instance within seconds and never reverts, under operator
-   races, platform outages, retention and late starts.  */
+/* Tests of the published configuration: an accepted change is in force at
+   every entry instance within seconds and never reverts, in spite of operators
+   that publish at the same time, platform outages, the log's retention and
+   instances that start late.  */
 #include "harness.h"
 
 #include <string.h>
@@ -55,9 +56,9 @@
   return WIFEXITED (rc) ? WEXITSTATUS (rc) : -1;
 }
 
-/* An operator publishes a change with masticctl: it must report the
-   change in force at all three instances within 3 s (the letter's bound),
-   and each instance's state must show it.  */
+/* A published change must not reach some instances late or never.  masticctl
+   must report it in force at all three instances within the required 3 s, and
+   the state of each instance must show it.  */
 START_TEST (published_config_is_in_force_everywhere_within_3s)
 {
   h_cluster (1, 3, 100);
@@ -72,10 +73,10 @@
 }
 END_TEST
 
-/* Two operators edit from the same head and publish at the same moment.
-   Both records land in the log; every instance must keep the first and
-   refuse the second, so all end on the same configuration, and an old
-   record seen again never takes the head back.  */
+/* Two operators edit the same head and publish at the same moment, so both
+   records are in the log.  Every instance must keep the first and refuse the
+   second, so that all have the same configuration.  An old record that is
+   appended again must not replace the head.  */
 START_TEST (racing_operators_end_with_one_winner_everywhere)
 {
   h_cluster (1, 3, 100);
@@ -90,7 +91,7 @@
                               1, 3000));
       ck_assert_int_eq (budget_at (i), 3);
     }
-  char *late = record (-1, 9); /* a replay of an edit from nothing */
+  char *late = record (-1, 9); /* a repeated edit of an empty configuration */
   append (late, &st);
   g_usleep (600000);
   for (int i = 0; i < 3; i++)
@@ -103,9 +104,9 @@
 }
 END_TEST
 
-/* The platform's service goes down after a config is in force.  The
-   instances must keep that config (no revert to defaults) and keep
-   serving jobs; when it comes back, a new change is taken up.  */
+/* The platform's service goes down after a config is in force.  The instances
+   must keep that config instead of the defaults and go on serving jobs.  After
+   the service returns, they must apply a new change.  */
 START_TEST (platform_outage_keeps_config_and_service)
 {
   h_cluster (2, 2, 100);
@@ -141,9 +142,10 @@
 }
 END_TEST
 
-/* The log keeps records for 2 s only.  A config is published, its record
-   expires, and a new instance starts later.  It must start on the config
-   in force (kept alive by snapshots), not on an older one or defaults.  */
+/* The log keeps records for 2 s only, so the record of a published config
+   expires before a new instance starts.  That instance must start with the
+   config in force, which snapshots keep in the log, and not with an older one
+   or the defaults.  */
 START_TEST (late_instance_gets_config_after_retention)
 {
   h_platform_extra = "platform.retention_ms=2000";
@@ -173,9 +175,9 @@
 }
 END_TEST
 
-/* The platform takes an operator's change and loses the answer.  The
-   operator must learn that the change is in force, not be told to try
-   again and lose to their own record.  */
+/* The platform stores an operator's change but its answer is lost.  masticctl
+   must report the change as in force.  If it published again, the second
+   record would be refused because of the first.  */
 START_TEST (publish_with_a_lost_answer_is_found_in_force)
 {
   h_cluster (1, 2, 100);
@@ -189,9 +191,9 @@
 }
 END_TEST
 
-/* Instances append snapshots all the time while an operator publishes.
-   The head moves past the change at once, as a snapshot of it; that is
-   not a lost race, and the operator must hear that it is in force.  */
+/* Instances append snapshots frequently while an operator publishes, so the
+   head is soon a snapshot of the change and not the change itself.  masticctl
+   must report the change as in force, not as refused for another one.  */
 START_TEST (snapshot_after_a_publish_is_not_a_lost_race)
 {
   h_entry_extra = "entry.config_snapshot_ms=100";
@@ -222,8 +224,8 @@
   return out;
 }
 
-/* An operator asks what is in force and who is there, before and after a
-   change, and is told in the words that were published.  */
+/* "config show" must show the configuration in force as it was published, and
+   say so when there is none; "status" must list the members.  */
 START_TEST (operator_sees_config_and_members)
 {
   h_cluster (1, 2, 100);
