--- a/src/mm_contact.c
+++ b/src/mm_contact.c
@@ -171,7 +171,7 @@
 }
 
 int64_t
-mm_contact_outage_wall_ms (const mm_contact *c)
+mm_contact_last_outage_wall_ms (const mm_contact *c)
 {
   return c->outage_wall_ms;
 }
--- a/src/mm_contact.h
+++ b/src/mm_contact.h
@@ -26,7 +26,7 @@
                       mm_time_ms now); /* a peer answered a ping */
 mm_standing mm_contact_standing (const mm_contact *c, uint32_t n_peers,
                                  mm_time_ms now, const char **peer);
-int64_t mm_contact_outage_wall_ms (const mm_contact *c); /* last, 0 none */
+int64_t mm_contact_last_outage_wall_ms (const mm_contact *c); /* 0: none */
 const char *mm_standing_name (mm_standing s);
 
 #endif /* MM_CONTACT_H */
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -224,14 +224,14 @@
 static void
 enqueue (mm_entry *e, mm_entry_job *ej, uint32_t index, bool front)
 {
-  queued_task *r = g_new0 (queued_task, 1);
-  r->ej = ej;
-  r->index = index;
+  queued_task *queued = g_new0 (queued_task, 1);
+  queued->ej = ej;
+  queued->index = index;
   mm_entry_job_ref (ej);
   if (front)
-    g_queue_push_head (&e->queue, r);
+    g_queue_push_head (&e->queue, queued);
   else
-    g_queue_push_tail (&e->queue, r);
+    g_queue_push_tail (&e->queue, queued);
 }
 
 static mm_outcome
@@ -408,17 +408,17 @@
   mm_time_ms now = mm_clock_now_ms ();
   while (!g_queue_is_empty (&e->queue))
     {
-      queued_task *r = g_queue_peek_head (&e->queue);
-      if (r->ej->phase < MM_JOB_FAILING)
+      queued_task *queued = g_queue_peek_head (&e->queue);
+      if (queued->ej->phase < MM_JOB_FAILING)
         {
           int up = mm_pool_pick (e->pool, now);
           if (up < 0)
             break;
-          send_task (e, r->ej, r->index, up);
+          send_task (e, queued->ej, queued->index, up);
         }
       g_queue_pop_head (&e->queue);
-      mm_entry_job_unref (r->ej);
-      g_free (r);
+      mm_entry_job_unref (queued->ej);
+      g_free (queued);
     }
   if (e->shutting_down)
     ev_idle_start (e->loop, &e->shutdown_check);
@@ -546,11 +546,11 @@
 mm_entry_jobs_free (mm_entry *e)
 {
   mm_entry_answers_free (e);
-  queued_task *r;
-  while ((r = g_queue_pop_head (&e->queue)))
+  queued_task *queued;
+  while ((queued = g_queue_pop_head (&e->queue)))
     {
-      mm_entry_job_unref (r->ej);
-      g_free (r);
+      mm_entry_job_unref (queued->ej);
+      g_free (queued);
     }
   GHashTableIter it;
   gpointer k, v;
--- a/src/mm_entry_platform.c
+++ b/src/mm_entry_platform.c
@@ -46,8 +46,8 @@
   cJSON_AddStringToObject (o, "site", e->settings.site);
   cJSON_AddStringToObject (o, "state", e->shutting_down ? "leaving" : "live");
   cJSON_AddNumberToObject (o, "config_offset", (double)mm_cfg_head (e->cfg));
-  cJSON_AddNumberToObject (o, "outage_ms",
-                           (double)mm_contact_outage_wall_ms (e->contact));
+  cJSON_AddNumberToObject (
+      o, "outage_ms", (double)mm_contact_last_outage_wall_ms (e->contact));
   cJSON_AddNumberToObject (o, "started_ms", (double)e->started_wall_ms);
   char *body = cJSON_PrintUnformatted (o);
   cJSON_Delete (o);
--- a/src/mm_entry_route.c
+++ b/src/mm_entry_route.c
@@ -23,7 +23,7 @@
   uint32_t failures;      /* peers that did not serve it */
 } routed_request;
 
-static void route (routed_request *q, const char *holder);
+static void route (routed_request *routed, const char *holder);
 
 void
 mm_entry_waiter_reply (mm_entry *e, const mm_waiter *w, unsigned status,
@@ -166,91 +166,94 @@
 }
 
 static void
-routed_request_destroy (routed_request *q)
+routed_request_destroy (routed_request *routed)
 {
-  g_byte_array_free (q->packed, TRUE);
-  g_free (q->job_id);
-  g_free (q->peer);
-  g_free (q->waiter);
-  g_free (q);
+  g_byte_array_free (routed->packed, TRUE);
+  g_free (routed->job_id);
+  g_free (routed->peer);
+  g_free (routed->waiter);
+  g_free (routed);
 }
 
 /* Answers the caller that no instance answered for the job.  The job may be
    running somewhere, so the answer does not call it "not run".  */
 static void
-fail_request (routed_request *q, const char *why)
+fail_request (routed_request *routed, const char *why)
 {
-  mm_entry *e = q->entry;
+  mm_entry *e = routed->entry;
   char *text = g_strdup_printf (
       "%s; outcome unknown, submit the same job again", why);
   mm_counters_add (e->counters, "forwards_failed", 1);
-  mm_entry_refuse (e, q->waiter, 503, MM_ERROR_UPSTREAM, text,
+  mm_entry_refuse (e, routed->waiter, 503, MM_ERROR_UPSTREAM, text,
                    retry_after_s (e));
   g_free (text);
-  routed_request_destroy (q);
+  routed_request_destroy (routed);
 }
 
 static void
 forward_answered (const mm_peer_answer *a, void *ctx)
 {
-  routed_request *q = ctx;
-  mm_entry *e = q->entry;
+  routed_request *routed = ctx;
+  mm_entry *e = routed->entry;
   if (!a->error && a->status != PEER_LEAVING_STATUS)
     {
-      mm_entry_waiter_reply (e, q->waiter, a->status, a->body,
+      mm_entry_waiter_reply (e, routed->waiter, a->status, a->body,
                              a->retry_after_s);
-      routed_request_destroy (q);
+      routed_request_destroy (routed);
     }
   else if (a->error && a->error->code == MM_ERROR_TIMEOUT)
-    fail_request (q, "the owner did not answer in time");
+    fail_request (routed, "the owner did not answer in time");
   else
     {
       mm_counters_add (e->counters, "reroutes", 1);
-      q->failures++;
-      mm_entry_suspect_peer (e, q->peer);
-      route (q, NULL);
+      routed->failures++;
+      mm_entry_suspect_peer (e, routed->peer);
+      route (routed, NULL);
     }
 }
 
 static void
-forward (routed_request *q, const char *peer)
+forward (routed_request *routed, const char *peer)
 {
-  mm_entry *e = q->entry;
-  mm_time_ms remaining_ms = q->deadline_ms - mm_clock_now_ms ();
-  g_free (q->peer);
-  q->peer = g_strdup (peer);
+  mm_entry *e = routed->entry;
+  mm_time_ms remaining_ms = routed->deadline_ms - mm_clock_now_ms ();
+  g_free (routed->peer);
+  routed->peer = g_strdup (peer);
   mm_counters_add (e->counters, "jobs_forwarded", 1);
   mm_peer_forward (e->peer_links, g_hash_table_lookup (e->peer_addrs, peer),
-                   q->waiter->hops + 1, q->packed->data, q->packed->len,
-                   remaining_ms + MM_FORWARD_SLACK_MS, forward_answered, q);
+                   routed->waiter->hops + 1, routed->packed->data,
+                   routed->packed->len, remaining_ms + MM_FORWARD_SLACK_MS,
+                   forward_answered, routed);
 }
 
 /* Routes a request to the peer that owns its job now, or handles it here.  */
 static void
-route (routed_request *q, const char *holder)
+route (routed_request *routed, const char *holder)
 {
-  mm_entry *e = q->entry;
-  if (q->failures > MM_FORWARD_MAX_HOPS
-      || mm_clock_now_ms () >= q->deadline_ms)
+  mm_entry *e = routed->entry;
+  if (routed->failures > MM_FORWARD_MAX_HOPS
+      || mm_clock_now_ms () >= routed->deadline_ms)
     {
-      fail_request (q, "no instance answered for the job");
+      fail_request (routed, "no instance answered for the job");
       return;
     }
-  const char *peer = holder && g_hash_table_contains (e->peer_addrs, holder)
-                         ? holder
-                         : mm_entry_route (e, q->job_id, q->waiter->hops);
+  const char *peer
+      = holder && g_hash_table_contains (e->peer_addrs, holder)
+            ? holder
+            : mm_entry_route (e, routed->job_id, routed->waiter->hops);
   if (peer && g_hash_table_contains (e->peer_addrs, peer))
     {
-      forward (q, peer);
+      forward (routed, peer);
       return;
     }
   mm_waiter *w = g_new (mm_waiter, 1);
-  *w = *q->waiter;
-  mm_entry_check_holder (e, q->job_id);
-  if (!join_known_job (e, w, q->job_id))
+  *w = *routed->waiter;
+  mm_entry_check_holder (e, routed->job_id);
+  if (!join_known_job (e, w, routed->job_id))
     {
       GError *err = NULL;
-      mm_job *job = unpack (e, q->packed->data, q->packed->len, &err);
+      mm_job *job
+          = unpack (e, routed->packed->data, routed->packed->len, &err);
       if (job)
         admit_job (e, w, job);
       else
@@ -260,20 +263,20 @@
           g_error_free (err);
         }
     }
-  routed_request_destroy (q);
+  routed_request_destroy (routed);
 }
 
 static routed_request *
 routed_request_create (mm_entry *e, mm_waiter *w, const mm_job *job)
 {
-  routed_request *q = g_new0 (routed_request, 1);
-  q->entry = e;
-  q->waiter = w;
-  q->job_id = g_strdup (job->id);
-  q->packed = g_byte_array_new ();
-  mm_job_pack (job, q->packed);
-  q->deadline_ms = mm_clock_now_ms () + mm_entry_first_deadline_ms (job);
-  return q;
+  routed_request *routed = g_new0 (routed_request, 1);
+  routed->entry = e;
+  routed->waiter = w;
+  routed->job_id = g_strdup (job->id);
+  routed->packed = g_byte_array_new ();
+  mm_job_pack (job, routed->packed);
+  routed->deadline_ms = mm_clock_now_ms () + mm_entry_first_deadline_ms (job);
+  return routed;
 }
 
 /**
@@ -287,15 +290,15 @@
 mm_entry_reroute (mm_entry *e, mm_waiter *w, const mm_job *job,
                   const char *holder)
 {
-  routed_request *q = routed_request_create (e, w, job);
+  routed_request *routed = routed_request_create (e, w, job);
   if (!holder && !mm_entry_route (e, job->id, w->hops)
       && mm_contact_lost (e->contact, mm_clock_now_ms ()))
     {
       /* Neither a record nor another owner is available: fail at once.  */
-      fail_request (q, "the platform's log cannot be reached");
+      fail_request (routed, "the platform's log cannot be reached");
       return;
     }
-  route (q, holder);
+  route (routed, holder);
 }
 
 /* Handles a job from a caller or a peer.  Takes ownership of @w and @job.  */
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -221,8 +221,8 @@
 static bool
 outage_within_ttl (const mm_entry *e)
 {
-  int64_t last
-      = MAX (mm_contact_outage_wall_ms (e->contact), e->peer_outage_wall_ms);
+  int64_t last = MAX (mm_contact_last_outage_wall_ms (e->contact),
+                      e->peer_outage_wall_ms);
   return last && mm_clock_wall_ms () - last < e->settings.done_ttl_ms;
 }
 
