--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -1,28 +1,30 @@
-/* mm_entry_job: a job on an entry instance, from accept to answer.
-
-   First the job is recorded in its shard's log (ACCEPTING), so that
-   whoever owns the shard later knows of it.  If an earlier owner had it,
-   the upstreams are asked what already ran (RECOVERING).  Then its tasks
-   wait in one FIFO queue and go out only into free upstream slots
-   (RUNNING).  The answer is built once, when every task has a result
-   (complete) or when the job can no longer complete (failed): never a
-   partial answer.  Every caller that submitted the same job id gets that
-   same whole answer.  */
+/* mm_entry_job: a job on an entry instance, from its acceptance to its
+   answer.
+
+   First the job is recorded in its shard's log (ACCEPTING), so that later
+   owners of the shard know of it.  If an earlier owner may have accepted it,
+   the upstreams report what already ran (RECOVERING).  Then its tasks wait
+   in one FIFO queue and are sent only into free upstream slots (RUNNING).
+   The answer is built once, when every task has a result (complete) or when
+   the job can no longer complete (failed); there are no partial answers.
+   Every caller that submitted the same job id gets that same answer.  */
 #include "mm_entry_priv.h"
 
 #include <string.h>
 
+/* An entry of the queue of tasks that wait for a slot.  */
 typedef struct
 {
   mm_entry_job *ej;
-  uint32_t index;
-} task_ref;
+  uint32_t index; /* of the task in the job */
+} queued_task;
 
+/* Context of a call that runs a task on an upstream.  */
 typedef struct
 {
   mm_entry_job *ej;
-  uint32_t index;
-  int upstream;
+  uint32_t index; /* of the task in the job */
+  int upstream;   /* index in the pool */
 } send_ctx;
 
 void
@@ -43,16 +45,16 @@
 }
 
 static void
-task_settled (mm_entry_job *ej)
+task_finished (mm_entry_job *ej)
 {
   mm_entry *e = ej->entry;
   e->tasks_queued--;
   mm_quota_add (e->quota, ej->job->team, -1);
 }
 
-/* Out of the table, for good; late calls find it FINISHED.  */
+/* Removes the job from the table.  Calls that end later find it FINISHED.  */
 static void
-job_leave (mm_entry_job *ej)
+job_remove (mm_entry_job *ej)
 {
   mm_entry *e = ej->entry;
   ej->phase = MM_JOB_FINISHED;
@@ -75,9 +77,9 @@
 {
   mm_counters_add (ej->entry->counters, "jobs_complete", 1);
   char *answer = mm_entry_answer_json (ej, "complete", 0, NULL, 0);
-  job_leave (ej);
+  job_remove (ej);
   job_answer (ej, 200, answer, 0);
-  mm_entry_answer_keep (ej->entry, ej->job->id, answer);
+  mm_entry_answer_store (ej->entry, ej->job->id, answer);
   mm_entry_job_unref (ej);
 }
 
@@ -93,11 +95,12 @@
   return t->state == MM_TASK_PENDING && t->attempts == 0;
 }
 
-/* Settle every task that has no final state.  One that we never sent is
-   "not run" only when @ours: no other instance can have sent it.
-   Return: tasks that ran or may have run.  */
+/* Gives every task without a final state one.  A task that was never sent
+   from here is "not run" only when @owned, as no other instance can have sent
+   it then; otherwise it is "unknown".  Returns the number of tasks that ran
+   or may have run.  */
 static uint32_t
-settle_rest (mm_entry_job *ej, bool ours)
+finish_open_tasks (mm_entry_job *ej, bool owned)
 {
   uint32_t ran = 0;
   for (uint32_t i = 0; i < ej->job->n_tasks; i++)
@@ -106,8 +109,8 @@
       if (is_open (t))
         {
           t->state
-              = never_sent (t) && ours ? MM_TASK_NOT_RUN : MM_TASK_UNKNOWN;
-          task_settled (ej);
+              = never_sent (t) && owned ? MM_TASK_NOT_RUN : MM_TASK_UNKNOWN;
+          task_finished (ej);
         }
       ran += t->state != MM_TASK_NOT_RUN;
     }
@@ -115,36 +118,36 @@
 }
 
 static void
-fail_now (mm_entry_job *ej, bool ours)
+fail_now (mm_entry_job *ej, bool owned)
 {
   mm_entry *e = ej->entry;
-  uint32_t ran = settle_rest (ej, ours);
-  uint32_t after = (uint32_t)mm_cfg_knobs (e->cfg)->retry_after_s;
+  uint32_t ran = finish_open_tasks (ej, owned);
+  uint32_t retry_s = (uint32_t)mm_cfg_knobs (e->cfg)->retry_after_s;
   mm_counters_add (e->counters, "jobs_failed", 1);
   g_message ("job %s failed: %s", ej->job->id, ej->fail_why);
   char *answer = mm_entry_answer_json (ej, "failed", ej->fail_code,
-                                       ej->fail_why, after);
-  job_leave (ej);
+                                       ej->fail_why, retry_s);
+  job_remove (ej);
   job_answer (ej, ej->fail_code == MM_ERROR_TIMEOUT ? 504 : 502, answer,
-              after);
+              retry_s);
   if (ran)
-    mm_entry_answer_keep (e, ej->job->id, answer);
+    mm_entry_answer_store (e, ej->job->id, answer);
   else
     free (answer);
   mm_entry_job_unref (ej);
 }
 
 static void
-fail_verified (bool ours, void *ctx)
+fail_after_verify (bool owned, void *ctx)
 {
   mm_entry_job *ej = ctx;
   if (ej->phase == MM_JOB_FAILING)
-    fail_now (ej, ours);
+    fail_now (ej, owned);
   mm_entry_job_unref (ej);
 }
 
 static bool
-any_never_sent (const mm_entry_job *ej)
+has_unsent_task (const mm_entry_job *ej)
 {
   for (uint32_t i = 0; i < ej->job->n_tasks; i++)
     if (never_sent (&ej->job->tasks[i]))
@@ -156,41 +159,42 @@
  * mm_entry_job_fail() - end a job that can no longer complete.
  * @ej: the job.
  * @code: mm_error_code.
- * @why: told to the callers; a constant string.
+ * @why: message for the callers; a constant string.
  *
- * Guards against calling a task "not run" that a later owner has run:
- * we may have been frozen and replaced without knowing.  If there is
- * such a claim to make, the log is first asked whether the shard is
- * still ours, which takes one call, MM_VERIFY_TIMEOUT_MS at most.  A job
- * of which nothing ran is not kept: a resubmit may run it.
+ * This instance may have been frozen and replaced without noticing.  Before
+ * its answer calls any task "not run", which a later owner may have run, the
+ * log confirms that this instance still owns the shard.  That takes one call
+ * of at most MM_VERIFY_TIMEOUT_MS.  The answer of a job of which nothing ran
+ * is not kept, so that a resubmit may run the job.
  */
 void
 mm_entry_job_fail (mm_entry_job *ej, int code, const char *why)
 {
   if (ej->phase == MM_JOB_FAILING)
     return;
-  bool claims = any_never_sent (ej) && ej->prior == MM_PRIOR_NONE;
+  bool claims_not_run
+      = has_unsent_task (ej) && ej->earlier_accept == MM_EARLIER_ACCEPT_NONE;
   if (ej->phase == MM_JOB_ACCEPTING)
     mm_shard_cancel (ej->shard, ej);
   ej->phase = MM_JOB_FAILING;
   ej->fail_code = code;
   ej->fail_why = why;
-  if (!claims || !*ej->entry->settings.platform_url)
-    fail_now (ej, claims);
+  if (!claims_not_run || !*ej->entry->settings.platform_url)
+    fail_now (ej, claims_not_run);
   else
     {
       mm_entry_job_ref (ej);
-      mm_shard_verify (ej->shard, fail_verified, ej);
+      mm_shard_verify (ej->shard, fail_after_verify, ej);
     }
 }
 
 /**
- * mm_entry_job_moved() - another instance owns the job now.
- * @ej: the job; it ends here without an answer of ours.
- * @holder: the instance that has it, or NULL when unknown.
+ * mm_entry_job_moved() - leave a job to the instance that owns it now.
+ * @ej: the job; it ends here without an answer from this instance.
+ * @holder: the new owner, or NULL when not known.
  *
- * Every waiter's request goes on to the new owner, which finds out at
- * the upstreams what we started.
+ * Every waiting request is routed to the new owner, which finds out from the
+ * upstreams what this instance started.
  */
 void
 mm_entry_job_moved (mm_entry_job *ej, const char *holder)
@@ -199,8 +203,8 @@
   mm_counters_add (e->counters, "jobs_moved", 1);
   if (ej->phase != MM_JOB_ACCEPTING)
     mm_shard_remember (ej->shard, ej->job->id, ej->fingerprint);
-  settle_rest (ej, false);
-  job_leave (ej);
+  finish_open_tasks (ej, false);
+  job_remove (ej);
   for (guint i = 0; i < ej->waiters->len; i++)
     {
       mm_waiter *w = g_new (mm_waiter, 1);
@@ -220,18 +224,18 @@
 static void
 enqueue (mm_entry *e, mm_entry_job *ej, uint32_t index, bool front)
 {
-  task_ref *r = g_new0 (task_ref, 1);
-  r->ej = ej;
-  r->index = index;
+  queued_task *queued = g_new0 (queued_task, 1);
+  queued->ej = ej;
+  queued->index = index;
   mm_entry_job_ref (ej);
   if (front)
-    g_queue_push_head (&e->queue, r);
+    g_queue_push_head (&e->queue, queued);
   else
-    g_queue_push_tail (&e->queue, r);
+    g_queue_push_tail (&e->queue, queued);
 }
 
 static mm_outcome
-classify (const mm_http_result *res)
+outcome_of (const mm_http_result *res)
 {
   if (res->status == 200)
     return MM_OUTCOME_OK;
@@ -245,7 +249,7 @@
 }
 
 static void
-send_again (mm_entry_job *ej, mm_task *t, const char *counter)
+requeue (mm_entry_job *ej, mm_task *t, const char *counter)
 {
   t->state = MM_TASK_PENDING;
   mm_counters_add (ej->entry->counters, counter, 1);
@@ -253,16 +257,16 @@
 }
 
 /**
- * mm_entry_task_outcome() - what became of a task that was sent.
- * @ej: its job, not finished; may be finished and freed by this call
- *      unless the caller holds a reference.
+ * mm_entry_handle_task_outcome() - finish a sent task, or send it again.
+ * @ej: its job, not finished; this call may finish and free it, unless the
+ *      caller holds a reference.
  * @t: the task, RUNNING.
  * @o: the outcome.
  * @result: with MM_OUTCOME_OK, the task's result, copied.
  */
 void
-mm_entry_task_outcome (mm_entry_job *ej, mm_task *t, mm_outcome o,
-                       const char *result)
+mm_entry_handle_task_outcome (mm_entry_job *ej, mm_task *t, mm_outcome o,
+                              const char *result)
 {
   mm_entry *e = ej->entry;
   const mm_knobs *k = mm_cfg_knobs (e->cfg);
@@ -272,19 +276,20 @@
       t->result = g_strdup (result ? result : "");
       t->state = MM_TASK_DONE;
       t->finished_ms = mm_clock_now_ms ();
-      task_settled (ej);
+      task_finished (ej);
       if (--ej->remaining == 0)
         job_complete (ej);
       return;
-    /* Refused before start or never reached: it did not run, so sending
-       it elsewhere cannot start it twice, idempotent or not.  */
+    /* The task was refused before its start or never reached the upstream.
+       It did not run, so sending it elsewhere cannot start it twice, whether
+       it is idempotent or not.  */
     case MM_OUTCOME_REFUSED:
     case MM_OUTCOME_UNREACHABLE:
       t->attempts--;
-      send_again (ej, t, "resends_not_run");
+      requeue (ej, t, "resends_not_run");
       return;
-    /* A later owner has raised the job's epoch at the upstream: we were
-       replaced, e.g. while this process was frozen.  */
+    /* A later owner has raised the job's epoch at the upstream: it replaced
+       this instance, for example while this process was frozen.  */
     case MM_OUTCOME_FENCED:
       t->attempts--;
       t->state = MM_TASK_PENDING;
@@ -295,15 +300,15 @@
     case MM_OUTCOME_LOST:
       break;
     }
-  /* It ran and failed, or it may have run: only an idempotent task may
+  /* The task ran and failed, or may have run.  Only an idempotent task may
      run again, and only within the retry budget.  */
   if (t->idempotent && t->attempts <= (uint32_t)k->retry_budget)
     {
-      send_again (ej, t, "retries");
+      requeue (ej, t, "retries");
       return;
     }
   t->state = o == MM_OUTCOME_FAILED ? MM_TASK_FAILED : MM_TASK_UNKNOWN;
-  task_settled (ej);
+  task_finished (ej);
   mm_entry_job_fail (ej, MM_ERROR_UPSTREAM,
                      o == MM_OUTCOME_FAILED
                          ? "a task failed"
@@ -312,35 +317,37 @@
 }
 
 /**
- * mm_entry_upstream_outcome() - a task's end, for the upstream's record.
+ * mm_entry_handle_upstream_outcome() - record a task's end for its upstream.
  * @e: the entry instance.
  * @upstream: its index in the pool.
- * @o: what became of the task.
+ * @o: the outcome of the task.
  * @mode_seq: with MM_OUTCOME_REFUSED, the upstream's mode_seq.
+ *
+ * The peers are notified when this outcome ejects the upstream.
  */
 void
-mm_entry_upstream_outcome (mm_entry *e, int upstream, mm_outcome o,
-                           int64_t mode_seq)
+mm_entry_handle_upstream_outcome (mm_entry *e, int upstream, mm_outcome o,
+                                  int64_t mode_seq)
 {
   const mm_knobs *k = mm_cfg_knobs (e->cfg);
   if (mm_pool_done (e->pool, upstream, o, mode_seq, mm_clock_now_ms (),
                     (uint32_t)k->eject_after_failures, k->eject_ms))
-    mm_entry_tell_ejected (e, mm_pool_at (e->pool, upstream)->name);
+    mm_entry_notify_ejected (e, mm_pool_at (e->pool, upstream)->name);
 }
 
 static void
-send_done (const mm_http_result *res, void *ctx)
+task_answered (const mm_http_result *res, void *ctx)
 {
   send_ctx *s = ctx;
   mm_entry_job *ej = s->ej;
   mm_entry *e = ej->entry;
   mm_task *t = &ej->job->tasks[s->index];
-  mm_outcome o = classify (res);
+  mm_outcome o = outcome_of (res);
   cJSON *a = NULL;
   if (o == MM_OUTCOME_OK || o == MM_OUTCOME_REFUSED)
     a = cJSON_ParseWithLength (res->body, res->body_bytes);
   const cJSON *seq = cJSON_GetObjectItem (a, "mode_seq");
-  mm_entry_upstream_outcome (
+  mm_entry_handle_upstream_outcome (
       e, s->upstream, o, cJSON_IsNumber (seq) ? (int64_t)seq->valuedouble : 0);
   mm_counters_add (e->counters, "upstream_answers", 1);
   if (o == MM_OUTCOME_OK)
@@ -349,12 +356,12 @@
   if (ej->phase >= MM_JOB_FAILING)
     mm_counters_add (e->counters, "answers_unused", 1);
   else
-    mm_entry_task_outcome (
+    mm_entry_handle_task_outcome (
         ej, t, o, cJSON_GetStringValue (cJSON_GetObjectItem (a, "result")));
   cJSON_Delete (a);
   mm_entry_job_unref (ej);
   g_free (s);
-  mm_entry_pump (e);
+  mm_entry_send_waiting (e);
 }
 
 static void
@@ -382,36 +389,36 @@
   t->started_ms = mm_clock_now_ms ();
   mm_pool_sent (e->pool, upstream);
   mm_counters_add (e->counters, "tasks_sent", 1);
-  mm_http_client_call (e->upstreams, "POST", url, body,
-                       mm_cfg_knobs (e->cfg)->dispatch_timeout_ms, send_done,
-                       s);
+  mm_http_client_call (e->upstream_client, "POST", url, body,
+                       mm_cfg_knobs (e->cfg)->dispatch_timeout_ms,
+                       task_answered, s);
   g_free (url);
   free (body);
 }
 
 /**
- * mm_entry_pump() - send waiting tasks into free upstream slots.
+ * mm_entry_send_waiting() - send waiting tasks into free upstream slots.
  * @e: the entry instance.
  *
  * Tasks of finished jobs are dropped from the queue here.
  */
 void
-mm_entry_pump (mm_entry *e)
+mm_entry_send_waiting (mm_entry *e)
 {
   mm_time_ms now = mm_clock_now_ms ();
   while (!g_queue_is_empty (&e->queue))
     {
-      task_ref *r = g_queue_peek_head (&e->queue);
-      if (r->ej->phase < MM_JOB_FAILING)
+      queued_task *queued = g_queue_peek_head (&e->queue);
+      if (queued->ej->phase < MM_JOB_FAILING)
         {
           int up = mm_pool_pick (e->pool, now);
           if (up < 0)
             break;
-          send_task (e, r->ej, r->index, up);
+          send_task (e, queued->ej, queued->index, up);
         }
       g_queue_pop_head (&e->queue);
-      mm_entry_job_unref (r->ej);
-      g_free (r);
+      mm_entry_job_unref (queued->ej);
+      g_free (queued);
     }
   if (e->shutting_down)
     ev_idle_start (e->loop, &e->shutdown_check);
@@ -419,7 +426,7 @@
 
 /**
  * mm_entry_job_run() - queue the job's pending tasks.
- * @ej: the job, accepted, and recovered if need be.
+ * @ej: the job, accepted, and recovered if an earlier owner may have run it.
  */
 void
 mm_entry_job_run (mm_entry_job *ej)
@@ -428,11 +435,11 @@
   for (uint32_t i = 0; i < ej->job->n_tasks; i++)
     if (ej->job->tasks[i].state == MM_TASK_PENDING)
       enqueue (ej->entry, ej, i, false);
-  mm_entry_pump (ej->entry);
+  mm_entry_send_waiting (ej->entry);
 }
 
 static void
-accepted (const mm_accept *a, void *ctx)
+accept_answered (const mm_accept *a, void *ctx)
 {
   mm_entry_job *ej = ctx;
   mm_entry *e = ej->entry;
@@ -443,18 +450,18 @@
   switch (a->verdict)
     {
     case MM_ACCEPT_FRESH:
-      ej->prior = mm_entry_prior (e, ej->job->id);
-      if (ej->prior == MM_PRIOR_MAYBE)
+      ej->earlier_accept = mm_entry_earlier_accept (e, ej->job->id);
+      if (ej->earlier_accept == MM_EARLIER_ACCEPT_POSSIBLE)
         mm_entry_recover (ej, false, 0);
       else
         mm_entry_job_run (ej);
       break;
     case MM_ACCEPT_UNRECORDED:
-      ej->prior = MM_PRIOR_MAYBE;
+      ej->earlier_accept = MM_EARLIER_ACCEPT_POSSIBLE;
       mm_entry_recover (ej, false, 0);
       break;
     case MM_ACCEPT_KNOWN:
-      ej->prior = MM_PRIOR_KNOWN;
+      ej->earlier_accept = MM_EARLIER_ACCEPT_KNOWN;
       mm_entry_recover (ej, true, a->fingerprint);
       break;
     case MM_ACCEPT_MOVED:
@@ -464,10 +471,10 @@
 }
 
 /**
- * mm_entry_job_start() - take a job on.
+ * mm_entry_job_start() - accept a job.
  * @e: the entry instance.
- * @w: who waits for its answer; taken.
- * @job: the job; taken.
+ * @w: the request that waits for its answer; ownership is taken.
+ * @job: the job; ownership is taken.
  */
 void
 mm_entry_job_start (mm_entry *e, mm_waiter *w, mm_job *job)
@@ -476,7 +483,7 @@
   ej->entry = e;
   ej->job = job;
   ej->shard = mm_entry_shard_of (e, job->id);
-  ej->prior = mm_entry_prior (e, job->id);
+  ej->earlier_accept = mm_entry_earlier_accept (e, job->id);
   ej->waiters = g_ptr_array_new_with_free_func (g_free);
   g_ptr_array_add (ej->waiters, w);
   ej->remaining = job->n_tasks;
@@ -492,13 +499,13 @@
   mm_counters_add (e->counters, "jobs_accepted", 1);
   mm_counters_add (e->counters, "tasks_accepted", job->n_tasks);
   if (*e->settings.platform_url)
-    mm_shard_accept (ej->shard, job->id, accepted, ej);
+    mm_shard_accept (ej->shard, job->id, accept_answered, ej);
   else
     mm_entry_job_run (ej);
 }
 
 /**
- * mm_entry_jobs_dump() - jobs in progress, for the state dump.
+ * mm_entry_jobs_dump() - list the jobs in progress for the state dump.
  * @e: the entry instance.
  *
  * Return: JSON text, free with free().
@@ -531,18 +538,19 @@
 }
 
 /**
- * mm_entry_jobs_free() - drop every job, for destroy.
+ * mm_entry_jobs_free() - free all jobs and answers when the instance is
+ * destroyed.
  * @e: the entry instance; its loop no longer runs.
  */
 void
 mm_entry_jobs_free (mm_entry *e)
 {
   mm_entry_answers_free (e);
-  task_ref *r;
-  while ((r = g_queue_pop_head (&e->queue)))
+  queued_task *queued;
+  while ((queued = g_queue_pop_head (&e->queue)))
     {
-      mm_entry_job_unref (r->ej);
-      g_free (r);
+      mm_entry_job_unref (queued->ej);
+      g_free (queued);
     }
   GHashTableIter it;
   gpointer k, v;
--- a/src/mm_entry_platform.c
+++ b/src/mm_entry_platform.c
@@ -1,32 +1,31 @@
-/* mm_entry_platform: what an entry instance does with the platform's
-   service: heartbeats into the member list, upstreams and peers taken
-   from that (lagging) list, and the config stream read in log order.
+/* mm_entry_platform: an entry instance's use of the platform's service.  It
+   sends heartbeats to the member list, reads upstreams and peers from that
+   list, which lags, and reads the config stream in log order.
 
-   When the platform is down, all of this simply fails and is retried on
-   the next tick: the instance keeps its last upstreams and its last
-   configuration, and goes on serving (a cut-off data centre serves what
-   it can).  */
+   While the platform is down, each call fails and is retried on the next
+   tick.  The instance keeps its last upstreams and its last configuration
+   and goes on serving, so a disconnected data centre serves what it can.  */
 #include "mm_entry_priv.h"
 
 #include <cJSON.h>
 #include <string.h>
 
 static void
-heartbeat_done (const mm_http_result *res, void *ctx)
+heartbeat_answered (const mm_http_result *res, void *ctx)
 {
   mm_entry *e = ctx;
-  mm_entry_contact_note (e, res->status == 200);
+  mm_entry_record_contact (e, res->status == 200);
   mm_counters_add (e->counters,
                    res->status == 200 ? "heartbeats_ok" : "heartbeats_failed",
                    1);
 }
 
 /**
- * mm_entry_heartbeat_now() - tell the member list we are here.
+ * mm_entry_heartbeat_now() - send a heartbeat to the member list.
  * @e: the entry instance.
  *
- * Carries our state (live or leaving) and the config offset in force,
- * which operators and starting peers read.
+ * A heartbeat carries the state of this instance (live or leaving) and the
+ * config offset in force, which operators and starting peers read.
  */
 void
 mm_entry_heartbeat_now (mm_entry *e)
@@ -36,23 +35,24 @@
   cJSON *o = cJSON_CreateObject ();
   cJSON_AddStringToObject (o, "kind", "entry");
   char *addr = g_strdup_printf ("%s:%u", e->settings.listen_host,
-                                mm_http_server_port (e->http));
+                                mm_http_server_port (e->http_server));
   cJSON_AddStringToObject (o, "addr", addr);
   g_free (addr);
   addr = g_strdup_printf ("%s:%u", e->settings.listen_host,
-                          mm_peer_port (e->peer));
+                          mm_peer_port (e->peer_links));
   cJSON_AddStringToObject (o, "peer_addr", addr);
   g_free (addr);
   cJSON_AddStringToObject (o, "datacentre", e->settings.datacentre);
   cJSON_AddStringToObject (o, "site", e->settings.site);
   cJSON_AddStringToObject (o, "state", e->shutting_down ? "leaving" : "live");
   cJSON_AddNumberToObject (o, "config_offset", (double)mm_cfg_head (e->cfg));
-  cJSON_AddNumberToObject (o, "outage_ms",
-                           (double)mm_contact_outage_wall_ms (e->contact));
+  cJSON_AddNumberToObject (
+      o, "outage_ms", (double)mm_contact_last_outage_wall_ms (e->contact));
   cJSON_AddNumberToObject (o, "started_ms", (double)e->started_wall_ms);
   char *body = cJSON_PrintUnformatted (o);
   cJSON_Delete (o);
-  mm_http_client_call (e->platform, "PUT", url, body, 1000, heartbeat_done, e);
+  mm_http_client_call (e->platform_client, "PUT", url, body, 1000,
+                       heartbeat_answered, e);
   g_free (url);
   free (body);
 }
@@ -64,7 +64,7 @@
 }
 
 static void
-take_upstream (mm_entry *e, const cJSON *m)
+apply_upstream (mm_entry *e, const cJSON *m)
 {
   const char *addr = cJSON_GetStringValue (cJSON_GetObjectItem (m, "addr"));
   const char *dc
@@ -85,13 +85,13 @@
                      cJSON_IsNumber (seq) ? (int64_t)seq->valuedouble : 0);
 }
 
-/* Add the peers of the list before that the new one lacks.  */
+/* Adds the peers of the previous list that are missing in the new one.  */
 static void
-keep_peers (mm_entry *e, GHashTable *before, GPtrArray *names)
+add_missing_peers (mm_entry *e, GHashTable *old_addrs, GPtrArray *names)
 {
   GHashTableIter it;
   gpointer name, addr;
-  g_hash_table_iter_init (&it, before);
+  g_hash_table_iter_init (&it, old_addrs);
   while (g_hash_table_iter_next (&it, &name, &addr))
     if (!g_hash_table_contains (e->peer_addrs, name))
       {
@@ -100,23 +100,23 @@
       }
 }
 
-/* What one reading of the member list says of our peers.  */
+/* The peers as one member list shows them.  */
 typedef struct
 {
-  GPtrArray *names;          /* live instances of our data centre, and us */
-  int64_t config_max;        /* the highest offset in force, -1 none */
-  int64_t oldest_started_ms; /* INT64_MAX: no peer says */
+  GPtrArray *names;          /* live instances of the data centre, with this */
+  int64_t config_max;        /* highest config offset in force, -1 none */
+  int64_t oldest_started_ms; /* earliest start, INT64_MAX none */
 } peer_view;
 
 static int64_t
-number_of (const cJSON *m, const char *key, int64_t otherwise)
+get_number (const cJSON *m, const char *key, int64_t fallback)
 {
   const cJSON *n = cJSON_GetObjectItem (m, key);
-  return cJSON_IsNumber (n) ? (int64_t)n->valuedouble : otherwise;
+  return cJSON_IsNumber (n) ? (int64_t)n->valuedouble : fallback;
 }
 
 static void
-take_peer (mm_entry *e, const cJSON *m, peer_view *view)
+apply_peer (mm_entry *e, const cJSON *m, peer_view *view)
 {
   const char *name = cJSON_GetStringValue (cJSON_GetObjectItem (m, "name"));
   const char *state = cJSON_GetStringValue (cJSON_GetObjectItem (m, "state"));
@@ -128,34 +128,34 @@
       || g_str_equal (name, e->settings.name))
     return;
   view->config_max
-      = MAX (view->config_max, number_of (m, "config_offset", -1));
+      = MAX (view->config_max, get_number (m, "config_offset", -1));
   if (!dc || !addr || !g_str_equal (dc, e->settings.datacentre))
     return;
   g_ptr_array_add (view->names, g_strdup (name));
   g_hash_table_insert (e->peer_addrs, g_strdup (name), g_strdup (addr));
   view->oldest_started_ms
-      = MIN (view->oldest_started_ms, number_of (m, "started_ms", INT64_MAX));
+      = MIN (view->oldest_started_ms, get_number (m, "started_ms", INT64_MAX));
   e->peer_outage_wall_ms
-      = MAX (e->peer_outage_wall_ms, number_of (m, "outage_ms", 0));
+      = MAX (e->peer_outage_wall_ms, get_number (m, "outage_ms", 0));
 }
 
-/* A whole new member list.  */
+/* Applies a complete new member list.  */
 static void
-take_members (mm_entry *e, const cJSON *list)
+apply_members (mm_entry *e, const cJSON *list)
 {
-  /* Guards against the short list right after an outage, when living
-     members had expired: until they had time to come back, the list only
-     adds.  It is read whole again on the next poll.  */
-  bool unsure = mm_contact_list_unsure (e->contact, mm_clock_now_ms ());
-  e->members_version = unsure ? -1 : number_of (list, "version", -1);
-  GHashTable *before = e->peer_addrs;
+  /* Right after an outage of the platform the list lacks live members that
+     expired during the outage.  Until these had time to return, the list only
+     adds members, and the next poll reads it in full again.  */
+  bool incomplete = mm_contact_list_unsure (e->contact, mm_clock_now_ms ());
+  e->members_version = incomplete ? -1 : get_number (list, "version", -1);
+  GHashTable *old_addrs = e->peer_addrs;
   e->peer_addrs
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   peer_view view = { .names = g_ptr_array_new (),
                      .config_max = -1,
                      .oldest_started_ms = INT64_MAX };
   g_ptr_array_add (view.names, g_strdup (e->settings.name));
-  if (!unsure)
+  if (!incomplete)
     mm_pool_list_begin (e->pool, mm_clock_now_ms ());
   const cJSON *m;
   cJSON_ArrayForEach (m, cJSON_GetObjectItem (list, "members"))
@@ -163,21 +163,21 @@
       const char *kind
           = cJSON_GetStringValue (cJSON_GetObjectItem (m, "kind"));
       if (kind && g_str_equal (kind, "upstream"))
-        take_upstream (e, m);
+        apply_upstream (e, m);
       else if (kind && g_str_equal (kind, "entry"))
-        take_peer (e, m, &view);
+        apply_peer (e, m, &view);
     }
-  if (unsure)
-    keep_peers (e, before, view.names);
+  if (incomplete)
+    add_missing_peers (e, old_addrs, view.names);
   mm_pool_list_end (e->pool);
   g_ptr_array_add (view.names, NULL);
   g_strfreev (e->live_entries);
   e->live_entries = (char **)g_ptr_array_free (view.names, FALSE);
-  e->peer_config_max = view.config_max;
+  e->peers_max_config_offset = view.config_max;
   e->peers_started_wall_ms
       = view.oldest_started_ms == INT64_MAX ? 0 : view.oldest_started_ms;
-  mm_entry_peers_changed (e, before);
-  g_hash_table_destroy (before);
+  mm_entry_peers_changed (e, old_addrs);
+  g_hash_table_destroy (old_addrs);
 }
 
 static void
@@ -187,14 +187,14 @@
   cJSON *o = res->status == 200
                  ? cJSON_ParseWithLength (res->body, res->body_bytes)
                  : NULL;
-  mm_entry_contact_note (e, o != NULL);
+  mm_entry_record_contact (e, o != NULL);
   if (cJSON_IsTrue (cJSON_GetObjectItem (o, "unchanged")))
     mm_counters_add (e->counters, "member_polls_unchanged", 1);
   else if (cJSON_IsArray (cJSON_GetObjectItem (o, "members")))
     {
-      take_members (e, o);
+      apply_members (e, o);
       mm_counters_add (e->counters, "member_polls_ok", 1);
-      mm_entry_pump (e);
+      mm_entry_send_waiting (e);
     }
   else
     mm_counters_add (e->counters, "member_polls_failed", 1);
@@ -205,14 +205,14 @@
 member_poll_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_entry *e = w->data;
-  /* Only our data centre, and only when it changed: a full list of the
-     whole fleet on every poll would break the control-traffic budget
-     (docs/CAPACITY.md).  */
+  /* Requests only the members of this data centre, and only when the list
+     has changed.  Reading the list of the whole fleet on every poll would
+     exceed the budget for control traffic (docs/CAPACITY.md).  */
   char *url = g_strdup_printf (
       "%s/v1/members?datacentre=%s&since=%" G_GINT64_FORMAT,
       e->settings.platform_url, e->settings.datacentre, e->members_version);
-  mm_http_client_call (e->platform, "GET", url, NULL, 1000, members_answered,
-                       e);
+  mm_http_client_call (e->platform_client, "GET", url, NULL, 1000,
+                       members_answered, e);
   g_free (url);
 }
 
@@ -221,14 +221,14 @@
 {
   char *text = cJSON_PrintUnformatted (data);
   GError *err = NULL;
-  int64_t before = mm_cfg_head (e->cfg);
+  int64_t old_head = mm_cfg_head (e->cfg);
   if (mm_cfg_offer (e->cfg, offset, text, &err))
     {
-      e->head_seen_ms = mm_clock_now_ms ();
+      e->head_refreshed_ms = mm_clock_now_ms ();
       mm_counters_add (e->counters, "config_applied", 1);
       g_message ("config %" G_GINT64_FORMAT " in force (was %" G_GINT64_FORMAT
                  ")",
-                 offset, before);
+                 offset, old_head);
     }
   else if (err)
     {
@@ -240,10 +240,12 @@
   free (text);
 }
 
-/* A fresh instance whose log window no longer starts at 0 adopts the
-   head that live peers report, else the last snapshot in the window.  */
+/* Adopts a head config at the start, when the log no longer holds the records
+   from offset 0: the head that live peers report, or the last snapshot in the
+   log when none reports one.  Returns the offset of the record, or -1 when
+   there is none.  */
 static int64_t
-adopt_start (mm_entry *e, const cJSON *records)
+adopt_head (mm_entry *e, const cJSON *records)
 {
   const cJSON *r, *pick = NULL;
   cJSON_ArrayForEach (r, records)
@@ -253,8 +255,9 @@
       const cJSON *d = cJSON_GetObjectItem (r, "data");
       const char *kind
           = cJSON_GetStringValue (cJSON_GetObjectItem (d, "kind"));
-      if (e->peer_config_max >= 0 ? off == e->peer_config_max
-                                  : kind && g_str_equal (kind, "snapshot"))
+      if (e->peers_max_config_offset >= 0
+              ? off == e->peers_max_config_offset
+              : kind && g_str_equal (kind, "snapshot"))
         pick = r;
     }
   if (!pick)
@@ -265,7 +268,7 @@
   GError *err = NULL;
   if (mm_cfg_adopt (e->cfg, off, text, &err))
     {
-      e->head_seen_ms = mm_clock_now_ms ();
+      e->head_refreshed_ms = mm_clock_now_ms ();
       g_message ("config %" G_GINT64_FORMAT " adopted at start", off);
     }
   g_clear_error (&err);
@@ -274,7 +277,7 @@
 }
 
 static void
-snapshot_done (const mm_http_result *res, void *ctx)
+snapshot_answered (const mm_http_result *res, void *ctx)
 {
   mm_entry *e = ctx;
   mm_counters_add (
@@ -282,13 +285,15 @@
       res->status == 200 ? "config_snapshots" : "config_snapshots_failed", 1);
 }
 
-/* Before retention drops the head, one live instance (the rendezvous
-   owner of "config-snapshot") appends it again as a snapshot.  */
+/* Appends the head config again as a snapshot before the log's retention
+   drops it.  One live instance does so, the rendezvous owner of
+   "config-snapshot".  */
 static void
-maybe_snapshot (mm_entry *e)
+append_snapshot_if_due (mm_entry *e)
 {
   if (mm_cfg_head (e->cfg) < 0 || !e->live_entries
-      || mm_clock_now_ms () - e->head_seen_ms < e->settings.config_snapshot_ms)
+      || mm_clock_now_ms () - e->head_refreshed_ms
+             < e->settings.config_snapshot_ms)
     return;
   int owner = mm_hash_owner ("config-snapshot", e->live_entries,
                              g_strv_length (e->live_entries));
@@ -296,18 +301,19 @@
     return;
   char *rec = mm_cfg_snapshot_record (e->cfg);
   char *url = g_strdup_printf ("%s/v1/log/config", e->settings.platform_url);
-  mm_http_client_call (e->platform, "POST", url, rec, 1000, snapshot_done, e);
-  e->head_seen_ms = mm_clock_now_ms ();
+  mm_http_client_call (e->platform_client, "POST", url, rec, 1000,
+                       snapshot_answered, e);
+  e->head_refreshed_ms = mm_clock_now_ms ();
   g_free (url);
   free (rec);
 }
 
 static void
-config_done (const mm_http_result *res, void *ctx)
+config_answered (const mm_http_result *res, void *ctx)
 {
   mm_entry *e = ctx;
-  e->config_reading = false;
-  mm_entry_contact_note (e, res->status == 200);
+  e->config_poll_pending = false;
+  mm_entry_record_contact (e, res->status == 200);
   if (res->status != 200)
     {
       mm_counters_add (e->counters, "config_polls_failed", 1);
@@ -319,7 +325,7 @@
   const cJSON *records = cJSON_GetObjectItem (o, "records");
   int64_t skip_to = -1;
   if (first > e->config_cursor && mm_cfg_head (e->cfg) < 0)
-    skip_to = adopt_start (e, records);
+    skip_to = adopt_head (e, records);
   const cJSON *r;
   cJSON_ArrayForEach (r, records)
     {
@@ -330,19 +336,20 @@
       e->config_cursor = off + 1;
     }
   cJSON_Delete (o);
-  maybe_snapshot (e);
+  append_snapshot_if_due (e);
 }
 
 static void
 config_poll_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_entry *e = w->data;
-  if (e->config_reading)
+  if (e->config_poll_pending)
     return;
-  e->config_reading = true;
+  e->config_poll_pending = true;
   char *url = g_strdup_printf ("%s/v1/log/config?from=%" G_GINT64_FORMAT,
                                e->settings.platform_url, e->config_cursor);
-  mm_http_client_call (e->platform, "GET", url, NULL, 1000, config_done, e);
+  mm_http_client_call (e->platform_client, "GET", url, NULL, 1000,
+                       config_answered, e);
   g_free (url);
 }
 
--- a/src/mm_entry_route.c
+++ b/src/mm_entry_route.c
@@ -1,29 +1,29 @@
-/* mm_entry_route: a request's job goes to the instance that owns it.
+/* mm_entry_route: routes the job of a request to the instance that owns it.
 
-   The owner is found by shard (mm_entry_shards.c).  When the owner does
-   not answer, the request is routed again: the log decides who owns the
-   shard and the upstreams know what ran, so handing the same job in at
-   another instance starts no task twice.  The caller waits for the one
+   The owner is found by shard (mm_entry_shards.c).  When the owner does not
+   answer, the request is routed again.  The log decides which instance owns
+   the shard and the upstreams know what ran, so submitting the same job to
+   another instance starts no task twice.  The caller waits for the single
    answer, at most until the job's deadline.  */
 #include "config.h"
 #include "mm_entry_priv.h"
 
-/* A leaving instance's answer to a peer: route the job elsewhere.  */
+/* Answer of a leaving instance to a peer: route the job elsewhere.  */
 #define PEER_LEAVING_STATUS 421
 
-/* A request on its way to another instance.  */
+/* A request that is routed to another instance.  */
 typedef struct
 {
   mm_entry *entry;
   mm_waiter *waiter;
   char *job_id;
-  char *peer; /* where it is now */
-  GByteArray *packed;
-  mm_time_ms deadline_ms; /* by mm_clock_now_ms() */
-  uint32_t failures;      /* links that failed under it */
+  char *peer;             /* the peer that has it now */
+  GByteArray *packed;     /* the job, from mm_job_pack() */
+  mm_time_ms deadline_ms; /* on the clock of mm_clock_now_ms() */
+  uint32_t failures;      /* peers that did not serve it */
 } routed_request;
 
-static void route (routed_request *q, const char *holder);
+static void route (routed_request *routed, const char *holder);
 
 void
 mm_entry_waiter_reply (mm_entry *e, const mm_waiter *w, unsigned status,
@@ -32,18 +32,18 @@
   if (w->http)
     mm_http_reply (w->http, status, body, retry_after_s);
   else
-    mm_peer_reply (e->peer, w->conn_id, w->req_id, status, retry_after_s,
+    mm_peer_reply (e->peer_links, w->conn_id, w->req_id, status, retry_after_s,
                    body);
 }
 
 /**
- * mm_entry_refuse() - a typed failure to one waiter.
+ * mm_entry_refuse() - answer one request with an error.
  * @e: the entry instance.
- * @w: who is told.
+ * @w: the request.
  * @status: HTTP status.
  * @code: mm_error_code.
- * @why: for the caller.
- * @retry_after_s: when to come back, 0 for never.
+ * @why: message for the caller.
+ * @retry_after_s: when to submit again, 0 for never.
  */
 void
 mm_entry_refuse (mm_entry *e, const mm_waiter *w, unsigned status, int code,
@@ -61,7 +61,7 @@
 }
 
 static void
-answer_kept (mm_entry *e, const mm_waiter *w, const char *answer)
+reply_stored_answer (mm_entry *e, const mm_waiter *w, const char *answer)
 {
   mm_counters_add (e->counters, "resubmits_answered", 1);
   cJSON *o = cJSON_Parse (answer);
@@ -72,16 +72,17 @@
   mm_entry_waiter_reply (e, w, complete ? 200 : 502, answer, 0);
 }
 
-/* We have the job already: its answer, or its run in progress.  Takes @w
-   when true.  */
+/* Answers the request from a stored answer, or adds it to the job in
+   progress.  Returns false when this instance has neither; otherwise takes
+   ownership of @w.  */
 static bool
-join_own (mm_entry *e, mm_waiter *w, const char *job_id)
+join_known_job (mm_entry *e, mm_waiter *w, const char *job_id)
 {
   const char *answer = g_hash_table_lookup (e->answers, job_id);
   mm_entry_job *running = g_hash_table_lookup (e->jobs, job_id);
   if (answer)
     {
-      answer_kept (e, w, answer);
+      reply_stored_answer (e, w, answer);
       g_free (w);
     }
   else if (running)
@@ -92,7 +93,7 @@
   return answer || running;
 }
 
-/* A refusal that waits for the log's word on who owns the shard.  */
+/* A refusal that waits until the log confirms the owner of the shard.  */
 typedef struct
 {
   mm_entry *entry;
@@ -101,14 +102,14 @@
 } verified_refusal;
 
 static void
-refuse_verified (bool ours, void *ctx)
+refuse_after_verify (bool owned, void *ctx)
 {
   verified_refusal *v = ctx;
   const mm_refusal *r = &v->refusal;
   char *text = g_strdup_printf (
       "%s; %s", r->why,
-      ours ? "not run"
-           : "not taken, what came of an earlier submission is unknown");
+      owned ? "not run"
+            : "not taken, what came of an earlier submission is unknown");
   mm_entry_refuse (v->entry, v->waiter, r->status, r->code, text,
                    r->retry_after_s);
   g_free (text);
@@ -116,9 +117,10 @@
   g_free (v);
 }
 
-/* Guards against "not run" for a job that another instance ran: we may
-   have lost its shard without knowing.  The claim is made only after the
-   log, asked now, names us as the owner.  Takes @w.  */
+/* Refuses a job.  This instance may have lost the job's shard without
+   noticing, and another instance may have run the job, so "not run" is
+   claimed only after the log confirms this instance as the owner.  Takes
+   ownership of @w.  */
 static void
 refuse (mm_entry *e, mm_waiter *w, const mm_job *job, const mm_refusal *r)
 {
@@ -128,21 +130,22 @@
   v->refusal = *r;
   mm_counters_add (e->counters, "jobs_refused", 1);
   if (!*e->settings.platform_url)
-    refuse_verified (true, v);
-  else if (mm_entry_prior (e, job->id) != MM_PRIOR_NONE)
-    refuse_verified (false, v);
+    refuse_after_verify (true, v);
+  else if (mm_entry_earlier_accept (e, job->id) != MM_EARLIER_ACCEPT_NONE)
+    refuse_after_verify (false, v);
   else
-    mm_shard_verify (mm_entry_shard_of (e, job->id), refuse_verified, v);
+    mm_shard_verify (mm_entry_shard_of (e, job->id), refuse_after_verify, v);
 }
 
-/* The job is ours to run: admit and start it.  Takes @w and @job.  */
+/* Admits and starts a job that this instance owns, or refuses it.  Takes
+   ownership of @w and @job.  */
 static void
-take_job (mm_entry *e, mm_waiter *w, mm_job *job)
+admit_job (mm_entry *e, mm_waiter *w, mm_job *job)
 {
   mm_refusal r;
-  /* A job that an earlier owner accepted was admitted then.  */
+  /* A job that an earlier owner accepted has been admitted already.  */
   if (!e->shutting_down
-      && (mm_entry_prior (e, job->id) == MM_PRIOR_KNOWN
+      && (mm_entry_earlier_accept (e, job->id) == MM_EARLIER_ACCEPT_KNOWN
           || mm_entry_admit (e, job, &r)))
     {
       mm_entry_job_start (e, w, job);
@@ -163,93 +166,96 @@
 }
 
 static void
-free_routed (routed_request *q)
+routed_request_destroy (routed_request *routed)
 {
-  g_byte_array_free (q->packed, TRUE);
-  g_free (q->job_id);
-  g_free (q->peer);
-  g_free (q->waiter);
-  g_free (q);
+  g_byte_array_free (routed->packed, TRUE);
+  g_free (routed->job_id);
+  g_free (routed->peer);
+  g_free (routed->waiter);
+  g_free (routed);
 }
 
-/* Nobody answered for the job: the caller hears it now.  The job may be
-   running somewhere, so it is not called "not run".  */
+/* Answers the caller that no instance answered for the job.  The job may be
+   running somewhere, so the answer does not call it "not run".  */
 static void
-give_up (routed_request *q, const char *why)
+fail_request (routed_request *routed, const char *why)
 {
-  mm_entry *e = q->entry;
+  mm_entry *e = routed->entry;
   char *text = g_strdup_printf (
       "%s; outcome unknown, submit the same job again", why);
   mm_counters_add (e->counters, "forwards_failed", 1);
-  mm_entry_refuse (e, q->waiter, 503, MM_ERROR_UPSTREAM, text,
+  mm_entry_refuse (e, routed->waiter, 503, MM_ERROR_UPSTREAM, text,
                    retry_after_s (e));
   g_free (text);
-  free_routed (q);
+  routed_request_destroy (routed);
 }
 
 static void
-forward_done (const mm_peer_answer *a, void *ctx)
+forward_answered (const mm_peer_answer *a, void *ctx)
 {
-  routed_request *q = ctx;
-  mm_entry *e = q->entry;
+  routed_request *routed = ctx;
+  mm_entry *e = routed->entry;
   if (!a->error && a->status != PEER_LEAVING_STATUS)
     {
-      mm_entry_waiter_reply (e, q->waiter, a->status, a->body,
+      mm_entry_waiter_reply (e, routed->waiter, a->status, a->body,
                              a->retry_after_s);
-      free_routed (q);
+      routed_request_destroy (routed);
     }
   else if (a->error && a->error->code == MM_ERROR_TIMEOUT)
-    give_up (q, "the owner did not answer in time");
+    fail_request (routed, "the owner did not answer in time");
   else
     {
       mm_counters_add (e->counters, "reroutes", 1);
-      q->failures++;
-      mm_entry_suspect (e, q->peer);
-      route (q, NULL);
+      routed->failures++;
+      mm_entry_suspect_peer (e, routed->peer);
+      route (routed, NULL);
     }
 }
 
 static void
-forward (routed_request *q, const char *peer)
+forward (routed_request *routed, const char *peer)
 {
-  mm_entry *e = q->entry;
-  mm_time_ms left = q->deadline_ms - mm_clock_now_ms ();
-  g_free (q->peer);
-  q->peer = g_strdup (peer);
+  mm_entry *e = routed->entry;
+  mm_time_ms remaining_ms = routed->deadline_ms - mm_clock_now_ms ();
+  g_free (routed->peer);
+  routed->peer = g_strdup (peer);
   mm_counters_add (e->counters, "jobs_forwarded", 1);
-  mm_peer_forward (e->peer, g_hash_table_lookup (e->peer_addrs, peer),
-                   q->waiter->hops + 1, q->packed->data, q->packed->len,
-                   left + MM_FORWARD_SLACK_MS, forward_done, q);
+  mm_peer_forward (e->peer_links, g_hash_table_lookup (e->peer_addrs, peer),
+                   routed->waiter->hops + 1, routed->packed->data,
+                   routed->packed->len, remaining_ms + MM_FORWARD_SLACK_MS,
+                   forward_answered, routed);
 }
 
-/* Send a request where its job belongs now: a peer, or ourselves.  */
+/* Routes a request to the peer that owns its job now, or handles it here.  */
 static void
-route (routed_request *q, const char *holder)
+route (routed_request *routed, const char *holder)
 {
-  mm_entry *e = q->entry;
-  if (q->failures > MM_FORWARD_MAX_HOPS
-      || mm_clock_now_ms () >= q->deadline_ms)
+  mm_entry *e = routed->entry;
+  if (routed->failures > MM_FORWARD_MAX_HOPS
+      || mm_clock_now_ms () >= routed->deadline_ms)
     {
-      give_up (q, "no instance answered for the job");
+      fail_request (routed, "no instance answered for the job");
       return;
     }
-  const char *peer = holder && g_hash_table_contains (e->peer_addrs, holder)
-                         ? holder
-                         : mm_entry_route (e, q->job_id, q->waiter->hops);
+  const char *peer
+      = holder && g_hash_table_contains (e->peer_addrs, holder)
+            ? holder
+            : mm_entry_route (e, routed->job_id, routed->waiter->hops);
   if (peer && g_hash_table_contains (e->peer_addrs, peer))
     {
-      forward (q, peer);
+      forward (routed, peer);
       return;
     }
   mm_waiter *w = g_new (mm_waiter, 1);
-  *w = *q->waiter;
-  mm_entry_settle_holder (e, q->job_id);
-  if (!join_own (e, w, q->job_id))
+  *w = *routed->waiter;
+  mm_entry_check_holder (e, routed->job_id);
+  if (!join_known_job (e, w, routed->job_id))
     {
       GError *err = NULL;
-      mm_job *job = unpack (e, q->packed->data, q->packed->len, &err);
+      mm_job *job
+          = unpack (e, routed->packed->data, routed->packed->len, &err);
       if (job)
-        take_job (e, w, job);
+        admit_job (e, w, job);
       else
         {
           mm_entry_refuse (e, w, 413, err->code, err->message, 0);
@@ -257,55 +263,55 @@
           g_error_free (err);
         }
     }
-  free_routed (q);
+  routed_request_destroy (routed);
 }
 
 static routed_request *
-make_routed (mm_entry *e, mm_waiter *w, const mm_job *job)
+routed_request_create (mm_entry *e, mm_waiter *w, const mm_job *job)
 {
-  routed_request *q = g_new0 (routed_request, 1);
-  q->entry = e;
-  q->waiter = w;
-  q->job_id = g_strdup (job->id);
-  q->packed = g_byte_array_new ();
-  mm_job_pack (job, q->packed);
-  q->deadline_ms = mm_clock_now_ms () + mm_entry_first_deadline_ms (job);
-  return q;
+  routed_request *routed = g_new0 (routed_request, 1);
+  routed->entry = e;
+  routed->waiter = w;
+  routed->job_id = g_strdup (job->id);
+  routed->packed = g_byte_array_new ();
+  mm_job_pack (job, routed->packed);
+  routed->deadline_ms = mm_clock_now_ms () + mm_entry_first_deadline_ms (job);
+  return routed;
 }
 
 /**
- * mm_entry_reroute() - a job we had is not ours any more.
+ * mm_entry_reroute() - route a request whose job moved to another instance.
  * @e: the entry instance.
- * @w: one of its waiters; taken.
+ * @w: a request that waits for the job; ownership is taken.
  * @job: the job.
- * @holder: who has it now, or NULL when that is not known.
+ * @holder: the instance that owns it now, or NULL when not known.
  */
 void
 mm_entry_reroute (mm_entry *e, mm_waiter *w, const mm_job *job,
                   const char *holder)
 {
-  routed_request *q = make_routed (e, w, job);
+  routed_request *routed = routed_request_create (e, w, job);
   if (!holder && !mm_entry_route (e, job->id, w->hops)
       && mm_contact_lost (e->contact, mm_clock_now_ms ()))
     {
-      /* Neither a record nor another owner can be had: say so now.  */
-      give_up (q, "the platform's log cannot be reached");
+      /* Neither a record nor another owner is available: fail at once.  */
+      fail_request (routed, "the platform's log cannot be reached");
       return;
     }
-  route (q, holder);
+  route (routed, holder);
 }
 
-/* A job came in, from a caller or a peer.  Takes @w and @job.  */
+/* Handles a job from a caller or a peer.  Takes ownership of @w and @job.  */
 static void
-take_request (mm_entry *e, mm_waiter *w, mm_job *job)
+handle_job (mm_entry *e, mm_waiter *w, mm_job *job)
 {
-  if (join_own (e, w, job->id))
+  if (join_known_job (e, w, job->id))
     {
       mm_job_destroy (job);
       return;
     }
-  /* Guards against a job that bounces between a leaving instance and a
-     peer whose member list still names it as the owner.  */
+  /* Prevents a job from bouncing between this leaving instance and a peer
+     whose member list still shows this instance as the owner.  */
   if (e->shutting_down && !w->http)
     {
       mm_entry_waiter_reply (e, w, PEER_LEAVING_STATUS, "", 0);
@@ -316,15 +322,15 @@
   const char *peer = mm_entry_route (e, job->id, w->hops);
   if (!peer || !g_hash_table_contains (e->peer_addrs, peer))
     {
-      take_job (e, w, job);
+      admit_job (e, w, job);
       return;
     }
-  forward (make_routed (e, w, job), peer);
+  forward (routed_request_create (e, w, job), peer);
   mm_job_destroy (job);
 }
 
 static void
-refuse_bad (mm_entry *e, mm_waiter *w, GError *err)
+refuse_bad_request (mm_entry *e, mm_waiter *w, GError *err)
 {
   mm_counters_add (e->counters, "requests_bad", 1);
   mm_entry_refuse (e, w, err->code == MM_ERROR_JOB_SIZE ? 413 : 400, err->code,
@@ -334,9 +340,9 @@
 }
 
 /**
- * mm_entry_submit() - take a caller's POST /v1/jobs.
+ * mm_entry_submit() - handle a caller's POST /v1/jobs.
  * @e: the entry instance.
- * @req: the request; answered now or when the job ends.
+ * @req: the request; it is answered now or when the job ends.
  */
 void
 mm_entry_submit (mm_entry *e, mm_http_request *req)
@@ -349,23 +355,23 @@
   mm_waiter *w = g_new0 (mm_waiter, 1);
   w->http = req;
   if (job)
-    take_request (e, w, job);
+    handle_job (e, w, job);
   else
-    refuse_bad (e, w, err);
+    refuse_bad_request (e, w, err);
 }
 
 /**
- * mm_entry_take_forwarded() - a job a peer forwarded to us.
+ * mm_entry_submit_forwarded() - handle a job that a peer forwarded.
  * @e: the entry instance.
- * @conn_id: the peer link.
+ * @conn_id: the link to the peer.
  * @req_id: the peer's request id.
- * @hops: how often it was forwarded.
+ * @hops: how often the job was forwarded.
  * @data: the packed job.
- * @len: its length.
+ * @len: length of @data in bytes.
  */
 void
-mm_entry_take_forwarded (mm_entry *e, uint64_t conn_id, uint64_t req_id,
-                         uint32_t hops, const uint8_t *data, size_t len)
+mm_entry_submit_forwarded (mm_entry *e, uint64_t conn_id, uint64_t req_id,
+                           uint32_t hops, const uint8_t *data, size_t len)
 {
   GError *err = NULL;
   mm_waiter *w = g_new0 (mm_waiter, 1);
@@ -376,8 +382,8 @@
   if (job)
     {
       mm_counters_add (e->counters, "jobs_taken_from_peers", 1);
-      take_request (e, w, job);
+      handle_job (e, w, job);
     }
   else
-    refuse_bad (e, w, err);
+    refuse_bad_request (e, w, err);
 }
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -1,9 +1,10 @@
-/* mm_entry_shards: which jobs belong to this instance.
+/* mm_entry_shards: decides which jobs belong to this instance.
 
-   A job's shard is a hash of its id; the shard's rendezvous choice over
-   the live entry instances of the data centre takes it ahead of jobs.
-   Who really owns a shard is decided by its log stream (mm_shard.c):
-   member lists that lag or differ cost a detour, never a double start. */
+   A job's shard is a hash of its id.  Rendezvous hashing over the live entry
+   instances of the data centre chooses an instance for each shard, which
+   takes the shard before jobs arrive.  The shard's log stream decides which
+   instance really owns it (mm_shard.c), so member lists that lag or differ
+   cost an extra hop, but never start a task twice.  */
 #include "config.h"
 #include "mm_entry_priv.h"
 
@@ -18,7 +19,7 @@
 }
 
 static uint32_t
-index_of (const mm_entry *e, const mm_shard *shard)
+shard_index (const mm_entry *e, const mm_shard *shard)
 {
   uint32_t i = 0;
   while (e->shards[i] != shard)
@@ -29,24 +30,25 @@
 static bool
 is_suspect (const mm_entry *e, const char *peer)
 {
-  const mm_time_ms *at = g_hash_table_lookup (e->suspects, peer);
+  const mm_time_ms *at = g_hash_table_lookup (e->suspect_peers, peer);
   return at && mm_clock_now_ms () - *at < MM_PEER_SUSPECT_MS;
 }
 
 /**
- * mm_entry_suspect() - a peer did not answer.
+ * mm_entry_suspect_peer() - record that a peer did not answer.
  * @e: the entry instance.
- * @peer: its name.
+ * @peer: name of the peer.
  *
- * For MM_PEER_SUSPECT_MS its shards belong to the next choice, so jobs
- * need not wait until the lagging member list drops a dead peer.
+ * For MM_PEER_SUSPECT_MS the next choice of the rendezvous hashing gets the
+ * peer's shards, so that jobs need not wait until the lagging member list
+ * drops a dead peer.
  */
 void
-mm_entry_suspect (mm_entry *e, const char *peer)
+mm_entry_suspect_peer (mm_entry *e, const char *peer)
 {
   mm_time_ms *at = g_new0 (mm_time_ms, 1);
   *at = mm_clock_now_ms ();
-  g_hash_table_insert (e->suspects, g_strdup (peer), at);
+  g_hash_table_insert (e->suspect_peers, g_strdup (peer), at);
 }
 
 static bool
@@ -56,10 +58,11 @@
          && !is_suspect (e, peer);
 }
 
-/* The rendezvous choice for a shard, suspects left out, and ourselves
-   when we are leaving; NULL for us or nobody.  */
+/* Returns the rendezvous choice for a shard, without suspect peers and, while
+   this instance is leaving, without itself.  Returns NULL for this instance
+   and when no instance remains.  */
 static const char *
-chosen_owner (const mm_entry *e, uint32_t shard)
+rendezvous_owner (const mm_entry *e, uint32_t shard)
 {
   if (!e->live_entries)
     return NULL;
@@ -78,20 +81,21 @@
 }
 
 static mm_standing
-standing (const mm_entry *e, const char **peer)
+current_standing (const mm_entry *e, const char **peer)
 {
   return mm_contact_standing (e->contact, g_hash_table_size (e->peer_addrs),
                               mm_clock_now_ms (), peer);
 }
 
 /**
- * mm_entry_route() - where a job goes.
+ * mm_entry_route() - choose the instance that gets a job.
  * @e: the entry instance.
  * @job_id: the job.
- * @hops: how often it was forwarded already; after MM_FORWARD_MAX_HOPS
- *        it stays here, so differing member lists cannot bounce it on.
+ * @hops: how often the job was forwarded already; after MM_FORWARD_MAX_HOPS
+ *        it stays here, so that member lists that differ cannot make it
+ *        bounce between instances.
  *
- * Return: the name of a peer, or NULL when it is for us.
+ * Return: the name of a peer, or NULL for this instance.
  */
 const char *
 mm_entry_route (mm_entry *e, const char *job_id, uint32_t hops)
@@ -100,30 +104,32 @@
   const char *contact_peer = NULL;
   if (hops >= MM_FORWARD_MAX_HOPS || !*e->settings.platform_url)
     return NULL;
-  if (standing (e, &contact_peer) == MM_STANDING_CUT
+  if (current_standing (e, &contact_peer) == MM_STANDING_CUT
       && is_routable (e, contact_peer))
     return contact_peer;
   if (mm_shard_held (s) && !e->shutting_down)
     return NULL;
-  /* Who was fenced, and who cannot reach the log to take the shard,
-     passes the job to the holder.  */
+  /* An instance that was fenced, or that cannot reach the log to take the
+     shard, passes the job to the holder.  */
   if ((mm_shard_yielded (s, mm_clock_now_ms ())
        || mm_contact_lost (e->contact, mm_clock_now_ms ()))
       && is_routable (e, mm_shard_holder (s)))
     return mm_shard_holder (s);
-  return chosen_owner (e, index_of (e, s));
+  return rendezvous_owner (e, shard_index (e, s));
 }
 
 /**
- * mm_entry_settle_holder() - a job stays here: who has its shard?
+ * mm_entry_check_holder() - check the shard's holder for a job that stays
+ * here.
  * @e: the entry instance.
  * @job_id: the job.
  *
- * When a shard was taken from us just now, its jobs wait for the new
- * holder; when that one is gone, we take it back without waiting.
+ * When another instance took a shard from this one just now, the shard's jobs
+ * wait for the new holder.  When that holder is gone, this instance takes the
+ * shard back without waiting.
  */
 void
-mm_entry_settle_holder (mm_entry *e, const char *job_id)
+mm_entry_check_holder (mm_entry *e, const char *job_id)
 {
   mm_shard *s = mm_entry_shard_of (e, job_id);
   const char *holder = mm_shard_holder (s);
@@ -133,103 +139,113 @@
 }
 
 /**
- * mm_entry_peers_changed() - a new member list was read.
- * @e: the entry instance, its peer_addrs new.
- * @before: the peer_addrs of the list before.
+ * mm_entry_peers_changed() - apply changes of the set of peers.
+ * @e: the entry instance, with peer_addrs from the new member list.
+ * @old_addrs: peer_addrs from the previous member list.
  *
- * Guards against waiting for a frozen peer until the deadline: its
- * sockets stay open, but it leaves the list; calls to it fail now.
+ * The sockets of a frozen peer stay open, but it leaves the member list.  Its
+ * link is dropped here, so that requests to it fail now instead of waiting
+ * until their deadline.
  */
 void
-mm_entry_peers_changed (mm_entry *e, GHashTable *before)
+mm_entry_peers_changed (mm_entry *e, GHashTable *old_addrs)
 {
   GHashTableIter it;
   gpointer name, addr;
   bool changed
-      = g_hash_table_size (before) != g_hash_table_size (e->peer_addrs);
-  g_hash_table_iter_init (&it, before);
+      = g_hash_table_size (old_addrs) != g_hash_table_size (e->peer_addrs);
+  g_hash_table_iter_init (&it, old_addrs);
   while (g_hash_table_iter_next (&it, &name, &addr))
     if (!g_hash_table_contains (e->peer_addrs, name))
       {
         changed = true;
         mm_counters_add (e->counters, "peers_gone", 1);
-        mm_peer_drop (e->peer, addr);
+        mm_peer_drop (e->peer_links, addr);
       }
   if (changed)
     {
-      e->view_changed_ms = mm_clock_now_ms ();
-      e->view_checked = false;
+      e->peers_changed_ms = mm_clock_now_ms ();
+      e->shards_verified = false;
     }
 }
 
 static bool
-check_due (const mm_entry *e)
+verify_due (const mm_entry *e)
 {
-  return !e->view_checked
-         && mm_clock_now_ms () - e->view_changed_ms > 2 * MM_VIEW_SETTLE_MS;
+  return !e->shards_verified
+         && mm_clock_now_ms () - e->peers_changed_ms > 2 * MM_VIEW_SETTLE_MS;
 }
 
+/* The shard itself applies the answer of the log.  */
 static void
-checked (bool ours, void *ctx)
+ignore_verified (bool owned, void *ctx)
 {
 }
 
-/* Bring who holds which shard in line with the member list.  What nobody
-   holds is taken at once, and what another holds once the list has stood
-   for a while; at a start, instances that see only themselves would else
-   take everything from each other in turn.  There is no moment in which
-   nobody holds a shard, so an outage finds every shard served.  A little
-   later the log is asked about those we hold, as an idle one may have
-   been taken from us without a word.  */
+/* Aligns the holder of a shard with the member list.  A shard without a holder
+   is taken at once, a shard of another holder only when the list has not
+   changed for MM_VIEW_SETTLE_MS.  Otherwise instances that start and still see
+   only themselves would take all shards from each other in turn.  Every shard
+   has a holder at any moment, so that all are served when an outage starts.  A
+   little later the log is read for the shards held here, because another
+   instance may have taken an idle one without notice.  */
 static void
-align_shard (mm_entry *e, uint32_t i)
+align_with_members (mm_entry *e, uint32_t i)
 {
   mm_shard *s = e->shards[i];
   mm_time_ms now = mm_clock_now_ms ();
-  bool settled = now - e->view_changed_ms > MM_VIEW_SETTLE_MS;
+  bool settled = now - e->peers_changed_ms > MM_VIEW_SETTLE_MS;
   if (mm_shard_held (s))
     {
-      if (check_due (e))
-        mm_shard_verify (s, checked, NULL);
+      if (verify_due (e))
+        mm_shard_verify (s, ignore_verified, NULL);
     }
-  else if (!chosen_owner (e, i) && !mm_shard_yielded (s, now))
+  else if (!rendezvous_owner (e, i) && !mm_shard_yielded (s, now))
     mm_shard_take (s, !settled);
 }
 
+/**
+ * mm_entry_record_contact() - record the end of a call to the platform.
+ * @e: the entry instance.
+ * @ok: whether the platform answered.
+ */
 void
-mm_entry_contact_note (mm_entry *e, bool ok)
+mm_entry_record_contact (mm_entry *e, bool ok)
 {
   mm_contact_note (e->contact, ok, mm_clock_now_ms ());
 }
 
-/* May accepts be missing in the log?  We or a live peer saw the platform
-   out while an answer of that time could still be asked for.  */
+/* Returns whether the log may lack accepted jobs: this instance or a live peer
+   saw an outage of the platform within done_ttl_ms, so a caller may still
+   resubmit a job of that time.  */
 static bool
 outage_within_ttl (const mm_entry *e)
 {
-  int64_t last
-      = MAX (mm_contact_outage_wall_ms (e->contact), e->peer_outage_wall_ms);
+  int64_t last = MAX (mm_contact_last_outage_wall_ms (e->contact),
+                      e->peer_outage_wall_ms);
   return last && mm_clock_wall_ms () - last < e->settings.done_ttl_ms;
 }
 
 /**
- * mm_entry_prior() - may an earlier owner have run a job?
- * @e: the entry instance, which neither runs it nor has its answer.
+ * mm_entry_earlier_accept() - whether an earlier owner may have run a job.
+ * @e: the entry instance, which neither runs the job nor has its answer.
  * @job_id: the job.
+ *
+ * Return: whether an earlier owner accepted it, see mm_earlier_accept.
  */
-mm_prior
-mm_entry_prior (mm_entry *e, const char *job_id)
+mm_earlier_accept
+mm_entry_earlier_accept (mm_entry *e, const char *job_id)
 {
   mm_shard *s = mm_entry_shard_of (e, job_id);
   if (mm_shard_knows (s, job_id))
-    return MM_PRIOR_KNOWN;
+    return MM_EARLIER_ACCEPT_KNOWN;
   if (!*e->settings.platform_url)
-    return MM_PRIOR_NONE;
+    return MM_EARLIER_ACCEPT_NONE;
   if (!mm_shard_held (s)
       || (mm_shard_owner_gap (s)
           && (mm_shard_unwitnessed (s) || outage_within_ttl (e))))
-    return MM_PRIOR_MAYBE;
-  return MM_PRIOR_NONE;
+    return MM_EARLIER_ACCEPT_POSSIBLE;
+  return MM_EARLIER_ACCEPT_NONE;
 }
 
 typedef struct
@@ -253,9 +269,9 @@
 ping_peers (mm_entry *e)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  if (now - e->pinged_ms < MM_VOTE_VALID_MS / 3)
+  if (now - e->last_ping_ms < MM_VOTE_VALID_MS / 3)
     return;
-  e->pinged_ms = now;
+  e->last_ping_ms = now;
   GList *names = g_hash_table_get_keys (e->peer_addrs);
   for (GList *l = names; l; l = l->next)
     {
@@ -263,7 +279,8 @@
       p->entry = e;
       p->peer = g_strdup (l->data);
       mm_counters_add (e->counters, "pings", 1);
-      mm_peer_ping (e->peer, g_hash_table_lookup (e->peer_addrs, l->data),
+      mm_peer_ping (e->peer_links,
+                    g_hash_table_lookup (e->peer_addrs, l->data),
                     MM_PEER_PING_TIMEOUT_MS, ping_done, p);
     }
   g_list_free (names);
@@ -276,16 +293,16 @@
   return mm_contact_ping_status (e->contact, mm_clock_now_ms ());
 }
 
-/* One shard's step while the log does not answer, or after it failed.  */
+/* Updates one shard on a tick, according to the contact with the platform.  */
 static void
-tend_shard (mm_entry *e, uint32_t i, mm_standing st, const char *peer)
+update_shard (mm_entry *e, uint32_t i, mm_standing standing, const char *peer)
 {
   mm_shard *s = e->shards[i];
-  switch (st)
+  switch (standing)
     {
     case MM_STANDING_CONTACT:
       if (!e->shutting_down && e->live_entries)
-        align_shard (e, i);
+        align_with_members (e, i);
       mm_shard_retry (s);
       break;
     case MM_STANDING_OUTAGE:
@@ -304,17 +321,17 @@
 }
 
 static void
-tick_cb (struct ev_loop *loop, ev_timer *w, int revents)
+shard_tick_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_entry *e = w->data;
   const char *peer = NULL;
   if (mm_contact_lost (e->contact, mm_clock_now_ms ()))
     ping_peers (e);
-  mm_standing st = standing (e, &peer);
+  mm_standing standing = current_standing (e, &peer);
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
-    tend_shard (e, i, st, peer);
-  if (check_due (e) && st == MM_STANDING_CONTACT)
-    e->view_checked = true;
+    update_shard (e, i, standing, peer);
+  if (verify_due (e) && standing == MM_STANDING_CONTACT)
+    e->shards_verified = true;
   if (e->shutting_down)
     ev_idle_start (loop, &e->shutdown_check);
 }
@@ -326,18 +343,19 @@
 }
 
 static void
-note_contact (bool ok, void *ctx)
+record_contact (bool ok, void *ctx)
 {
-  mm_entry_contact_note (ctx, ok);
+  mm_entry_record_contact (ctx, ok);
 }
 
-/* Guards against jobs that every instance served unrecorded in an outage
-   and took with them when all died in it: nobody is left who saw the
-   outage.  Vanished owners' shards are taken within seconds, so whoever
-   has been up for MM_WITNESS_UPTIME_MS was there in the earlier owner's time.
- */
+/* Returns whether this instance or a live peer has been up for
+   MM_WITNESS_UPTIME_MS. Without one, jobs that all instances served without
+   records in an outage would go unnoticed when all of these instances died in
+   it, as no live instance saw the outage.  The shards of an owner that
+   vanished are taken within seconds, so an instance that has been up for
+   MM_WITNESS_UPTIME_MS was up at the time of the earlier owner.  */
 static bool
-is_witnessed (void *ctx)
+has_witness (void *ctx)
 {
   const mm_entry *e = ctx;
   int64_t oldest = e->started_wall_ms;
@@ -349,24 +367,24 @@
 static bool
 in_outage (void *ctx)
 {
-  return standing (ctx, NULL) == MM_STANDING_OUTAGE;
+  return current_standing (ctx, NULL) == MM_STANDING_OUTAGE;
 }
 
 /**
- * mm_entry_shards_start() - set up the shards.
- * @e: the entry instance, its platform client created.
+ * mm_entry_shards_start() - create the shards and start their timer.
+ * @e: the entry instance, with its platform client and peer links.
  */
 void
 mm_entry_shards_start (mm_entry *e)
 {
   e->contact = mm_contact_create (mm_clock_now_ms ());
-  e->view_changed_ms = mm_clock_now_ms ();
+  e->peers_changed_ms = mm_clock_now_ms ();
   e->started_wall_ms = mm_clock_wall_ms ();
-  e->suspects
+  e->suspect_peers
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   e->shard_env = (mm_shard_env){
     .loop = e->loop,
-    .http = e->platform,
+    .http = e->platform_client,
     .counters = e->counters,
     .platform_url = e->settings.platform_url,
     .datacentre = e->settings.datacentre,
@@ -377,16 +395,16 @@
     .ttl_ms = e->settings.done_ttl_ms,
     .accept_interval_ms = e->settings.accept_interval_ms,
     .fingerprint = listed_fingerprint,
-    .contact = note_contact,
+    .contact = record_contact,
     .outage = in_outage,
-    .witnessed = is_witnessed,
+    .witnessed = has_witness,
     .ctx = e,
   };
   e->shards = g_new0 (mm_shard *, e->settings.shards);
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
     e->shards[i] = mm_shard_create (&e->shard_env, i);
-  mm_peer_set_contact (e->peer, ping_status, e);
-  ev_timer_init (&e->shard_tick, tick_cb, MM_SHARD_TICK_MS / 1000.0,
+  mm_peer_set_contact (e->peer_links, ping_status, e);
+  ev_timer_init (&e->shard_tick, shard_tick_cb, MM_SHARD_TICK_MS / 1000.0,
                  MM_SHARD_TICK_MS / 1000.0);
   e->shard_tick.data = e;
   if (*e->settings.platform_url)
@@ -403,30 +421,30 @@
     mm_shard_destroy (e->shards[i]);
   g_free (e->shards);
   g_free (e->shard_env.incarnation);
-  g_hash_table_destroy (e->suspects);
+  g_hash_table_destroy (e->suspect_peers);
   mm_contact_destroy (e->contact);
 }
 
 static void
-limit_cb (struct ev_loop *loop, ev_timer *w, int revents)
+shutdown_limit_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_entry *e = w->data;
-  e->shutdown_late = true;
+  e->shutdown_limit_passed = true;
   ev_idle_start (loop, &e->shutdown_check);
 }
 
 /**
- * mm_entry_shards_released() - hand our shards over when shutting down.
+ * mm_entry_shards_release() - release the shards before a shutdown.
  * @e: the entry instance; its jobs have ended.
  *
- * A release in the log tells the next owner that nothing unrecorded was
- * left behind.  It is a courtesy: with the log out of reach the process
- * goes without after MM_RELEASE_LIMIT_MS.
+ * A release in the log tells the next owner that this instance left no
+ * unrecorded jobs behind.  The release is optional: when the log cannot be
+ * reached, the process stops without it after MM_RELEASE_LIMIT_MS.
  *
  * Return: true when no shard is held any more, or the limit has passed.
  */
 bool
-mm_entry_shards_released (mm_entry *e)
+mm_entry_shards_release (mm_entry *e)
 {
   uint32_t held = 0;
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
@@ -435,14 +453,14 @@
         held++;
         mm_shard_release (e->shards[i]);
       }
-  if (!held || e->shutdown_late)
+  if (!held || e->shutdown_limit_passed)
     return true;
-  if (!ev_is_active (&e->shutdown_limit))
+  if (!ev_is_active (&e->shutdown_limit_timer))
     {
-      ev_timer_init (&e->shutdown_limit, limit_cb,
+      ev_timer_init (&e->shutdown_limit_timer, shutdown_limit_cb,
                      MM_RELEASE_LIMIT_MS / 1000.0, 0.);
-      e->shutdown_limit.data = e;
-      ev_timer_start (e->loop, &e->shutdown_limit);
+      e->shutdown_limit_timer.data = e;
+      ev_timer_start (e->loop, &e->shutdown_limit_timer);
     }
   return false;
 }
@@ -461,5 +479,5 @@
     }
   cJSON_AddNumberToObject (o, "jobs_known_from_earlier_owners", known);
   cJSON_AddStringToObject (out, "standing",
-                           mm_standing_name (standing (e, NULL)));
+                           mm_standing_name (current_standing (e, NULL)));
 }
