--- a/src/config.h
+++ b/src/config.h
@@ -59,7 +59,7 @@
 #define MM_VERIFY_TIMEOUT_MS 300 /* after it, "not run" is not claimed */
 /* Once the member list is unchanged for this long, shards are moved to the
    owners that it gives.  */
-#define MM_VIEW_SETTLE_MS 1000
+#define MM_PEERS_SETTLE_MS 1000
 /* After an instance loses a shard, it does not take the shard over again for
    this long.  */
 #define MM_SHARD_HOLD_DOWN_MS 2000
--- a/src/mm_contact.c
+++ b/src/mm_contact.c
@@ -55,13 +55,13 @@
 }
 
 /**
- * mm_contact_note() - record the end of a call to the platform.
+ * mm_contact_record() - record the end of a call to the platform.
  * @c: the contact.
  * @ok: whether the platform answered.
  * @now: mm_clock_now_ms().
  */
 void
-mm_contact_note (mm_contact *c, bool ok, mm_time_ms now)
+mm_contact_record (mm_contact *c, bool ok, mm_time_ms now)
 {
   if (ok && mm_contact_lost (c, now))
     c->regained_ms = now;
@@ -79,7 +79,8 @@
 }
 
 /**
- * mm_contact_list_unsure() - whether the member list may lack live members.
+ * mm_contact_list_incomplete() - whether the member list may lack live
+ * members.
  * @c: the contact.
  * @now: mm_clock_now_ms().
  *
@@ -89,7 +90,7 @@
  * Return: true without contact and for MM_LIST_GRACE_MS after it.
  */
 bool
-mm_contact_list_unsure (const mm_contact *c, mm_time_ms now)
+mm_contact_list_incomplete (const mm_contact *c, mm_time_ms now)
 {
   return mm_contact_lost (c, now)
          || (c->regained_ms && now - c->regained_ms < MM_LIST_GRACE_MS);
@@ -111,15 +112,15 @@
 }
 
 /**
- * mm_contact_vote() - record a peer's answer to a ping.
+ * mm_contact_record_vote() - record a peer's answer to a ping.
  * @c: the contact.
  * @peer: name of the peer.
  * @in_contact: whether the peer reaches the platform.
  * @now: mm_clock_now_ms().
  */
 void
-mm_contact_vote (mm_contact *c, const char *peer, bool in_contact,
-                 mm_time_ms now)
+mm_contact_record_vote (mm_contact *c, const char *peer, bool in_contact,
+                        mm_time_ms now)
 {
   vote *v = g_new0 (vote, 1);
   v->in_contact = in_contact;
--- a/src/mm_contact.h
+++ b/src/mm_contact.h
@@ -17,13 +17,13 @@
 typedef struct mm_contact mm_contact;
 mm_contact *mm_contact_create (mm_time_ms now);
 void mm_contact_destroy (mm_contact *c);
-void mm_contact_note (mm_contact *c, bool ok,
-                      mm_time_ms now); /* a call ended */
+void mm_contact_record (mm_contact *c, bool ok,
+                        mm_time_ms now); /* a call ended */
 bool mm_contact_lost (const mm_contact *c, mm_time_ms now);
-bool mm_contact_list_unsure (const mm_contact *c, mm_time_ms now);
+bool mm_contact_list_incomplete (const mm_contact *c, mm_time_ms now);
 unsigned mm_contact_ping_status (const mm_contact *c, mm_time_ms now);
-void mm_contact_vote (mm_contact *c, const char *peer, bool in_contact,
-                      mm_time_ms now); /* a peer answered a ping */
+void mm_contact_record_vote (mm_contact *c, const char *peer, bool in_contact,
+                             mm_time_ms now); /* a peer answered a ping */
 mm_standing mm_contact_standing (const mm_contact *c, uint32_t n_peers,
                                  mm_time_ms now, const char **peer);
 int64_t mm_contact_last_outage_wall_ms (const mm_contact *c); /* 0: none */
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -330,8 +330,8 @@
                                   int64_t mode_seq)
 {
   const mm_knobs *k = mm_cfg_knobs (e->cfg);
-  if (mm_pool_done (e->pool, upstream, o, mode_seq, mm_clock_now_ms (),
-                    (uint32_t)k->eject_after_failures, k->eject_ms))
+  if (mm_pool_task_ended (e->pool, upstream, o, mode_seq, mm_clock_now_ms (),
+                          (uint32_t)k->eject_after_failures, k->eject_ms))
     mm_entry_notify_ejected (e, mm_pool_at (e->pool, upstream)->name);
 }
 
@@ -387,7 +387,7 @@
   t->attempts++;
   t->upstream = upstream;
   t->started_ms = mm_clock_now_ms ();
-  mm_pool_sent (e->pool, upstream);
+  mm_pool_task_sent (e->pool, upstream);
   mm_counters_add (e->counters, "tasks_sent", 1);
   mm_http_client_call (e->upstream_client, "POST", url, body,
                        mm_cfg_knobs (e->cfg)->dispatch_timeout_ms,
@@ -446,7 +446,7 @@
   ej->epoch = a->epoch;
   ej->fingerprint = a->verdict == MM_ACCEPT_KNOWN
                         ? a->fingerprint
-                        : mm_pool_fingerprint (e->pool);
+                        : mm_pool_list_fingerprint (e->pool);
   switch (a->verdict)
     {
     case MM_ACCEPT_FRESH:
--- a/src/mm_entry_news.c
+++ b/src/mm_entry_notify.c
@@ -71,7 +71,7 @@
   char *name = g_strndup ((const char *)data, len);
   int i = mm_pool_find (e->pool, name);
   if (i >= 0)
-    mm_pool_doubt (e->pool, i);
+    mm_pool_put_on_trial (e->pool, i);
   g_free (name);
 }
 
--- a/src/mm_entry_platform.c
+++ b/src/mm_entry_platform.c
@@ -146,7 +146,8 @@
   /* Right after an outage of the platform the list lacks live members that
      expired during the outage.  Until these had time to return, the list only
      adds members, and the next poll reads it in full again.  */
-  bool incomplete = mm_contact_list_unsure (e->contact, mm_clock_now_ms ());
+  bool incomplete
+      = mm_contact_list_incomplete (e->contact, mm_clock_now_ms ());
   e->members_version = incomplete ? -1 : get_number (list, "version", -1);
   GHashTable *old_addrs = e->peer_addrs;
   e->peer_addrs
--- a/src/mm_entry_recover.c
+++ b/src/mm_entry_recover.c
@@ -47,8 +47,8 @@
   gpointer t;
   g_hash_table_iter_init (&it, ej->recovery->running_tasks);
   while (g_hash_table_iter_next (&it, &t, NULL))
-    mm_pool_done (ej->entry->pool, ((mm_task *)t)->upstream, MM_OUTCOME_FENCED,
-                  0, 0, 0, 0);
+    mm_pool_task_ended (ej->entry->pool, ((mm_task *)t)->upstream,
+                        MM_OUTCOME_FENCED, 0, 0, 0, 0);
   g_hash_table_destroy (ej->recovery->tasks_by_id);
   g_hash_table_destroy (ej->recovery->running_tasks);
   g_hash_table_destroy (ej->recovery->reported_incarnations);
@@ -92,7 +92,7 @@
       t->attempts = 1;
       t->started_ms = mm_clock_now_ms ();
       g_hash_table_add (ej->recovery->running_tasks, t);
-      mm_pool_sent (e->pool, upstream);
+      mm_pool_task_sent (e->pool, upstream);
       mm_counters_add (e->counters, "tasks_recovered", 1);
     }
   if (!is_recovered_on (ej, t, upstream))
@@ -112,7 +112,7 @@
   /* With a record of the job, the upstreams that were listed when it was
      written must have reported; without one, all known upstreams.  */
   bool all_known
-      = r->check_fingerprint ? mm_pool_covers (
+      = r->check_fingerprint ? mm_pool_all_reported (
             ej->entry->pool, r->reported_incarnations, r->expected_fingerprint)
                              : r->all_answered;
   if (!all_known)
@@ -170,7 +170,7 @@
       if (cJSON_IsNumber (boot))
         {
           int64_t *hash = g_new (int64_t, 1);
-          *hash = (int64_t)mm_pool_fingerprint_of (
+          *hash = (int64_t)mm_pool_incarnation_hash (
               m->name, m->boot_ms ? (int64_t)boot->valuedouble : 0);
           g_hash_table_add (r->reported_incarnations, hash);
         }
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -173,7 +173,7 @@
 verify_due (const mm_entry *e)
 {
   return !e->shards_verified
-         && mm_clock_now_ms () - e->peers_changed_ms > 2 * MM_VIEW_SETTLE_MS;
+         && mm_clock_now_ms () - e->peers_changed_ms > 2 * MM_PEERS_SETTLE_MS;
 }
 
 /* The shard itself applies the answer of the log.  */
@@ -184,17 +184,17 @@
 
 /* Aligns the holder of a shard with the member list.  A shard without a holder
    is taken at once, a shard of another holder only when the list has not
-   changed for MM_VIEW_SETTLE_MS.  Otherwise instances that start and still see
-   only themselves would take all shards from each other in turn.  Every shard
-   has a holder at any moment, so that all are served when an outage starts.  A
-   little later the log is read for the shards held here, because another
-   instance may have taken an idle one without notice.  */
+   changed for MM_PEERS_SETTLE_MS.  Otherwise instances that start and still
+   see only themselves would take all shards from each other in turn.  Every
+   shard has a holder at any moment, so that all are served when an outage
+   starts.  A little later the log is read for the shards held here, because
+   another instance may have taken an idle one without notice.  */
 static void
 align_with_members (mm_entry *e, uint32_t i)
 {
   mm_shard *s = e->shards[i];
   mm_time_ms now = mm_clock_now_ms ();
-  bool settled = now - e->peers_changed_ms > MM_VIEW_SETTLE_MS;
+  bool settled = now - e->peers_changed_ms > MM_PEERS_SETTLE_MS;
   if (mm_shard_held (s))
     {
       if (verify_due (e))
@@ -212,7 +212,7 @@
 void
 mm_entry_record_contact (mm_entry *e, bool ok)
 {
-  mm_contact_note (e->contact, ok, mm_clock_now_ms ());
+  mm_contact_record (e->contact, ok, mm_clock_now_ms ());
 }
 
 /* Returns whether the log may lack accepted jobs: this instance or a live peer
@@ -259,8 +259,8 @@
 {
   ping_ctx *p = ctx;
   if (!a->error && (a->status == 200 || a->status == 503))
-    mm_contact_vote (p->entry->contact, p->peer, a->status == 200,
-                     mm_clock_now_ms ());
+    mm_contact_record_vote (p->entry->contact, p->peer, a->status == 200,
+                            mm_clock_now_ms ());
   g_free (p->peer);
   g_free (p);
 }
@@ -339,7 +339,7 @@
 static uint64_t
 listed_fingerprint (void *ctx)
 {
-  return mm_pool_fingerprint (((mm_entry *)ctx)->pool);
+  return mm_pool_list_fingerprint (((mm_entry *)ctx)->pool);
 }
 
 static void
--- a/src/mm_known.c
+++ b/src/mm_known.c
@@ -54,7 +54,7 @@
  * mm_known_add() - a job was accepted before.
  * @k: the set.
  * @job_id: the job, copied.
- * @fingerprint: mm_pool_fingerprint() when it was accepted.
+ * @fingerprint: mm_pool_list_fingerprint() when it was accepted.
  * @now: mm_clock_now_ms().
  */
 void
--- a/src/mm_pool.c
+++ b/src/mm_pool.c
@@ -146,32 +146,33 @@
 }
 
 /**
- * mm_pool_fingerprint_of() - hash of one upstream incarnation.
+ * mm_pool_incarnation_hash() - hash of one upstream incarnation.
  * @name: member name of the upstream.
  * @boot_ms: identifies the incarnation, 0 when not known.
  */
 uint64_t
-mm_pool_fingerprint_of (const char *name, int64_t boot_ms)
+mm_pool_incarnation_hash (const char *name, int64_t boot_ms)
 {
   return XXH3_64bits_withSeed (name, strlen (name), (uint64_t)boot_ms);
 }
 
 /**
- * mm_pool_fingerprint() - hash of the set of listed upstream incarnations.
+ * mm_pool_list_fingerprint() - hash of the set of listed upstream
+ * incarnations.
  * @p: the pool.
  *
  * Return: the exclusive or of the hashes of all incarnations, which does not
  * depend on their order.
  */
 uint64_t
-mm_pool_fingerprint (const mm_pool *p)
+mm_pool_list_fingerprint (const mm_pool *p)
 {
   uint64_t hash_xor = 0;
   for (guint i = 0; i < p->members->len; i++)
     {
       const mm_pool_member *m = p->members->pdata[i];
       if (m->listed)
-        hash_xor ^= mm_pool_fingerprint_of (m->name, m->boot_ms);
+        hash_xor ^= mm_pool_incarnation_hash (m->name, m->boot_ms);
     }
   return hash_xor;
 }
@@ -222,7 +223,7 @@
 void
 mm_pool_list_end (mm_pool *p)
 {
-  uint64_t fingerprint = mm_pool_fingerprint (p);
+  uint64_t fingerprint = mm_pool_list_fingerprint (p);
   if (find_listed_set (p, fingerprint))
     return;
   listed_set *l = g_new0 (listed_set, 1);
@@ -231,7 +232,7 @@
   for (guint i = 0; i < p->members->len; i++)
     {
       const mm_pool_member *m = p->members->pdata[i];
-      uint64_t hash = mm_pool_fingerprint_of (m->name, m->boot_ms);
+      uint64_t hash = mm_pool_incarnation_hash (m->name, m->boot_ms);
       if (m->listed)
         g_array_append_val (l->hashes, hash);
     }
@@ -241,9 +242,9 @@
 }
 
 /**
- * mm_pool_covers() - whether all upstreams of an earlier list reported.
+ * mm_pool_all_reported() - whether all upstreams of an earlier list reported.
  * @p: the pool.
- * @hashes: set of mm_pool_fingerprint_of() (as int64 keys) of the upstreams
+ * @hashes: set of mm_pool_incarnation_hash() (as int64 keys) of the upstreams
  *          that reported.
  * @fingerprint: fingerprint of the earlier list.
  *
@@ -251,7 +252,8 @@
  * only when exactly the upstreams of that list reported.
  */
 bool
-mm_pool_covers (const mm_pool *p, GHashTable *hashes, uint64_t fingerprint)
+mm_pool_all_reported (const mm_pool *p, GHashTable *hashes,
+                      uint64_t fingerprint)
 {
   const listed_set *l = find_listed_set (p, fingerprint);
   if (l)
@@ -317,12 +319,12 @@
 }
 
 /**
- * mm_pool_doubt() - put a live upstream on trial, as a peer ejected it.
+ * mm_pool_put_on_trial() - put a live upstream on trial, as a peer ejected it.
  * @p: the pool.
  * @i: index of the upstream.
  */
 void
-mm_pool_doubt (mm_pool *p, int i)
+mm_pool_put_on_trial (mm_pool *p, int i)
 {
   mm_pool_member *m = p->members->pdata[i];
   if (m->state == MM_UPSTREAM_LIVE)
@@ -358,13 +360,13 @@
 }
 
 void
-mm_pool_sent (mm_pool *p, int i)
+mm_pool_task_sent (mm_pool *p, int i)
 {
   ((mm_pool_member *)p->members->pdata[i])->in_flight++;
 }
 
 /**
- * mm_pool_done() - record the outcome of a task.
+ * mm_pool_task_ended() - record the outcome of a task.
  * @p: the pool.
  * @i: index of the upstream that it was sent to.
  * @o: the outcome.
@@ -379,8 +381,8 @@
  * Return: true when this outcome ejected the upstream.
  */
 bool
-mm_pool_done (mm_pool *p, int i, mm_outcome o, int64_t seq, mm_time_ms now,
-              uint32_t eject_after, mm_time_ms eject_ms)
+mm_pool_task_ended (mm_pool *p, int i, mm_outcome o, int64_t seq,
+                    mm_time_ms now, uint32_t eject_after, mm_time_ms eject_ms)
 {
   mm_pool_member *m = p->members->pdata[i];
   if (m->in_flight)
--- a/src/mm_pool.h
+++ b/src/mm_pool.h
@@ -47,19 +47,20 @@
 void mm_pool_list_begin (mm_pool *p, mm_time_ms now); /* before a full list */
 void mm_pool_list_end (mm_pool *p);                   /* after a full list */
 bool mm_pool_listed_within (const mm_pool *p, int i, mm_time_ms now,
-                            mm_time_ms ttl_ms);  /* so may know old jobs */
-uint64_t mm_pool_fingerprint (const mm_pool *p); /* listed upstreams */
-bool mm_pool_covers (const mm_pool *p, GHashTable *hashes,
-                     uint64_t fingerprint); /* all of them reported */
-uint64_t mm_pool_fingerprint_of (const char *name, int64_t boot_ms);
+                            mm_time_ms ttl_ms); /* so may know old jobs */
+uint64_t mm_pool_list_fingerprint (const mm_pool *p); /* listed upstreams */
+bool mm_pool_all_reported (const mm_pool *p, GHashTable *hashes,
+                           uint64_t fingerprint); /* all of them reported */
+uint64_t mm_pool_incarnation_hash (const char *name, int64_t boot_ms);
 int mm_pool_find (const mm_pool *p, const char *name); /* index or -1 */
 void mm_pool_set_state (mm_pool *p, int i, mm_upstream_state s,
                         int64_t seq);          /* if seq is newer */
 int mm_pool_pick (mm_pool *p, mm_time_ms now); /* -1: no free slot */
-void mm_pool_sent (mm_pool *p, int i);         /* a task was sent */
-bool mm_pool_done (mm_pool *p, int i, mm_outcome o, int64_t seq,
-                   mm_time_ms now, uint32_t eject_after, mm_time_ms eject_ms);
-void mm_pool_doubt (mm_pool *p, int i); /* put on trial */
+void mm_pool_task_sent (mm_pool *p, int i);    /* a task was sent */
+bool mm_pool_task_ended (mm_pool *p, int i, mm_outcome o, int64_t seq,
+                         mm_time_ms now, uint32_t eject_after,
+                         mm_time_ms eject_ms);
+void mm_pool_put_on_trial (mm_pool *p, int i); /* put on trial */
 uint32_t mm_pool_size (const mm_pool *p);
 const mm_pool_member *mm_pool_at (const mm_pool *p, int i);
 uint32_t mm_pool_free_slots (const mm_pool *p, mm_time_ms now); /* live */
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -227,27 +227,27 @@
 {
   mm_contact *c = mm_contact_create (0);
   const char *peer = NULL;
-  mm_contact_note (c, false, 400);
+  mm_contact_record (c, false, 400);
   ck_assert_int_eq (mm_contact_standing (c, 2, 400, &peer),
                     MM_STANDING_CONTACT);
-  mm_contact_note (c, false, 600);
+  mm_contact_record (c, false, 600);
   ck_assert_int_eq (mm_contact_standing (c, 0, 600, &peer),
                     MM_STANDING_OUTAGE);
   ck_assert_int_eq (mm_contact_standing (c, 2, 600, &peer),
                     MM_STANDING_CONTACT);
   ck_assert_int_eq (mm_contact_standing (c, 2, 1600, &peer),
                     MM_STANDING_ALONE);
-  mm_contact_vote (c, "b", false, 700);
+  mm_contact_record_vote (c, "b", false, 700);
   ck_assert_int_eq (mm_contact_standing (c, 2, 800, &peer),
                     MM_STANDING_OUTAGE);
-  mm_contact_vote (c, "a", true, 800);
+  mm_contact_record_vote (c, "a", true, 800);
   ck_assert_int_eq (mm_contact_standing (c, 2, 900, &peer), MM_STANDING_CUT);
   ck_assert_str_eq (peer, "a");
-  mm_contact_note (c, true, 1000);
+  mm_contact_record (c, true, 1000);
   ck_assert_int_eq (mm_contact_standing (c, 2, 1000, &peer),
                     MM_STANDING_CONTACT);
-  ck_assert (mm_contact_list_unsure (c, 3900));
-  ck_assert (!mm_contact_list_unsure (c, 4100));
+  ck_assert (mm_contact_list_incomplete (c, 3900));
+  ck_assert (!mm_contact_list_incomplete (c, 4100));
   mm_contact_destroy (c);
 }
 END_TEST
@@ -261,22 +261,22 @@
   mm_pool_add (p, "a", "a", 8, 11);
   mm_pool_add (p, "b", "b", 8, 22);
   mm_pool_list_end (p);
-  uint64_t then = mm_pool_fingerprint (p);
+  uint64_t then = mm_pool_list_fingerprint (p);
   mm_pool_list_begin (p, 0);
   mm_pool_add (p, "a", "a", 8, 11);
   mm_pool_add (p, "b", "b", 8, 33);
   mm_pool_add (p, "c", "c", 8, 44);
   mm_pool_list_end (p);
-  ck_assert (then != mm_pool_fingerprint (p));
-  int64_t a = (int64_t)mm_pool_fingerprint_of ("a", 11);
-  int64_t b_old = (int64_t)mm_pool_fingerprint_of ("b", 22);
-  int64_t b_new = (int64_t)mm_pool_fingerprint_of ("b", 33);
+  ck_assert (then != mm_pool_list_fingerprint (p));
+  int64_t a = (int64_t)mm_pool_incarnation_hash ("a", 11);
+  int64_t b_old = (int64_t)mm_pool_incarnation_hash ("b", 22);
+  int64_t b_new = (int64_t)mm_pool_incarnation_hash ("b", 33);
   GHashTable *reported = g_hash_table_new (g_int64_hash, g_int64_equal);
   g_hash_table_add (reported, &a);
   g_hash_table_add (reported, &b_new);
-  ck_assert (!mm_pool_covers (p, reported, then));
+  ck_assert (!mm_pool_all_reported (p, reported, then));
   g_hash_table_add (reported, &b_old);
-  ck_assert (mm_pool_covers (p, reported, then));
+  ck_assert (mm_pool_all_reported (p, reported, then));
   g_hash_table_destroy (reported);
   mm_pool_destroy (p);
 }
@@ -291,21 +291,21 @@
   int i = mm_pool_add (p, "w", "w", 8, 1);
   for (int n = 0; n < 3; n++)
     {
-      mm_pool_sent (p, i);
-      ck_assert (mm_pool_done (p, i, MM_OUTCOME_FAILED, 0, 0, 3, 100)
+      mm_pool_task_sent (p, i);
+      ck_assert (mm_pool_task_ended (p, i, MM_OUTCOME_FAILED, 0, 0, 3, 100)
                  == (n == 2));
     }
   ck_assert_int_eq (mm_pool_pick (p, 99), -1);
   ck_assert_int_eq (mm_pool_pick (p, 100), i);
-  mm_pool_sent (p, i);
+  mm_pool_task_sent (p, i);
   ck_assert_int_eq (mm_pool_pick (p, 100), -1);
-  ck_assert (mm_pool_done (p, i, MM_OUTCOME_FAILED, 0, 100, 3, 100));
+  ck_assert (mm_pool_task_ended (p, i, MM_OUTCOME_FAILED, 0, 100, 3, 100));
   ck_assert_int_eq (mm_pool_pick (p, 299), -1);
   ck_assert_int_eq (mm_pool_pick (p, 300), i);
-  mm_pool_sent (p, i);
-  ck_assert (!mm_pool_done (p, i, MM_OUTCOME_OK, 0, 310, 3, 100));
+  mm_pool_task_sent (p, i);
+  ck_assert (!mm_pool_task_ended (p, i, MM_OUTCOME_OK, 0, 310, 3, 100));
   ck_assert_int_eq (mm_pool_free_slots (p, 310), 8);
-  mm_pool_doubt (p, i);
+  mm_pool_put_on_trial (p, i);
   ck_assert_int_eq (mm_pool_free_slots (p, 310), 1);
   mm_pool_destroy (p);
 }
