--- a/examples/http_echo.c
+++ b/examples/http_echo.c
@@ -1,4 +1,4 @@
-/* HTTP: a server and a client on one loop.  */
+/* Runs an HTTP server and an HTTP client on one event loop.  */
 #include <masticmill.h>
 
 #include <stdio.h>
@@ -11,9 +11,10 @@
 }
 
 static void
-answered (const mm_http_result *res, void *ctx)
+answered (const mm_http_result *result, void *ctx)
 {
-  printf ("HTTP %ld: %.*s\n", res->status, (int)res->body_bytes, res->body);
+  printf ("HTTP %ld: %.*s\n", result->status, (int)result->body_bytes,
+          result->body);
   ev_break (ctx, EVBREAK_ALL);
 }
 
--- a/examples/job_codec.c
+++ b/examples/job_codec.c
@@ -1,5 +1,5 @@
-/* Jobs: decode a caller's JSON, pack it as msgpack for a peer, unpack it
-   there.  */
+/* Decodes a job from a caller's JSON, packs it as msgpack for a peer and
+   unpacks it as the peer does.  */
 #include <masticmill.h>
 
 #include <stdio.h>
--- a/examples/peer_forward.c
+++ b/examples/peer_forward.c
@@ -1,5 +1,5 @@
-/* Peers: forward bytes to another instance and get its answer; a peer
-   that is not there is a typed error at once.  */
+/* Forwards bytes to another instance and prints its answer.  Forwarding to a
+   peer that does not run fails at once with a typed error.  */
 #include <masticmill.h>
 
 #include <stdio.h>
@@ -13,13 +13,13 @@
 }
 
 static void
-on_answer (const mm_peer_answer *a, void *ctx)
+on_answer (const mm_peer_answer *answer, void *ctx)
 {
-  if (a->error)
-    printf ("%s: %s\n", mm_error_code_name (a->error->code),
-            a->error->message);
+  if (answer->error)
+    printf ("%s: %s\n", mm_error_code_name (answer->error->code),
+            answer->error->message);
   else
-    printf ("answer %u: %s\n", a->status, a->body);
+    printf ("answer %u: %s\n", answer->status, answer->body);
   ev_break (ctx, EVBREAK_ALL);
 }
 
--- a/examples/rendezvous.c
+++ b/examples/rendezvous.c
@@ -1,4 +1,5 @@
-/* Rendezvous hashing: when one member leaves, only its keys move.  */
+/* Shows rendezvous hashing: when a member leaves, only its own keys move to
+   other members.  */
 #include <masticmill.h>
 
 #include <stdio.h>
--- a/examples/settings.c
+++ b/examples/settings.c
@@ -1,4 +1,4 @@
-/* Settings: check a TOML text against a table of specs; a mistake is a
+/* Checks a TOML text against a table of setting specs.  A mistake gives a
    typed error that names the line, the key and the reason.  */
 #include <masticmill.h>
 
--- a/fuzz/fuzz_decoders.c
+++ b/fuzz/fuzz_decoders.c
@@ -1,9 +1,10 @@
-/* fuzz_decoders: feed untrusted bytes to every decoder of masticmill.
+/* fuzz_decoders: feeds untrusted bytes to the decoders of jobs, settings,
+   configuration records, quota reports and peer frames.
 
-   Built plainly, it mutates seed inputs for N rounds (default 20000) and
-   exits 0 if no decoder crashed; run under valgrind or ASan to see
-   memory errors.  Built with clang -fsanitize=fuzzer -DMM_LIBFUZZER, it
-   is a libFuzzer target.  */
+   Built without options, the program mutates seed inputs for N rounds (its
+   argument, default 20000) and exits 0 if no decoder crashed; run it under
+   valgrind or ASan to find memory errors.  Built with
+   clang -fsanitize=fuzzer -DMM_LIBFUZZER, it is a libFuzzer target.  */
 #include "mm_cfg.h"
 #include "mm_quota.h"
 
@@ -20,24 +21,24 @@
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
   GError *err = NULL;
-  mm_job *j = mm_job_unpack (data, size, 290, &err);
-  mm_job_destroy (j);
+  mm_job *decoded = mm_job_unpack (data, size, 290, &err);
+  mm_job_destroy (decoded);
   g_clear_error (&err);
-  j = mm_job_parse_json ((const char *)data, size, 290, &err);
-  mm_job_destroy (j);
+  decoded = mm_job_parse_json ((const char *)data, size, 290, &err);
+  mm_job_destroy (decoded);
   g_clear_error (&err);
   char *text = g_strndup ((const char *)data, size);
-  mm_toml *t = mm_toml_parse_string (text, "fuzz", &err);
-  mm_toml_destroy (t);
+  mm_toml *parsed = mm_toml_parse_string (text, "fuzz", &err);
+  mm_toml_destroy (parsed);
   g_clear_error (&err);
-  mm_cfg *c = mm_cfg_create ("lima");
-  mm_cfg_offer (c, 0, text, &err);
-  mm_cfg_destroy (c);
+  mm_cfg *cfg = mm_cfg_create ("lima");
+  mm_cfg_offer (cfg, 0, text, &err);
+  mm_cfg_destroy (cfg);
   g_clear_error (&err);
   g_free (text);
-  mm_quota *q = mm_quota_create ();
-  mm_quota_take_report (q, "peer", data, size, 0, &err);
-  mm_quota_destroy (q);
+  mm_quota *quota = mm_quota_create ();
+  mm_quota_take_report (quota, "peer", data, size, 0, &err);
+  mm_quota_destroy (quota);
   g_clear_error (&err);
   return 0;
 }
@@ -57,9 +58,9 @@
                          .deadline_ms = 9,
                          .idempotent = false } };
   mm_job job = { .id = "job", .team = "team", .n_tasks = 2, .tasks = tasks };
-  GByteArray *b = g_byte_array_new ();
-  mm_job_pack (&job, b);
-  return b;
+  GByteArray *bytes = g_byte_array_new ();
+  mm_job_pack (&job, bytes);
+  return bytes;
 }
 
 static void
@@ -69,43 +70,43 @@
   mm_peer_reply (p, conn_id, req_id, 200, 0, "{}");
 }
 
-/* Whole frames on a real peer link, their bodies mutated: the link must
-   close or answer, never crash.  */
+/* Sends complete frames with mutated bodies to a real peer link: the link
+   must close or answer, never crash.  */
 static void
 fuzz_peer_frames (GRand *r, long rounds)
 {
   static const uint8_t forward[] = { 0x94, 1, 7, 0, 0xc4, 2, 'x', 'y' };
   static const uint8_t answer[] = { 0x95, 2, 7, 0xcc, 200, 0, 0xa1, 'b' };
   static const uint8_t ping[] = { 0x92, 3, 7 };
-  static const uint8_t tell[]
+  static const uint8_t notify[]
       = { 0x95, 4, 7, 1, 0xa1, 'e', 0xc4, 3, 0x92, 0xa1, 't' };
-  static const uint8_t *const frames[] = { forward, answer, ping, tell };
+  static const uint8_t *const frames[] = { forward, answer, ping, notify };
   static const size_t lens[]
-      = { sizeof forward, sizeof answer, sizeof ping, sizeof tell };
+      = { sizeof forward, sizeof answer, sizeof ping, sizeof notify };
   struct ev_loop *loop = ev_loop_new (EVFLAG_AUTO);
-  mm_peer *p = mm_peer_create (loop, "127.0.0.1", 0, on_job, NULL, NULL);
-  struct sockaddr_in a
-      = { .sin_family = AF_INET, .sin_port = htons (mm_peer_port (p)) };
-  inet_pton (AF_INET, "127.0.0.1", &a.sin_addr);
+  mm_peer *peer = mm_peer_create (loop, "127.0.0.1", 0, on_job, NULL, NULL);
+  struct sockaddr_in addr
+      = { .sin_family = AF_INET, .sin_port = htons (mm_peer_port (peer)) };
+  inet_pton (AF_INET, "127.0.0.1", &addr.sin_addr);
   for (long i = 0; i < rounds; i++)
     {
       uint8_t buf[64];
-      int k = g_rand_int_range (r, 0, 4);
-      uint32_t n = htonl ((uint32_t)lens[k]);
-      memcpy (buf, &n, 4);
-      memcpy (buf + 4, frames[k], lens[k]);
+      int kind = g_rand_int_range (r, 0, 4);
+      uint32_t frame_bytes = htonl ((uint32_t)lens[kind]);
+      memcpy (buf, &frame_bytes, 4);
+      memcpy (buf + 4, frames[kind], lens[kind]);
       for (int f = g_rand_int_range (r, 0, 4); f > 0; f--)
-        buf[4 + g_rand_int_range (r, 0, (gint32)lens[k])]
+        buf[4 + g_rand_int_range (r, 0, (gint32)lens[kind])]
             = (uint8_t)g_rand_int (r);
       int fd = socket (AF_INET, SOCK_STREAM, 0);
-      if (connect (fd, (struct sockaddr *)&a, sizeof a) == 0
-          && write (fd, buf, 4 + lens[k]) > 0)
-        for (int turn = 0; turn < 4; turn++)
+      if (connect (fd, (struct sockaddr *)&addr, sizeof addr) == 0
+          && write (fd, buf, 4 + lens[kind]) > 0)
+        for (int pass = 0; pass < 4; pass++)
           ev_run (loop, EVRUN_NOWAIT);
       close (fd);
       ev_run (loop, EVRUN_NOWAIT);
     }
-  mm_peer_destroy (p);
+  mm_peer_destroy (peer);
   ev_loop_destroy (loop);
 }
 
@@ -133,14 +134,14 @@
   uint8_t buf[512];
   for (long i = 0; i < rounds; i++)
     {
-      int s = g_rand_int_range (r, 0, (gint32)G_N_ELEMENTS (seeds));
-      size_t n = MIN (lens[s], sizeof buf);
-      memcpy (buf, seeds[s], n);
+      int seed = g_rand_int_range (r, 0, (gint32)G_N_ELEMENTS (seeds));
+      size_t n = MIN (lens[seed], sizeof buf);
+      memcpy (buf, seeds[seed], n);
       int flips = g_rand_int_range (r, 1, 6);
       for (int f = 0; f < flips; f++)
         buf[g_rand_int_range (r, 0, (gint32)n)] = (uint8_t)g_rand_int (r);
-      size_t cut = (size_t)g_rand_int_range (r, 0, (gint32)n + 1);
-      LLVMFuzzerTestOneInput (buf, cut);
+      size_t cut_bytes = (size_t)g_rand_int_range (r, 0, (gint32)n + 1);
+      LLVMFuzzerTestOneInput (buf, cut_bytes);
     }
   fuzz_peer_frames (r, rounds / 5);
   g_rand_free (r);
--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -1,10 +1,10 @@
-/* fuzz_wire: feed untrusted bytes to the decoders of the platform folder,
-   of our own interface and of the messages between instances.
+/* fuzz_wire: feeds untrusted bytes to the decoders of platform/, of the
+   native protocol and of the messages between instances.
 
-   Built plainly, it mutates seed inputs for N rounds (default 20000) and
-   exits 0 if no decoder crashed; run under valgrind or ASan to see
-   memory errors.  Built with clang -fsanitize=fuzzer -DMM_LIBFUZZER, it
-   is a libFuzzer target.  */
+   Built without options, the program mutates seed inputs for N rounds (its
+   argument, default 20000) and exits 0 if no decoder crashed; run it under
+   valgrind or ASan to find memory errors.  Built with
+   clang -fsanitize=fuzzer -DMM_LIBFUZZER, it is a libFuzzer target.  */
 #include "mm_kept_wire.h"
 #include "mm_mesh_msg.h"
 #include "mm_native.h"
@@ -35,22 +35,22 @@
 }
 
 static void
-try_own (const char *text, size_t size)
+try_native (const char *text, size_t size)
 {
   mm_time_ms caller_timeout_ms;
   mm_submission_free (
       mm_native_submission_parse (text, size, &caller_timeout_ms, NULL));
-  cJSON *o = cJSON_ParseWithLength (text, size);
+  cJSON *object = cJSON_ParseWithLength (text, size);
   mm_order order;
   mm_hold hold;
   mm_task_id id;
-  mm_run_json_read_order (o, &order, &id);
-  mm_run_json_read_hold (o, &hold);
+  mm_run_json_read_order (object, &order, &id);
+  mm_run_json_read_hold (object, &hold);
   mm_hold_result lists = { 0 };
-  mm_exec_wire_read_lists (&mm_native_exec_wire, o, &lists);
+  mm_exec_wire_read_lists (&mm_native_exec_wire, object, &lists);
   g_free ((void *)lists.running);
   g_free ((void *)lists.ended);
-  cJSON_Delete (o);
+  cJSON_Delete (object);
 }
 
 static void
@@ -70,23 +70,23 @@
 }
 
 static void
-pass_over_note (void *ctx, const mm_task_id *task, uint32_t mark)
+ignore_end_ack (void *ctx, const mm_task_id *task, uint32_t hash)
 {
 }
 
 static void
 try_kept (const uint8_t *data, size_t size)
 {
-  mm_kept_answer a;
-  mm_kept_answer_read (data, size, &a);
+  mm_kept_answer kept_answer;
+  mm_kept_answer_read (data, size, &kept_answer);
   mm_job_record_free (mm_job_record_unpack (data, size, NULL));
   GHashTable *tasks = mm_task_set_read (data, size);
   if (tasks)
     g_hash_table_destroy (tasks);
-  mm_search_result c = mm_search_result_init ();
-  mm_search_result_read (data, size, &c);
-  mm_search_result_clear (&c);
-  mm_end_acks_read (data, size, pass_over_note, NULL);
+  mm_search_result result = mm_search_result_init ();
+  mm_search_result_read (data, size, &result);
+  mm_search_result_clear (&result);
+  mm_end_acks_read (data, size, ignore_end_ack, NULL);
 }
 
 int
@@ -94,7 +94,7 @@
 {
   try_kept (data, size);
   try_platform ((const char *)data, size);
-  try_own ((const char *)data, size);
+  try_native ((const char *)data, size);
   try_mesh (data, size);
   return 0;
 }
@@ -105,24 +105,24 @@
 {
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
-  mm_task_request t = { .id = { .job = "job", .step = 1, .index = 2 },
-                        .service = "svc",
-                        .payload = "p",
-                        .need = { .cpu_milli = 14000 } };
-  mm_work_result r = { .how = MM_END_DONE, .upstream = "u", .why = "" };
-  mm_mesh_room room = { .service = "svc", .room = { 10, 4, 1 } };
-  mm_mesh_pack_run (&b, 7, &t);
-  mm_mesh_pack_ended (&b, 7, &r);
-  mm_mesh_pack_report (&b, 7, "node", false, &room, 1);
+  mm_task_request request = { .id = { .job = "job", .step = 1, .index = 2 },
+                              .service = "svc",
+                              .payload = "p",
+                              .need = { .cpu_milli = 14000 } };
+  mm_work_result work = { .how = MM_END_DONE, .upstream = "u", .why = "" };
+  mm_mesh_room capacity = { .service = "svc", .room = { 10, 4, 1 } };
+  mm_mesh_pack_run (&b, 7, &request);
+  mm_mesh_pack_ended (&b, 7, &work);
+  mm_mesh_pack_report (&b, 7, "node", false, &capacity, 1);
   mm_mesh_pack_handed (&b, "room-dc1");
   mm_mesh_pack_cancel (&b, 7);
   mm_mesh_pack_ask (&b, 7, 1, "x", 1);
   mm_mesh_pack_told (&b, 7, "x", 1);
-  mm_found_run found = { .upstream = "up", .task = t.id, .run = 1 };
+  mm_found_run found = { .upstream = "up", .task = request.id, .run = 1 };
   mm_mesh_pack_found (&b, &found);
-  uint64_t mark = 7;
+  uint64_t task_hash = 7;
   mm_loss loss = {
-    .upstream = "up", .addr = "127.0.0.1:1", .tasks = &mark, .n_tasks = 1
+    .upstream = "up", .addr = "127.0.0.1:1", .tasks = &task_hash, .n_tasks = 1
   };
   mm_mesh_pack_loss (&b, &loss);
   mm_mesh_pack_beat (&b);
@@ -130,27 +130,28 @@
   return b;
 }
 
-/* What instances tell each other about kept jobs, one kind of it.  */
+/* Packs a message that instances exchange about kept jobs: acknowledgements
+   of ends (kind 0), a search result (1) or an answer (2).  */
 static msgpack_sbuffer
 kept_seed (int kind)
 {
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_task_id id = { .job = "job", .step = 1, .index = 2 };
-  mm_end_ack note = { .task = id, .mark = 7 };
+  mm_end_ack ack = { .task = id, .mark = 7 };
   mm_found_end end = { .task = id, .how = MM_END_DONE, .mark = 7 };
   mm_kept_answer answer = { .status = MM_KEPT_OK, .pending = 3 };
-  mm_search_result c = mm_search_result_init ();
-  uint64_t mark = 9;
-  g_array_append_val (c.clear, mark);
-  g_array_append_val (c.ends, end);
+  mm_search_result result = mm_search_result_init ();
+  uint64_t hash = 9;
+  g_array_append_val (result.clear, hash);
+  g_array_append_val (result.ends, end);
   if (kind == 0)
-    mm_end_acks_pack (&b, &note, 1);
+    mm_end_acks_pack (&b, &ack, 1);
   else if (kind == 1)
-    mm_search_result_pack (&b, &c);
+    mm_search_result_pack (&b, &result);
   else
     mm_kept_answer_pack (&b, &answer);
-  mm_search_result_clear (&c);
+  mm_search_result_clear (&result);
   return b;
 }
 
@@ -161,17 +162,17 @@
       = "{\"spec\":\"t\",\"steps\":[{\"count\":2,\"cpu\":5,\"memMb\":2,"
         "\"estimateMs\":9},{\"count\":1,\"after\":[0]}]}";
   mm_route route = { .name = "q", .service = "s", .attempts = 2 };
-  mm_submission *s
+  mm_submission *submission
       = pf_submission_decode ("0123456789abcdef", job, strlen (job), NULL);
-  mm_job_record *r = mm_job_record_new (s, &route);
-  GBytes *bytes = mm_job_record_pack (r);
+  mm_job_record *record = mm_job_record_new (submission, &route);
+  GBytes *bytes = mm_job_record_pack (record);
   gsize len;
   const void *data = g_bytes_get_data (bytes, &len);
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   msgpack_sbuffer_write (&b, data, len);
   g_bytes_unref (bytes);
-  mm_job_record_free (r);
+  mm_job_record_free (record);
   return b;
 }
 
@@ -202,24 +203,28 @@
   msgpack_sbuffer packed[] = { mesh_seed (), record_seed (), kept_seed (0),
                                kept_seed (1), kept_seed (2) };
   g_log_set_writer_func (g_log_writer_default, NULL, NULL);
-  GRand *r = g_rand_new_with_seed (7);
+  GRand *rand = g_rand_new_with_seed (7);
   uint8_t buf[512];
   for (long i = 0; i < rounds; i++)
     {
       const int n_texts = (int)G_N_ELEMENTS (texts);
-      int s = g_rand_int_range (r, 0, n_texts + (gint32)G_N_ELEMENTS (packed));
-      bool is_text = s < n_texts;
-      const void *seed
-          = is_text ? texts[s] : (const void *)packed[s - n_texts].data;
-      size_t n = MIN (is_text ? strlen (texts[s]) : packed[s - n_texts].size,
+      int seed_no = g_rand_int_range (rand, 0,
+                                      n_texts + (gint32)G_N_ELEMENTS (packed));
+      bool is_text = seed_no < n_texts;
+      const void *seed = is_text
+                             ? texts[seed_no]
+                             : (const void *)packed[seed_no - n_texts].data;
+      size_t n = MIN (is_text ? strlen (texts[seed_no])
+                              : packed[seed_no - n_texts].size,
                       sizeof buf);
       memcpy (buf, seed, n);
-      for (int f = g_rand_int_range (r, 1, 6); f > 0; f--)
-        buf[g_rand_int_range (r, 0, (gint32)n)] = (uint8_t)g_rand_int (r);
-      LLVMFuzzerTestOneInput (buf,
-                              (size_t)g_rand_int_range (r, 0, (gint32)n + 1));
+      for (int f = g_rand_int_range (rand, 1, 6); f > 0; f--)
+        buf[g_rand_int_range (rand, 0, (gint32)n)]
+            = (uint8_t)g_rand_int (rand);
+      LLVMFuzzerTestOneInput (
+          buf, (size_t)g_rand_int_range (rand, 0, (gint32)n + 1));
     }
-  g_rand_free (r);
+  g_rand_free (rand);
   for (size_t i = 0; i < G_N_ELEMENTS (packed); i++)
     msgpack_sbuffer_destroy (&packed[i]);
   printf ("fuzz_wire: %ld rounds, no crash\n", rounds);
