--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -115,6 +115,7 @@
         self.delay_s, self.blocked, self.answers_blocked = 0.0, False, False
 
 
+# Sends an HTTP request.  Returns the status and the JSON answer, or 0 and {} without an answer.
 def call(method, port, path, body=None, timeout=4):
     req = urllib.request.Request(f"http://127.0.0.1:{port}{path}", method=method,
                                  data=json.dumps(body).encode() if body is not None else None)
@@ -130,6 +131,7 @@
         return 0, {}
 
 
+# The processes, proxies, callers, faults and checks of one seed.
 class Fixture:
     def __init__(self, seed, args, folder, base):
         self.rnd, self.args, self.dir, self.base = random.Random(seed), args, folder, base
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -1,5 +1,4 @@
-/* The platform folder's decoders: what they make of good and of bad
-   bodies.  */
+/* Tests the decoders of platform/ with valid and with malformed bodies.  */
 #include "platform.h"
 #include "harness.h"
 
@@ -8,14 +7,14 @@
 #include <string.h>
 
 static mm_submission *
-job (const char *body)
+decode_job (const char *body)
 {
   return pf_submission_decode ("5c0e7a21d94b36f8", body, strlen (body), NULL);
 }
 
 START_TEST (job_body_is_decoded)
 {
-  mm_submission *s = job (
+  mm_submission *s = decode_job (
       "{\"spec\":\"text\",\"bestEffort\":true,\"steps\":[{\"count\":4,"
       "\"cpu\":500,\"memMb\":256,\"estimateMs\":900,\"affinity\":\"r1-3\"},"
       "{\"count\":20,\"cpu\":2000,\"after\":[0],\"constraints\":\"a\"}]}");
@@ -61,7 +60,7 @@
       GError *error = NULL;
       mm_submission *s
           = pf_submission_decode ("id", bad[i], strlen (bad[i]), &error);
-      ck_assert_msg (!s, "taken: %s", bad[i]);
+      ck_assert_msg (!s, "accepted: %s", bad[i]);
       ck_assert (g_error_matches (error, MM_ERROR, MM_ERROR_BAD_REQUEST));
       g_error_free (error);
     }
@@ -131,16 +130,16 @@
   const char *body
       = "{\"clockMs\":482113,\"running\":[[\"5c0e.0.1.17\",2,\"\",41]],"
         "\"finished\":[[58,\"5c0e.0.1.9\",1,\"lapsed\",\"\"]]}";
-  mm_hold_result r = { 0 };
-  ck_assert (pf_hold_decode (body, strlen (body), &r));
-  ck_assert_uint_eq (r.n_running, 1);
-  ck_assert_uint_eq (r.running[0].run, 2);
-  ck_assert_int_eq (r.running[0].percent, 41);
-  ck_assert_uint_eq (r.n_ended, 1);
-  ck_assert_uint_eq (r.ended[0].seq, 58);
-  ck_assert_int_eq (r.ended[0].how, MM_END_LOST);
-  g_free ((void *)r.running);
-  g_free ((void *)r.ended);
+  mm_hold_result hold = { 0 };
+  ck_assert (pf_hold_decode (body, strlen (body), &hold));
+  ck_assert_uint_eq (hold.n_running, 1);
+  ck_assert_uint_eq (hold.running[0].run, 2);
+  ck_assert_int_eq (hold.running[0].percent, 41);
+  ck_assert_uint_eq (hold.n_ended, 1);
+  ck_assert_uint_eq (hold.ended[0].seq, 58);
+  ck_assert_int_eq (hold.ended[0].how, MM_END_LOST);
+  g_free ((void *)hold.running);
+  g_free ((void *)hold.ended);
   static const char *const bad[]
       = { "",
           "[]",
@@ -150,29 +149,30 @@
           "{\"finished\":[[1,\"5c0e.0.1.9\",1,\"eaten\",\"\"]]}" };
   for (size_t i = 0; i < G_N_ELEMENTS (bad); i++)
     {
-      mm_hold_result x = { 0 };
-      ck_assert (!pf_hold_decode (bad[i], strlen (bad[i]), &x));
-      g_free ((void *)x.running);
-      g_free ((void *)x.ended);
+      mm_hold_result refused = { 0 };
+      ck_assert (!pf_hold_decode (bad[i], strlen (bad[i]), &refused));
+      g_free ((void *)refused.running);
+      g_free ((void *)refused.ended);
     }
 }
 END_TEST
 
-/* Mutated bodies of every kind reach every decoder: none may crash.  */
+/* A decoder may crash on a malformed body.  Runs fuzz_wire, which feeds
+   mutated bodies of every kind to every decoder: none may crash.  */
 START_TEST (decoders_survive_fuzzing)
 {
   ck_assert_int_eq (system (MM_BIN_DIR "/fuzz_wire 20000 >/dev/null 2>&1"), 0);
 }
 END_TEST
 
-START_TEST (task_names_go_there_and_back)
+START_TEST (task_names_round_trip)
 {
   mm_task_id id = { .job = "5c0e7a21d94b36f8", .step = 1, .index = 17 };
   char *name = pf_task_encode (&id);
   ck_assert_str_eq (name, "5c0e7a21d94b36f8.0.1.17");
-  mm_task_id back;
-  ck_assert (pf_task_decode (name, &back));
-  ck_assert (mm_task_id_equal (&id, &back));
+  mm_task_id decoded;
+  ck_assert (pf_task_decode (name, &decoded));
+  ck_assert (mm_task_id_equal (&id, &decoded));
   g_free (name);
   static const char *const bad[]
       = { "",
@@ -183,7 +183,7 @@
           "a.0.-1.2",
           "0123456789012345678901234567890123456789012345.0.1.2" };
   for (size_t i = 0; i < G_N_ELEMENTS (bad); i++)
-    ck_assert_msg (!pf_task_decode (bad[i], &back), "taken: %s", bad[i]);
+    ck_assert_msg (!pf_task_decode (bad[i], &decoded), "accepted: %s", bad[i]);
 }
 END_TEST
 
@@ -196,7 +196,7 @@
   tcase_add_test (c, bad_job_bodies_are_refused_with_a_typed_error);
   tcase_add_test (c, configuration_is_decoded);
   tcase_add_test (c, upstream_entry_is_decoded);
-  tcase_add_test (c, task_names_go_there_and_back);
+  tcase_add_test (c, task_names_round_trip);
   tcase_add_test (c, lists_of_runs_are_decoded);
   tcase_add_test (c, decoders_survive_fuzzing);
   tcase_set_timeout (c, 60);
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -1,4 +1,4 @@
-/* Tasks that crash each upstream that starts them.  */
+/* Tests poison tasks: tasks that crash each upstream that starts them.  */
 #include "harness.h"
 
 #include <signal.h>
@@ -9,13 +9,13 @@
 {
   UPSTREAMS = 6,
   SLOTS = 3,
-  CRASHES = 2, /* then a task is given up */
-  CRASHES_BESIDE_OTHERS = 3,
-  PATIENCE_MS = 15000
+  MAX_CRASHES = 2, /* of upstreams by one task, which is then given up */
+  MAX_CRASHES_BESIDE_OTHERS = 3, /* the same while other jobs run too */
+  CALLER_TIMEOUT_MS = 15000
 };
 
 static int
-crashes (const char *job)
+count_crashes (const char *job)
 {
   char text[64];
   g_snprintf (text, sizeof text, "crashed by %s", job);
@@ -28,25 +28,25 @@
 static pid_t
 submit (int node, const char *id, int tasks, int run_ms, bool idempotent)
 {
-  char *job = h_job_json (id, tasks, run_ms, PATIENCE_MS, idempotent);
-  pid_t p = h_submit (node, job);
+  char *job = h_job_json (id, tasks, run_ms, CALLER_TIMEOUT_MS, idempotent);
+  pid_t caller = h_submit (node, job);
   g_free (job);
-  return p;
+  return caller;
 }
 
 static void
-start (void)
+start_cluster (void)
 {
   h_upstream_extra = "upstream.poison_jobs=\"poison\"";
   h_nodes (UPSTREAMS, SLOTS, 2);
 }
 
-START_TEST (upstream_that_crashes_is_back_as_another)
+START_TEST (crashed_upstream_returns_as_new_incarnation)
 {
-  start ();
-  pid_t p = submit (0, "poison-once", 1, 500, false);
-  ck_assert (!h_answered (p));
-  ck_assert_int_eq (crashes ("poison-once"), 1);
+  start_cluster ();
+  pid_t caller = submit (0, "poison-once", 1, 500, false);
+  ck_assert (!h_answered (caller));
+  ck_assert_int_eq (count_crashes ("poison-once"), 1);
   ck_assert (h_wait_nodes (2, UPSTREAMS, 12000));
   ck_assert (h_answered (submit (1, "well", UPSTREAMS * SLOTS, 100, true)));
   h_cluster_stop ();
@@ -55,69 +55,72 @@
 
 START_TEST (poison_task_crashes_two_upstreams_at_most)
 {
-  start ();
-  pid_t p = submit (0, "poison-again", 1, 500, true);
-  ck_assert (!h_answered (p));
-  ck_assert_int_le (crashes ("poison-again"), CRASHES);
+  start_cluster ();
+  pid_t caller = submit (0, "poison-again", 1, 500, true);
+  ck_assert (!h_answered (caller));
+  ck_assert_int_le (count_crashes ("poison-again"), MAX_CRASHES);
   ck_assert_int_eq (h_log_lines (h_entries[0], "\"outcome\":\"failed\""), 1);
   h_cluster_stop ();
 }
 END_TEST
 
-/* Sent again to any instance, also one that has just started, it crashes
-   nothing more.  */
-START_TEST (poison_job_sent_again_is_answered_failed_at_once)
+/* A poison job that failed is submitted again, also to an instance that has
+   just started and did not see the crashes: no upstream crashes again.  */
+START_TEST (resubmitted_poison_job_fails_at_once)
 {
-  start ();
+  start_cluster ();
   ck_assert (!h_answered (submit (0, "poison-anew", 1, 500, true)));
-  int before = crashes ("poison-anew");
-  ck_assert_int_le (before, CRASHES);
+  int before = count_crashes ("poison-anew");
+  ck_assert_int_le (before, MAX_CRASHES);
   h_stop (h_entries[0], SIGKILL);
   h_start_node (0);
   ck_assert (h_wait_nodes (2, UPSTREAMS, 12000));
   for (int i = 0; i < 4; i++)
     {
       mm_time_ms from_ms = mm_clock_now_ms ();
-      pid_t p = submit (i % 2, "poison-anew", 1, 500, true);
-      ck_assert_int_eq (h_status_class (p), 2); /* whole: failed */
+      pid_t caller = submit (i % 2, "poison-anew", 1, 500, true);
+      ck_assert_int_eq (h_status_class (caller), 2); /* answered: failed */
       ck_assert_int_lt (mm_clock_now_ms () - from_ms, 1000);
     }
-  ck_assert_int_eq (crashes ("poison-anew"), before);
+  ck_assert_int_eq (count_crashes ("poison-anew"), before);
   h_cluster_stop ();
 }
 END_TEST
 
-/* Jobs that stand beside a poison one on upstreams that it crashes.  */
-START_TEST (jobs_beside_a_poison_one_are_answered_whole)
+/* Jobs run on the same upstreams as a poison job and lose their tasks when it
+   crashes these upstreams: all of them complete nevertheless.  */
+START_TEST (jobs_beside_a_poison_job_complete)
 {
   enum
   {
     JOBS = 40,
-    EVERY_MS = 100
+    INTERVAL_MS = 100
   };
-  start ();
+  start_cluster ();
   pid_t poison = submit (0, "poison-beside", 1, 500, true);
-  pid_t p[JOBS];
+  pid_t callers[JOBS];
   char id[32];
   for (int i = 0; i < JOBS; i++)
     {
       g_snprintf (id, sizeof id, "well-%d", i);
-      p[i] = submit (i % 2, id, 2, 200, true);
-      g_usleep (EVERY_MS * 1000);
+      callers[i] = submit (i % 2, id, 2, 200, true);
+      g_usleep (INTERVAL_MS * 1000);
     }
   for (int i = 0; i < JOBS; i++)
-    ck_assert_msg (h_answered (p[i]), "job %d beside a poison one", i);
+    ck_assert_msg (h_answered (callers[i]), "job %d beside a poison job", i);
   ck_assert (!h_answered (poison));
-  ck_assert_int_le (crashes ("poison-beside"), CRASHES_BESIDE_OTHERS);
+  ck_assert_int_le (count_crashes ("poison-beside"),
+                    MAX_CRASHES_BESIDE_OTHERS);
   h_cluster_stop ();
 }
 END_TEST
 
-/* A kept job outlives its caller and its home, and so must the count.  */
+/* A kept job outlives its caller and its home, so the count of its crashes
+   must outlive them too.  */
 START_TEST (kept_poison_job_ends_failed)
 {
-  start ();
-  char *job = h_job_json ("poison-kept", 1, 500, PATIENCE_MS, true);
+  start_cluster ();
+  char *job = h_job_json ("poison-kept", 1, 500, CALLER_TIMEOUT_MS, true);
   char *kept = g_strdup_printf ("{\"kept\":true,%s", job + 1);
   long status = 0;
   for (int i = 0; i < 8 && status != 202; i++)
@@ -127,15 +130,16 @@
   char state[16] = "";
   for (int i = 0; i < 150 && strcmp (state, "failed") != 0; i++)
     {
-      cJSON *o = h_call ("GET", h_entry_ports[1], "/v1/jobs/poison-kept", NULL,
-                         NULL);
-      const char *s = cJSON_GetStringValue (cJSON_GetObjectItem (o, "state"));
-      g_strlcpy (state, s ? s : "", sizeof state);
-      cJSON_Delete (o);
+      cJSON *answer = h_call ("GET", h_entry_ports[1], "/v1/jobs/poison-kept",
+                              NULL, NULL);
+      const char *found
+          = cJSON_GetStringValue (cJSON_GetObjectItem (answer, "state"));
+      g_strlcpy (state, found ? found : "", sizeof state);
+      cJSON_Delete (answer);
       g_usleep (100000);
     }
   ck_assert_str_eq (state, "failed");
-  ck_assert_int_le (crashes ("poison-kept"), CRASHES);
+  ck_assert_int_le (count_crashes ("poison-kept"), MAX_CRASHES);
   g_free (kept);
   g_free (job);
   h_cluster_stop ();
@@ -148,12 +152,12 @@
   Suite *s = suite_create ("poison");
   TCase *tc = tcase_create ("poison");
   tcase_set_timeout (tc, 90);
-  tcase_add_test (tc, upstream_that_crashes_is_back_as_another);
-  tcase_add_test (tc, poison_job_sent_again_is_answered_failed_at_once);
-  tcase_add_test (tc, jobs_beside_a_poison_one_are_answered_whole);
+  tcase_add_test (tc, crashed_upstream_returns_as_new_incarnation);
+  tcase_add_test (tc, resubmitted_poison_job_fails_at_once);
+  tcase_add_test (tc, jobs_beside_a_poison_job_complete);
   tcase_add_test (tc, kept_poison_job_ends_failed);
   suite_add_tcase (s, tc);
-  /* Run by itself, as test_poison_limit.  */
+  /* CMakeLists.txt runs this case separately, as test_poison_limit.  */
   tc = tcase_create ("limit");
   tcase_set_tags (tc, "limit");
   tcase_set_timeout (tc, 90);
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -1,5 +1,6 @@
-/* Units without processes: settings checks, job decoding, config
-   ordering, the msgpack codec and rendezvous hashing.  */
+/* Unit tests without processes: settings, job decoding, the order of
+   configuration records, the msgpack codec, rendezvous hashing, contact with
+   the platform, the upstream pool and team quotas.  */
 #include "harness.h"
 #include "mm_cfg.h"
 #include "mm_contact.h"
@@ -31,10 +32,10 @@
   return err;
 }
 
-/* An operator mistypes a key, gives a string for a port, or a port out
-   of range: the daemon must not start, and the error must name the file,
-   line, key and reason, with a typed code.  */
-START_TEST (bad_settings_are_typed)
+/* A settings file has a mistyped key, a string for a port, a port out of
+   range or a syntax error: the daemon must not start, and the typed error must
+   name the file, line, key and reason.  */
+START_TEST (bad_settings_give_typed_errors)
 {
   GError *e = load_entry ("[entry]\nprot = 7100\n");
   ck_assert (g_error_matches (e, MM_ERROR, MM_ERROR_CONFIG_UNKNOWN_KEY));
@@ -55,25 +56,25 @@
 }
 END_TEST
 
-/* A caller sends garbage, an empty job or a job over the limit: each is
-   refused with its own code before anything is queued.  */
-START_TEST (bad_jobs_are_typed)
+/* A caller sends malformed JSON, an empty job or a job over the limit: each is
+   refused with an error code of its own before any task is queued.  */
+START_TEST (bad_jobs_give_typed_errors)
 {
   GError *e = NULL;
   ck_assert (!mm_job_parse_json ("{", 1, 10, &e));
   ck_assert (g_error_matches (e, MM_ERROR, MM_ERROR_BAD_REQUEST));
   g_clear_error (&e);
-  const char *zero = "{\"job_id\":\"j\",\"tasks\":[]}";
-  ck_assert (!mm_job_parse_json (zero, strlen (zero), 10, &e));
+  const char *empty = "{\"job_id\":\"j\",\"tasks\":[]}";
+  ck_assert (!mm_job_parse_json (empty, strlen (empty), 10, &e));
   ck_assert (g_error_matches (e, MM_ERROR, MM_ERROR_JOB_SIZE));
   g_clear_error (&e);
   char *big = h_job_json ("j", 11, 1, 100, true);
   ck_assert (!mm_job_parse_json (big, strlen (big), 10, &e));
   ck_assert (g_error_matches (e, MM_ERROR, MM_ERROR_JOB_SIZE));
   g_clear_error (&e);
-  const char *dup
+  const char *duplicate
       = "{\"job_id\":\"j\",\"tasks\":[{\"id\":\"a\"},{\"id\":\"a\"}]}";
-  ck_assert (!mm_job_parse_json (dup, strlen (dup), 10, &e));
+  ck_assert (!mm_job_parse_json (duplicate, strlen (duplicate), 10, &e));
   ck_assert (strstr (e->message, "appears twice"));
   g_clear_error (&e);
   mm_job *j = mm_job_parse_json (big, strlen (big), 11, &e);
@@ -97,26 +98,26 @@
 record (int64_t parent, const char *base, const char *lima)
 {
   const char *sites[] = { "lima", NULL };
-  const char *ovs[] = { lima, NULL };
+  const char *overlays[] = { lima, NULL };
   return mm_cfg_make_record ("config", parent, base, lima ? sites : NULL,
-                             lima ? ovs : NULL);
+                             lima ? overlays : NULL);
 }
 
-/* Two operators edit from the same head and publish at once: both
-   records land in the log; the first in log order wins at every site, the
-   second is refused at every site, and the head never goes back.  */
+/* Two operators edit the same head and publish at the same time, so that both
+   records are in the log.  Every site must apply the first in log order and
+   refuse the second, and the head must never go back.  */
 START_TEST (config_race_has_one_winner_everywhere)
 {
   mm_cfg *lima = mm_cfg_create ("lima");
-  mm_cfg *ba = mm_cfg_create ("buenos-aires");
+  mm_cfg *buenos_aires = mm_cfg_create ("buenos-aires");
   char *r0 = record (-1, "[dispatch]\nretry_budget = 1\n", NULL);
   char *r1 = record (0, "[dispatch]\nretry_budget = 2\n",
                      "[dispatch]\nretry_budget = 0\n");
   char *r2 = record (0, "[dispatch]\nretry_budget = 3\n", NULL);
   char *r3 = record (1, "[dispatch]\nretry_budget = 4\n",
-                     "[dispatch]\nretry_budget = 99\n"); /* bad for lima */
+                     "[dispatch]\nretry_budget = 99\n"); /* invalid for lima */
   const char *log[] = { r0, r1, r2, r3 };
-  mm_cfg *sites[] = { lima, ba };
+  mm_cfg *sites[] = { lima, buenos_aires };
   for (int s = 0; s < 2; s++)
     for (int i = 0; i < 4; i++)
       {
@@ -125,31 +126,31 @@
         g_clear_error (&e);
       }
   ck_assert_int_eq (mm_cfg_head (lima), 1);
-  ck_assert_int_eq (mm_cfg_head (ba), 1);
+  ck_assert_int_eq (mm_cfg_head (buenos_aires), 1);
   ck_assert_int_eq (mm_cfg_knobs (lima)->retry_budget, 0);
-  ck_assert_int_eq (mm_cfg_knobs (ba)->retry_budget, 2);
-  ck_assert (!mm_cfg_offer (lima, 0, r0, NULL)); /* never reverts */
+  ck_assert_int_eq (mm_cfg_knobs (buenos_aires)->retry_budget, 2);
+  ck_assert (!mm_cfg_offer (lima, 0, r0, NULL)); /* an older record */
   ck_assert_int_eq (mm_cfg_head (lima), 1);
-  char *snap = mm_cfg_snapshot_record (lima);
-  ck_assert (mm_cfg_offer (ba, 4, snap, NULL));
-  ck_assert_int_eq (mm_cfg_knobs (ba)->retry_budget, 2);
+  char *snapshot = mm_cfg_snapshot_record (lima);
+  ck_assert (mm_cfg_offer (buenos_aires, 4, snapshot, NULL));
+  ck_assert_int_eq (mm_cfg_knobs (buenos_aires)->retry_budget, 2);
   GError *e = NULL;
-  const char *sites_[] = { "lima", NULL };
+  const char *lima_only[] = { "lima", NULL };
   const char *bad[] = { "[dispatch]\nretry_budget = 99\n", NULL };
-  ck_assert (!mm_cfg_record_text ("config", 4, "", sites_, bad, &e));
+  ck_assert (!mm_cfg_record_text ("config", 4, "", lima_only, bad, &e));
   ck_assert (g_error_matches (e, MM_ERROR, MM_ERROR_CONFIG_RANGE));
   g_clear_error (&e);
-  free (snap);
+  free (snapshot);
   free (r0);
   free (r1);
   free (r2);
   free (r3);
   mm_cfg_destroy (lima);
-  mm_cfg_destroy (ba);
+  mm_cfg_destroy (buenos_aires);
 }
 END_TEST
 
-START_TEST (rendezvous_moves_only_the_leavers_keys)
+START_TEST (rendezvous_moves_only_the_keys_of_a_leaving_member)
 {
   char *three[] = { "a", "b", "c" };
   char *two[] = { "a", "c" };
@@ -158,10 +159,10 @@
     {
       char key[16];
       g_snprintf (key, sizeof key, "job-%d", i);
-      int o3 = mm_hash_owner (key, three, 3);
-      int o2 = mm_hash_owner (key, two, 2);
-      if (o3 != 1)
-        ck_assert_str_eq (three[o3], two[o2]);
+      int owner_of_three = mm_hash_owner (key, three, 3);
+      int owner_of_two = mm_hash_owner (key, two, 2);
+      if (owner_of_three != 1)
+        ck_assert_str_eq (three[owner_of_three], two[owner_of_two]);
       else
         moved++;
     }
@@ -169,37 +170,37 @@
 }
 END_TEST
 
-/* An operator edits from the head; before the change lands, an instance
-   appends a snapshot of that same head.  The change must be accepted, by
-   an instance that saw it all and by one that started at the snapshot;
-   an edit from before the change is still refused.  */
-START_TEST (snapshot_does_not_beat_an_operators_change)
+/* An operator edits the head; before the change is appended, an instance
+   appends a snapshot of the same head.  The change must be accepted, both by
+   an instance that read the whole log and by one that started at the snapshot.
+   A later edit whose parent is the head before the change is refused.  */
+START_TEST (snapshot_does_not_override_an_operators_change)
 {
-  mm_cfg *seen = mm_cfg_create ("lima"), *late = mm_cfg_create ("lima");
+  mm_cfg *follower = mm_cfg_create ("lima"), *joining = mm_cfg_create ("lima");
   char *a = mm_cfg_make_record ("config", -1, "", NULL, NULL);
-  ck_assert (mm_cfg_offer (seen, 4, a, NULL));
-  char *snap = mm_cfg_snapshot_record (seen);
-  ck_assert (mm_cfg_offer (seen, 5, snap, NULL));
-  ck_assert (mm_cfg_adopt (late, 5, snap, NULL));
+  ck_assert (mm_cfg_offer (follower, 4, a, NULL));
+  char *snapshot = mm_cfg_snapshot_record (follower);
+  ck_assert (mm_cfg_offer (follower, 5, snapshot, NULL));
+  ck_assert (mm_cfg_adopt (joining, 5, snapshot, NULL));
   char *b = mm_cfg_make_record ("config", 4, "[dispatch]\nretry_budget = 9\n",
                                 NULL, NULL);
-  ck_assert (mm_cfg_offer (seen, 6, b, NULL));
-  ck_assert (mm_cfg_offer (late, 6, b, NULL));
-  ck_assert_int_eq (mm_cfg_knobs (late)->retry_budget, 9);
+  ck_assert (mm_cfg_offer (follower, 6, b, NULL));
+  ck_assert (mm_cfg_offer (joining, 6, b, NULL));
+  ck_assert_int_eq (mm_cfg_knobs (joining)->retry_budget, 9);
   char *stale = mm_cfg_make_record ("config", 5, "", NULL, NULL);
-  ck_assert (!mm_cfg_offer (seen, 7, stale, NULL));
-  ck_assert (!mm_cfg_offer (late, 7, stale, NULL));
+  ck_assert (!mm_cfg_offer (follower, 7, stale, NULL));
+  ck_assert (!mm_cfg_offer (joining, 7, stale, NULL));
   free (a);
   free (b);
-  free (snap);
+  free (snapshot);
   free (stale);
-  mm_cfg_destroy (seen);
-  mm_cfg_destroy (late);
+  mm_cfg_destroy (follower);
+  mm_cfg_destroy (joining);
 }
 END_TEST
 
-/* A caller's job names one task id twice; it is refused with a typed
-   error, from a caller and from a peer.  */
+/* A job has the same task id twice: it is refused with a typed error, whether
+   it comes from a caller or from a peer.  */
 START_TEST (task_ids_must_be_distinct)
 {
   static const char body[]
@@ -220,10 +221,12 @@
 }
 END_TEST
 
-/* An instance that cannot reach the platform asks its peers.  One that
-   is in contact means "cut off"; only lost ones mean an outage; no word
-   means waiting a little, then "alone".  */
-START_TEST (standing_follows_the_peers_word)
+/* An instance that cannot reach the platform sends a request to its peers.  If
+   any peer is in contact with the platform, only this instance is disconnected
+   (MM_STANDING_CUT).  If all answers come from peers that lost contact too,
+   the platform has an outage.  Without an answer the instance waits for a
+   short time and is then MM_STANDING_ALONE.  */
+START_TEST (standing_follows_the_answers_of_peers)
 {
   mm_contact *c = mm_contact_create (0);
   const char *peer = NULL;
@@ -252,40 +255,42 @@
 }
 END_TEST
 
-/* A job was accepted while upstreams a and b were listed; b restarts.
-   Its new incarnation's report must not stand in for the old one's.  */
-START_TEST (restarted_upstream_does_not_cover_its_former_self)
+/* A job was accepted while upstreams a and b were listed, and b restarts.  The
+   report of b's new incarnation must not count as that of the previous one,
+   which may have run tasks of the job.  */
+START_TEST (restarted_upstream_does_not_cover_its_previous_incarnation)
 {
   mm_pool *p = mm_pool_create (8);
   mm_pool_list_begin (p, 0);
   mm_pool_add (p, "a", "a", 8, 11);
   mm_pool_add (p, "b", "b", 8, 22);
   mm_pool_list_end (p);
-  uint64_t then = mm_pool_fingerprint (p);
+  uint64_t accepted_fingerprint = mm_pool_fingerprint (p);
   mm_pool_list_begin (p, 0);
   mm_pool_add (p, "a", "a", 8, 11);
   mm_pool_add (p, "b", "b", 8, 33);
   mm_pool_add (p, "c", "c", 8, 44);
   mm_pool_list_end (p);
-  ck_assert (then != mm_pool_fingerprint (p));
+  ck_assert (accepted_fingerprint != mm_pool_fingerprint (p));
   int64_t a = (int64_t)mm_pool_fingerprint_of ("a", 11);
-  int64_t b_old = (int64_t)mm_pool_fingerprint_of ("b", 22);
+  int64_t b_previous = (int64_t)mm_pool_fingerprint_of ("b", 22);
   int64_t b_new = (int64_t)mm_pool_fingerprint_of ("b", 33);
   GHashTable *reported = g_hash_table_new (g_int64_hash, g_int64_equal);
   g_hash_table_add (reported, &a);
   g_hash_table_add (reported, &b_new);
-  ck_assert (!mm_pool_covers (p, reported, then));
-  g_hash_table_add (reported, &b_old);
-  ck_assert (mm_pool_covers (p, reported, then));
+  ck_assert (!mm_pool_covers (p, reported, accepted_fingerprint));
+  g_hash_table_add (reported, &b_previous);
+  ck_assert (mm_pool_covers (p, reported, accepted_fingerprint));
   g_hash_table_destroy (reported);
   mm_pool_destroy (p);
 }
 END_TEST
 
-/* A worker fails every task it starts.  It is ejected, then gets one
-   task at a time, and stays away twice as long after each failure, until
-   a task is done; a peer's word puts it on trial at once.  */
-START_TEST (failing_upstream_stays_on_trial)
+/* An upstream fails every task that it starts.  It is ejected, then half-open:
+   it gets one task at a time, and each failure doubles the time of its
+   ejection until a task succeeds.  A peer's report that it ejected the
+   upstream makes the upstream half-open at once.  */
+START_TEST (failing_upstream_stays_half_open)
 {
   mm_pool *p = mm_pool_create (8);
   int i = mm_pool_add (p, "w", "w", 8, 1);
@@ -317,9 +322,9 @@
   return 100;
 }
 
-/* Two instances tell each other their teams' usage: it adds up, small
-   users are not told, a silent peer's report expires, and a malformed
-   one changes nothing.  */
+/* Two instances report the usage of their teams to each other: usage adds up,
+   small usage is not reported, the report of an unresponsive peer expires, and
+   a malformed report changes nothing.  */
 START_TEST (usage_adds_up_and_expires)
 {
   mm_quota *a = mm_quota_create (), *b = mm_quota_create ();
@@ -363,15 +368,16 @@
   Suite *s = suite_create ("units");
   TCase *tc = tcase_create ("units");
   tcase_set_timeout (tc, 60);
-  tcase_add_test (tc, bad_settings_are_typed);
-  tcase_add_test (tc, bad_jobs_are_typed);
+  tcase_add_test (tc, bad_settings_give_typed_errors);
+  tcase_add_test (tc, bad_jobs_give_typed_errors);
   tcase_add_test (tc, config_race_has_one_winner_everywhere);
-  tcase_add_test (tc, rendezvous_moves_only_the_leavers_keys);
-  tcase_add_test (tc, snapshot_does_not_beat_an_operators_change);
+  tcase_add_test (tc, rendezvous_moves_only_the_keys_of_a_leaving_member);
+  tcase_add_test (tc, snapshot_does_not_override_an_operators_change);
   tcase_add_test (tc, task_ids_must_be_distinct);
-  tcase_add_test (tc, standing_follows_the_peers_word);
-  tcase_add_test (tc, restarted_upstream_does_not_cover_its_former_self);
-  tcase_add_test (tc, failing_upstream_stays_on_trial);
+  tcase_add_test (tc, standing_follows_the_answers_of_peers);
+  tcase_add_test (tc,
+                  restarted_upstream_does_not_cover_its_previous_incarnation);
+  tcase_add_test (tc, failing_upstream_stays_half_open);
   tcase_add_test (tc, usage_adds_up_and_expires);
   tcase_add_test (tc, decoders_survive_fuzzing);
   suite_add_tcase (s, tc);
