--- a/src/mm_cfg.c
+++ b/src/mm_cfg.c
@@ -2,18 +2,19 @@
 
    A record is {"kind":"config"|"snapshot","parent":P,"base":TOML,
    "overlays":{SITE:TOML}}.  It is accepted when its parent is the offset
-   of the head (the last accepted record, -1 before any) and base plus
-   each overlay checks against mm_knob_specs.  Every node reads the same
-   log in the same order and checks every site's overlay, not only its
-   own, so every node accepts the same records: two operators racing
-   from the same head end with one winner, and the loser is refused the
-   same way everywhere.  The head only moves forward, so an applied
-   configuration never reverts.
+   of the head (the last accepted record, -1 before the first one) and the
+   base with each overlay is valid by mm_cfg_setting_specs.  Every instance
+   reads the same log in the same order and checks the overlays of all
+   sites, not only its own, so every instance accepts the same records.
+   When two operators publish edits of the same head, the first record in
+   the log is accepted and every instance refuses the second.  The head
+   only moves forward, so an applied configuration is never reverted.
 
-   A snapshot is the head once more, appended before retention drops it.
-   An operator who edits while a snapshot lands must not lose to it: all
-   offsets from the change itself (its "origin") to the head stand for
-   the same configuration, and each is a valid parent.  */
+   A snapshot is a copy of the head, appended before retention drops the
+   head.  An edit made while a snapshot is appended must not be refused
+   because of the snapshot: all offsets from the change itself (its
+   "origin") to the head hold the same configuration, and each of them is
+   a valid parent.  */
 #include "mm_cfg.h"
 
 #include "config.h"
@@ -23,15 +24,15 @@
 
 struct mm_cfg
 {
-  char *site;
-  int64_t head;
-  int64_t origin; /* offset of the change that the head is or repeats */
-  char *head_record;
-  mm_knobs knobs;
-  uint64_t rejected;
+  char *site;        /* the site whose overlay applies here */
+  int64_t head;      /* offset of the last accepted record, -1: none yet */
+  int64_t origin;    /* offset of the change that the head is or copies */
+  char *head_record; /* JSON text of the head, or NULL */
+  mm_knobs settings; /* settings in force */
+  uint64_t rejected; /* records refused */
 };
 
-const mm_setting_spec mm_knob_specs[] = {
+const mm_setting_spec mm_cfg_setting_specs[] = {
   { "limits.max_tasks_per_job", MM_SETTING_INT,
     offsetof (mm_knobs, max_tasks_per_job), 1, 100000, "largest job" },
   { "limits.max_queued_tasks", MM_SETTING_INT,
@@ -59,7 +60,7 @@
 };
 
 void
-mm_knobs_clear (mm_knobs *k)
+mm_cfg_settings_clear (mm_knobs *k)
 {
   if (k->team_quotas)
     g_hash_table_destroy (k->team_quotas);
@@ -67,20 +68,23 @@
 }
 
 /**
- * mm_knobs_team_quota() - a team's tasks allowed in a data centre.
- * @k: the knobs in force.
+ * mm_knobs_team_quota() - get a team's quota in a data centre.
+ * @k: the settings in force.
  * @team: the team.
+ *
+ * Return: the most tasks of the team that may wait or run in the data
+ * centre: its entry in the table "teams", or the default for all teams.
  */
 int64_t
 mm_knobs_team_quota (const mm_knobs *k, const char *team)
 {
-  gpointer own
+  gpointer quota
       = k->team_quotas ? g_hash_table_lookup (k->team_quotas, team) : NULL;
-  return own ? (int64_t)GPOINTER_TO_SIZE (own) : k->team_max_queued_tasks;
+  return quota ? (int64_t)GPOINTER_TO_SIZE (quota) : k->team_max_queued_tasks;
 }
 
 void
-mm_knobs_defaults (mm_knobs *k)
+mm_cfg_settings_defaults (mm_knobs *k)
 {
   k->team_quotas = NULL;
   k->max_tasks_per_job = MM_DEFAULT_MAX_TASKS_PER_JOB;
@@ -99,7 +103,7 @@
   mm_cfg *c = g_new0 (mm_cfg, 1);
   c->site = g_strdup (site);
   c->head = c->origin = -1;
-  mm_knobs_defaults (&c->knobs);
+  mm_cfg_settings_defaults (&c->settings);
   return c;
 }
 
@@ -108,18 +112,21 @@
 {
   if (!c)
     return;
-  mm_knobs_clear (&c->knobs);
+  mm_cfg_settings_clear (&c->settings);
   g_free (c->site);
   g_free (c->head_record);
   g_free (c);
 }
 
-/* The knobs one site gets from a record: defaults, base, its overlay.  */
+/* Builds the settings of one site from a record: the defaults, then the
+   base, then the site's overlay.  Without @site no overlay is applied.  */
 static bool
-knobs_for (const cJSON *rec, const char *site, mm_knobs *out, GError **error)
+settings_for_site (const cJSON *rec, const char *site, mm_knobs *out,
+                   GError **error)
 {
   const cJSON *base = cJSON_GetObjectItemCaseSensitive (rec, "base");
-  const cJSON *ovs = cJSON_GetObjectItemCaseSensitive (rec, "overlays");
+  const cJSON *overlay_map
+      = cJSON_GetObjectItemCaseSensitive (rec, "overlays");
   if (!cJSON_IsString (base))
     {
       g_set_error (error, MM_ERROR, MM_ERROR_BAD_REQUEST,
@@ -129,10 +136,11 @@
   mm_toml *t = mm_toml_parse_string (base->valuestring, "base", error);
   if (!t)
     return false;
-  const cJSON *ov = site ? cJSON_GetObjectItemCaseSensitive (ovs, site) : NULL;
-  if (cJSON_IsString (ov))
+  const cJSON *overlay
+      = site ? cJSON_GetObjectItemCaseSensitive (overlay_map, site) : NULL;
+  if (cJSON_IsString (overlay))
     {
-      mm_toml *o = mm_toml_parse_string (ov->valuestring, site, error);
+      mm_toml *o = mm_toml_parse_string (overlay->valuestring, site, error);
       if (!o)
         {
           mm_toml_destroy (t);
@@ -141,40 +149,44 @@
       mm_toml_overlay (t, o);
       mm_toml_destroy (o);
     }
-  mm_knobs_defaults (out);
-  bool ok = mm_settings_apply (mm_knob_specs, out, t, error);
+  mm_cfg_settings_defaults (out);
+  bool ok = mm_settings_apply (mm_cfg_setting_specs, out, t, error);
   if (!ok)
-    mm_knobs_clear (out);
+    mm_cfg_settings_clear (out);
   mm_toml_destroy (t);
   return ok;
 }
 
-/* A record is valid only if it checks for every site it names, so the
-   verdict does not depend on which site reads it.  */
+/* Returns whether a record is valid for every site that it names, so that
+   the result does not depend on the site that reads it.  */
 static bool
-valid_everywhere (const cJSON *rec, GError **error)
+valid_for_all_sites (const cJSON *rec, GError **error)
 {
   mm_knobs k;
-  if (!knobs_for (rec, NULL, &k, error))
+  if (!settings_for_site (rec, NULL, &k, error))
     return false;
-  mm_knobs_clear (&k);
-  const cJSON *ovs = cJSON_GetObjectItemCaseSensitive (rec, "overlays");
-  const cJSON *ov;
-  cJSON_ArrayForEach (ov, ovs)
+  mm_cfg_settings_clear (&k);
+  const cJSON *overlay_map
+      = cJSON_GetObjectItemCaseSensitive (rec, "overlays");
+  const cJSON *overlay;
+  cJSON_ArrayForEach (overlay, overlay_map)
     {
-      if (!knobs_for (rec, ov->string, &k, error))
+      if (!settings_for_site (rec, overlay->string, &k, error))
         return false;
-      mm_knobs_clear (&k);
+      mm_cfg_settings_clear (&k);
     }
   return true;
 }
 
+/* Makes a record the head and its settings those in force, if it is valid
+   for every site.  */
 static bool
-take (mm_cfg *c, int64_t offset, const cJSON *rec, const char *text,
-      GError **error)
+apply_record (mm_cfg *c, int64_t offset, const cJSON *rec, const char *text,
+              GError **error)
 {
   mm_knobs k;
-  if (!valid_everywhere (rec, error) || !knobs_for (rec, c->site, &k, error))
+  if (!valid_for_all_sites (rec, error)
+      || !settings_for_site (rec, c->site, &k, error))
     {
       c->rejected++;
       return false;
@@ -182,11 +194,11 @@
   const char *kind
       = cJSON_GetStringValue (cJSON_GetObjectItemCaseSensitive (rec, "kind"));
   const cJSON *origin = cJSON_GetObjectItemCaseSensitive (rec, "origin");
-  bool repeats
+  bool is_snapshot
       = kind && g_str_equal (kind, "snapshot") && cJSON_IsNumber (origin);
-  c->origin = repeats ? (int64_t)origin->valuedouble : offset;
-  mm_knobs_clear (&c->knobs);
-  c->knobs = k;
+  c->origin = is_snapshot ? (int64_t)origin->valuedouble : offset;
+  mm_cfg_settings_clear (&c->settings);
+  c->settings = k;
   c->head = offset;
   g_free (c->head_record);
   c->head_record = g_strdup (text);
@@ -196,18 +208,20 @@
 /**
  * mm_cfg_offer() - apply the next record of the config stream.
  * @c: the config state.
- * @offset: the record's log offset; records must be offered in order.
- * @record: its JSON text.
- * @error: MM_ERROR_CONFIG_REJECTED when its parent is not the head,
- *         MM_ERROR_BAD_REQUEST or a settings error when it does not check.
+ * @offset: the record's log offset; records must come in log order.
+ * @record: the record's JSON text.
+ * @error: MM_ERROR_CONFIG_REJECTED when the parent is not the head or a
+ *         snapshot of it, MM_ERROR_BAD_REQUEST or a settings error when
+ *         the record is not valid.
  *
- * Return: true when it became the head and is in force.
+ * Return: true when the record became the head and is in force; false
+ * without @error when its offset is not past the head.
  */
 bool
 mm_cfg_offer (mm_cfg *c, int64_t offset, const char *record, GError **error)
 {
   if (offset <= c->head)
-    return false; /* already seen: the head never goes back */
+    return false; /* already read: the head never moves back */
   cJSON *rec = cJSON_Parse (record);
   const cJSON *parent = cJSON_GetObjectItemCaseSensitive (rec, "parent");
   bool ok = false;
@@ -225,20 +239,22 @@
                    offset, (int64_t)parent->valuedouble, c->head);
     }
   else
-    ok = take (c, offset, rec, record, error);
+    ok = apply_record (c, offset, rec, record, error);
   cJSON_Delete (rec);
   return ok;
 }
 
 /**
- * mm_cfg_adopt() - take a record as head without checking its parent.
- * @c: the config state, fresh.
- * @offset: the record's offset.
- * @record: its JSON text.
- * @error: as mm_cfg_offer(), but never MM_ERROR_CONFIG_REJECTED.
+ * mm_cfg_adopt() - make a record the head without checking its parent.
+ * @c: the config state, just created.
+ * @offset: the record's log offset.
+ * @record: the record's JSON text.
+ * @error: as for mm_cfg_offer(), but never MM_ERROR_CONFIG_REJECTED.
+ *
+ * An instance that starts after retention has dropped the start of the
+ * stream adopts the head that live instances report.
  *
- * For a node starting after retention dropped the start of the stream:
- * it adopts the head that live nodes report.  Return: true when adopted.
+ * Return: true when the record became the head.
  */
 bool
 mm_cfg_adopt (mm_cfg *c, int64_t offset, const char *record, GError **error)
@@ -246,7 +262,7 @@
   if (offset <= c->head)
     return false;
   cJSON *rec = cJSON_Parse (record);
-  bool ok = rec && take (c, offset, rec, record, error);
+  bool ok = rec && apply_record (c, offset, rec, record, error);
   if (!rec)
     g_set_error (error, MM_ERROR, MM_ERROR_BAD_REQUEST, "record not JSON");
   cJSON_Delete (rec);
@@ -262,7 +278,7 @@
 const mm_knobs *
 mm_cfg_knobs (const mm_cfg *c)
 {
-  return &c->knobs;
+  return &c->settings;
 }
 
 const char *
@@ -278,12 +294,12 @@
 }
 
 /**
- * mm_cfg_make_record() - the JSON text of a config record.
+ * mm_cfg_make_record() - build the JSON text of a config record, unchecked.
  * @kind: "config" or "snapshot".
- * @parent: offset it was edited from, -1 for the first.
+ * @parent: offset of the record that was edited, -1 for the first record.
  * @base: base TOML text.
- * @sites: NULL-terminated site names (may be NULL).
- * @overlays: TOML text of each site's overlay, same order.
+ * @sites: NULL-terminated site names, or NULL.
+ * @overlays: TOML text of each site's overlay, in the order of @sites.
  *
  * Return: newly allocated text, free with free().
  */
@@ -295,21 +311,23 @@
   cJSON_AddStringToObject (o, "kind", kind);
   cJSON_AddNumberToObject (o, "parent", (double)parent);
   cJSON_AddStringToObject (o, "base", base);
-  cJSON *ovs = cJSON_AddObjectToObject (o, "overlays");
+  cJSON *overlay_map = cJSON_AddObjectToObject (o, "overlays");
   for (size_t i = 0; sites && sites[i]; i++)
-    cJSON_AddStringToObject (ovs, sites[i], overlays[i]);
+    cJSON_AddStringToObject (overlay_map, sites[i], overlays[i]);
   char *s = cJSON_PrintUnformatted (o);
   cJSON_Delete (o);
   return s;
 }
 
 /**
- * mm_cfg_snapshot_record() - the head again, as a snapshot of itself.
+ * mm_cfg_snapshot_record() - build a snapshot record of the head.
  * @c: the config state.
  *
- * Appended before retention drops the head, so that a node starting
- * later still finds the configuration in force.  Its parent is the head,
- * so one that lands after a newer change is refused like any stale edit.
+ * The snapshot is appended before retention drops the head, so that an
+ * instance that starts later still finds the configuration in force.  The
+ * snapshot's parent is the head, so a snapshot that is appended after a
+ * newer change is refused like any stale edit.
+ *
  * Return: newly allocated text, or NULL when there is no head.
  */
 char *
@@ -329,14 +347,15 @@
 }
 
 /**
- * mm_cfg_record_text() - a checked config record, for publishing.
+ * mm_cfg_record_text() - build and check a config record for publishing.
  * @kind: "config" or "snapshot".
- * @parent: offset the operator edited from, -1 for the first.
+ * @parent: offset of the record that the operator edited, -1 for the first
+ *          record.
  * @base: base TOML text.
  * @sites: NULL-terminated site names, or NULL.
- * @overlays: each site's overlay TOML, same order.
- * @error: the first settings error of base or of any overlay, naming the
- *         site, line and key; nothing is published then.
+ * @overlays: TOML text of each site's overlay, in the order of @sites.
+ * @error: the first settings error of the base or of an overlay, naming the
+ *         site, line and key; the record must not be published then.
  *
  * Return: the record's JSON text (free with free()), or NULL.
  */
@@ -347,7 +366,7 @@
 {
   char *text = mm_cfg_make_record (kind, parent, base, sites, overlays);
   cJSON *rec = cJSON_Parse (text);
-  bool ok = valid_everywhere (rec, error);
+  bool ok = valid_for_all_sites (rec, error);
   cJSON_Delete (rec);
   if (ok)
     return text;
--- a/src/mm_job.c
+++ b/src/mm_job.c
@@ -1,6 +1,6 @@
-/* mm_job: a job (one submission of many tasks) and its JSON decoding.
+/* mm_job: a job (one submission of many tasks), decoded from JSON.
 
-   Caller body: {"job_id":"j1","team":"t","tasks":[{"id":"a",
+   Body of a caller's request: {"job_id":"j1","team":"t","tasks":[{"id":"a",
    "payload":"..","run_ms":80,"deadline_ms":5000,"idempotent":true}]}  */
 #include "masticmill.h"
 
@@ -36,8 +36,9 @@
   g_free (job);
 }
 
+/* Sets @error with one string argument and returns false.  */
 static bool
-bad (GError **error, int code, const char *fmt, const char *arg)
+set_error (GError **error, int code, const char *fmt, const char *arg)
 {
   g_set_error (error, MM_ERROR, code, fmt, arg);
   return false;
@@ -46,29 +47,30 @@
 static bool
 parse_task (const cJSON *t, mm_task *task, uint32_t index, GError **error)
 {
-  char where[32];
-  g_snprintf (where, sizeof where, "tasks[%u]", index);
+  char path[32];
+  g_snprintf (path, sizeof path, "tasks[%u]", index);
   if (!cJSON_IsObject (t))
-    return bad (error, MM_ERROR_BAD_REQUEST, "%s: not an object", where);
+    return set_error (error, MM_ERROR_BAD_REQUEST, "%s: not an object", path);
   const cJSON *id = cJSON_GetObjectItemCaseSensitive (t, "id");
   const cJSON *payload = cJSON_GetObjectItemCaseSensitive (t, "payload");
   const cJSON *run = cJSON_GetObjectItemCaseSensitive (t, "run_ms");
   const cJSON *deadline = cJSON_GetObjectItemCaseSensitive (t, "deadline_ms");
   const cJSON *idem = cJSON_GetObjectItemCaseSensitive (t, "idempotent");
   if (!cJSON_IsString (id) || !*id->valuestring)
-    return bad (error, MM_ERROR_BAD_REQUEST, "%s.id: missing or empty", where);
+    return set_error (error, MM_ERROR_BAD_REQUEST, "%s.id: missing or empty",
+                      path);
   if (payload && !cJSON_IsString (payload))
-    return bad (error, MM_ERROR_BAD_REQUEST, "%s.payload: not a string",
-                where);
+    return set_error (error, MM_ERROR_BAD_REQUEST, "%s.payload: not a string",
+                      path);
   if (run && (!cJSON_IsNumber (run) || run->valuedouble < 0))
-    return bad (error, MM_ERROR_BAD_REQUEST, "%s.run_ms: not a number >= 0",
-                where);
+    return set_error (error, MM_ERROR_BAD_REQUEST,
+                      "%s.run_ms: not a number >= 0", path);
   if (deadline && (!cJSON_IsNumber (deadline) || deadline->valuedouble <= 0))
-    return bad (error, MM_ERROR_BAD_REQUEST,
-                "%s.deadline_ms: not a number > 0", where);
+    return set_error (error, MM_ERROR_BAD_REQUEST,
+                      "%s.deadline_ms: not a number > 0", path);
   if (idem && !cJSON_IsBool (idem))
-    return bad (error, MM_ERROR_BAD_REQUEST, "%s.idempotent: not a boolean",
-                where);
+    return set_error (error, MM_ERROR_BAD_REQUEST,
+                      "%s.idempotent: not a boolean", path);
   task->id = g_strdup (id->valuestring);
   task->payload = g_strdup (payload ? payload->valuestring : "");
   task->run_ms = run ? (mm_time_ms)run->valuedouble : 0;
@@ -80,35 +82,37 @@
 }
 
 /**
- * mm_job_check_ids() - no two tasks of a job share an id.
+ * mm_job_check_ids() - check that the task ids of a job are distinct.
  * @job: the job.
- * @error: MM_ERROR_BAD_REQUEST naming the id.
+ * @error: MM_ERROR_BAD_REQUEST, naming the first id that appears twice.
  *
- * A task is known by its job and id everywhere: two of one id could not
- * be told apart at the upstreams.  Return: true when they are distinct.
+ * A task is identified by its job id and task id, so upstreams could not
+ * tell two tasks of one job with the same id apart.
+ *
+ * Return: true when the ids are distinct.
  */
 bool
 mm_job_check_ids (const mm_job *job, GError **error)
 {
-  GHashTable *seen = g_hash_table_new (g_str_hash, g_str_equal);
+  GHashTable *ids = g_hash_table_new (g_str_hash, g_str_equal);
   bool ok = true;
   for (uint32_t i = 0; i < job->n_tasks && ok; i++)
-    if (!g_hash_table_add (seen, job->tasks[i].id))
-      ok = bad (error, MM_ERROR_BAD_REQUEST, "task id %s appears twice",
-                job->tasks[i].id);
-  g_hash_table_destroy (seen);
+    if (!g_hash_table_add (ids, job->tasks[i].id))
+      ok = set_error (error, MM_ERROR_BAD_REQUEST, "task id %s appears twice",
+                      job->tasks[i].id);
+  g_hash_table_destroy (ids);
   return ok;
 }
 
 /**
  * mm_job_parse_json() - decode a caller's job.
  * @body: JSON text (need not be NUL-terminated).
- * @len: its length in bytes.
- * @max_tasks: the largest job accepted.
+ * @len: length of @body in bytes.
+ * @max_tasks: the most tasks a job may have.
  * @error: MM_ERROR_BAD_REQUEST for malformed input, MM_ERROR_JOB_SIZE
  *         for zero or more than @max_tasks tasks.
  *
- * Return: the job (tasks pending), or NULL with @error set.
+ * Return: the job with all its tasks pending, or NULL with @error set.
  */
 mm_job *
 mm_job_parse_json (const char *body, size_t len, uint32_t max_tasks,
@@ -118,7 +122,8 @@
   if (!root || !cJSON_IsObject (root))
     {
       cJSON_Delete (root);
-      bad (error, MM_ERROR_BAD_REQUEST, "%s", "body is not a JSON object");
+      set_error (error, MM_ERROR_BAD_REQUEST, "%s",
+                 "body is not a JSON object");
       return NULL;
     }
   mm_job *job = NULL;
@@ -127,11 +132,12 @@
   const cJSON *tasks = cJSON_GetObjectItemCaseSensitive (root, "tasks");
   int n = cJSON_GetArraySize (tasks);
   if (!cJSON_IsString (id) || !*id->valuestring)
-    bad (error, MM_ERROR_BAD_REQUEST, "%s", "job_id: missing or empty");
+    set_error (error, MM_ERROR_BAD_REQUEST, "%s", "job_id: missing or empty");
   else if (team && !cJSON_IsString (team))
-    bad (error, MM_ERROR_BAD_REQUEST, "%s", "team: not a string");
+    set_error (error, MM_ERROR_BAD_REQUEST, "%s", "team: not a string");
   else if (!cJSON_IsArray (tasks))
-    bad (error, MM_ERROR_BAD_REQUEST, "%s", "tasks: missing or not an array");
+    set_error (error, MM_ERROR_BAD_REQUEST, "%s",
+               "tasks: missing or not an array");
   else if (n == 0 || (uint32_t)n > max_tasks)
     g_set_error (error, MM_ERROR, MM_ERROR_JOB_SIZE,
                  "a job has 1 to %u tasks, this one has %d", max_tasks, n);
