--- a/src/mm_peer.c
+++ b/src/mm_peer.c
@@ -1,14 +1,15 @@
 /* mm_peer: links between the entry instances of a data centre.
 
-   TCP, each frame a 4-byte big-endian length and a msgpack array:
+   TCP; each frame is a 4-byte big-endian length and a msgpack array:
      [1, req_id, hops, job]                 forward a job to its owner
      [2, req_id, status, retry_after, body] the owner's answer
-     [4, req_id, kind, name, payload]       news from us, no answer
-     [3, req_id]                            do you reach the platform?
-                                            (answered by 200, 204 or 503)
-   A peer_link is a small task: it owns its socket, buffers and pending calls.
-   A peer_link that fails answers every pending call with an error at once, so
-   no caller waits for an answer that cannot come.  */
+     [4, req_id, kind, name, payload]       a notification, no answer
+     [3, req_id]                            ask whether the peer reaches the
+                                            platform (answered by 200, 204 or
+                                            503)
+   Each peer_link owns its socket, buffers and pending requests.  A peer_link
+   that fails answers every pending request with an error at once, so no
+   caller waits for an answer that cannot come.  */
 #define _GNU_SOURCE
 #include "masticmill.h"
 
@@ -28,7 +29,7 @@
   FRAME_FORWARD = 1,
   FRAME_ANSWER = 2,
   FRAME_PING = 3,
-  FRAME_TELL = 4
+  FRAME_NOTIFY = 4
 };
 
 typedef struct peer_link peer_link;
@@ -40,17 +41,18 @@
   ev_io accept_io;
   uint16_t port;
   mm_peer_request_cb on_request;
-  void *ctx;
-  mm_peer_contact_cb in_contact;
+  void *ctx;                     /* of on_request */
+  mm_peer_contact_cb in_contact; /* status for pings, NULL: 204 */
   void *contact_ctx;
-  mm_peer_tell_cb on_tell;
+  mm_peer_tell_cb on_tell; /* receives notifications, or NULL */
   void *tell_ctx;
-  GHashTable *links_by_id; /* id -> peer_link */
-  GHashTable *out_by_addr; /* "host:port" -> peer_link (outgoing) */
+  GHashTable *links_by_id;      /* id -> peer_link */
+  GHashTable *outgoing_by_addr; /* "host:port" -> peer_link (outgoing) */
   uint64_t next_link_id;
   uint64_t next_req_id;
 };
 
+/* A request that has no answer yet.  */
 typedef struct
 {
   mm_peer_answer_cb done;
@@ -65,46 +67,47 @@
   mm_peer *peer;
   uint64_t id;
   int fd;
-  char *addr; /* outgoing: the owner's address */
-  ev_io rio, wio;
-  GByteArray *in, *out;
-  GHashTable *pending; /* req_id -> pending */
+  char *addr; /* the peer's "host:port"; NULL for an accepted link */
+  ev_io read_io, write_io; /* watch fd for reading and writing */
+  GByteArray *in, *out;    /* bytes received and bytes to send */
+  GHashTable *pending;     /* req_id -> pending */
 };
 
 static void link_close (peer_link *l, const char *why);
 
 static int
-write_cb (void *data, const char *buf, size_t len)
+pack_write_cb (void *data, const char *buf, size_t len)
 {
   g_byte_array_append (data, (const guint8 *)buf, len);
   return 0;
 }
 
-/* A frame of @fields parts, its type and request id packed.  */
+/* Starts a frame of @fields elements by packing its type and request id.  */
 static GByteArray *
-frame_begin (msgpack_packer *pk, size_t fields, uint32_t type, uint64_t req_id)
+frame_begin (msgpack_packer *packer, size_t fields, uint32_t type,
+             uint64_t req_id)
 {
   GByteArray *b = g_byte_array_new ();
-  msgpack_packer_init (pk, b, write_cb);
-  msgpack_pack_array (pk, fields);
-  msgpack_pack_uint32 (pk, type);
-  msgpack_pack_uint64 (pk, req_id);
+  msgpack_packer_init (packer, b, pack_write_cb);
+  msgpack_pack_array (packer, fields);
+  msgpack_pack_uint32 (packer, type);
+  msgpack_pack_uint64 (packer, req_id);
   return b;
 }
 
 static void
-pack_text (msgpack_packer *pk, const char *text)
+pack_text (msgpack_packer *packer, const char *text)
 {
   size_t n = strlen (text);
-  msgpack_pack_str (pk, n);
-  msgpack_pack_str_body (pk, text, n);
+  msgpack_pack_str (packer, n);
+  msgpack_pack_str_body (packer, text, n);
 }
 
 static void
-pack_bytes (msgpack_packer *pk, const uint8_t *data, size_t len)
+pack_bytes (msgpack_packer *packer, const uint8_t *data, size_t len)
 {
-  msgpack_pack_bin (pk, len);
-  msgpack_pack_bin_body (pk, data, len);
+  msgpack_pack_bin (packer, len);
+  msgpack_pack_bin_body (packer, data, len);
 }
 
 static void
@@ -113,7 +116,7 @@
   uint32_t n = htonl (body->len);
   g_byte_array_append (l->out, (const guint8 *)&n, 4);
   g_byte_array_append (l->out, body->data, body->len);
-  ev_io_start (l->peer->loop, &l->wio);
+  ev_io_start (l->peer->loop, &l->write_io);
 }
 
 static void
@@ -134,7 +137,7 @@
 }
 
 static bool
-int_of (const msgpack_object *o, uint64_t *v)
+unpack_uint (const msgpack_object *o, uint64_t *v)
 {
   if (o->type != MSGPACK_OBJECT_POSITIVE_INTEGER)
     return false;
@@ -142,7 +145,8 @@
   return true;
 }
 
-/* One frame from the other side; false closes the peer_link.  */
+/* Handles one frame.  Returns false when it is malformed; the caller must
+   then close the peer_link.  */
 static bool
 on_frame (peer_link *l, const uint8_t *data, size_t len)
 {
@@ -156,8 +160,8 @@
   size_t fields = ok ? msg.data.via.array.size : 0;
   uint64_t type = 0, req = 0, hops = 0, kind = 0;
   const msgpack_object *f = ok ? msg.data.via.array.ptr : NULL;
-  ok = ok && int_of (&f[0], &type) && int_of (&f[1], &req);
-  if (ok && type == FRAME_FORWARD && fields == 4 && int_of (&f[2], &hops)
+  ok = ok && unpack_uint (&f[0], &type) && unpack_uint (&f[1], &req);
+  if (ok && type == FRAME_FORWARD && fields == 4 && unpack_uint (&f[2], &hops)
       && f[3].type == MSGPACK_OBJECT_BIN)
     l->peer->on_request (l->peer, l->id, req, (uint32_t)hops,
                          (const uint8_t *)f[3].via.bin.ptr, f[3].via.bin.size,
@@ -169,8 +173,8 @@
                             : 204;
       mm_peer_reply (l->peer, l->id, req, status, 0, "");
     }
-  else if (ok && type == FRAME_TELL && fields == 5 && int_of (&f[2], &kind)
-           && f[3].type == MSGPACK_OBJECT_STR
+  else if (ok && type == FRAME_NOTIFY && fields == 5
+           && unpack_uint (&f[2], &kind) && f[3].type == MSGPACK_OBJECT_STR
            && f[4].type == MSGPACK_OBJECT_BIN)
     {
       char *name = g_strndup (f[3].via.str.ptr, f[3].via.str.size);
@@ -185,7 +189,7 @@
     {
       uint64_t status = 0, after = 0;
       pending *p = g_hash_table_lookup (l->pending, &req);
-      ok = int_of (&f[2], &status) && int_of (&f[3], &after);
+      ok = unpack_uint (&f[2], &status) && unpack_uint (&f[3], &after);
       if (ok && p)
         {
           g_hash_table_steal (l->pending, &req);
@@ -204,7 +208,7 @@
 }
 
 static void
-read_cb (struct ev_loop *loop, ev_io *w, int revents)
+read_ready_cb (struct ev_loop *loop, ev_io *w, int revents)
 {
   peer_link *l = w->data;
   uint8_t buf[65536];
@@ -237,13 +241,13 @@
           return;
         }
       if (!g_hash_table_contains (peer->links_by_id, &id))
-        return; /* closed while handling */
+        return; /* on_frame() closed the link */
       g_byte_array_remove_range (l->in, 0, 4 + len);
     }
 }
 
 static void
-wr_cb (struct ev_loop *loop, ev_io *w, int revents)
+write_ready_cb (struct ev_loop *loop, ev_io *w, int revents)
 {
   peer_link *l = w->data;
   if (!l->out->len)
@@ -274,13 +278,13 @@
   l->in = g_byte_array_new ();
   l->out = g_byte_array_new ();
   l->pending = g_hash_table_new (g_int64_hash, g_int64_equal);
-  ev_io_init (&l->rio, read_cb, fd, EV_READ);
-  ev_io_init (&l->wio, wr_cb, fd, EV_WRITE);
-  l->rio.data = l->wio.data = l;
-  ev_io_start (p->loop, &l->rio);
+  ev_io_init (&l->read_io, read_ready_cb, fd, EV_READ);
+  ev_io_init (&l->write_io, write_ready_cb, fd, EV_WRITE);
+  l->read_io.data = l->write_io.data = l;
+  ev_io_start (p->loop, &l->read_io);
   g_hash_table_insert (p->links_by_id, &l->id, l);
   if (addr)
-    g_hash_table_insert (p->out_by_addr, l->addr, l);
+    g_hash_table_insert (p->outgoing_by_addr, l->addr, l);
   int one = 1;
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
   return l;
@@ -290,12 +294,12 @@
 link_close (peer_link *l, const char *why)
 {
   mm_peer *p = l->peer;
-  ev_io_stop (p->loop, &l->rio);
-  ev_io_stop (p->loop, &l->wio);
+  ev_io_stop (p->loop, &l->read_io);
+  ev_io_stop (p->loop, &l->write_io);
   close (l->fd);
   g_hash_table_remove (p->links_by_id, &l->id);
-  if (l->addr && g_hash_table_lookup (p->out_by_addr, l->addr) == l)
-    g_hash_table_remove (p->out_by_addr, l->addr);
+  if (l->addr && g_hash_table_lookup (p->outgoing_by_addr, l->addr) == l)
+    g_hash_table_remove (p->outgoing_by_addr, l->addr);
   GHashTableIter it;
   gpointer k, v;
   g_hash_table_iter_init (&it, l->pending);
@@ -343,7 +347,7 @@
 
 /**
  * mm_peer_create() - listen for peer links.
- * @loop: the loop.
+ * @loop: the event loop.
  * @host: address to bind.
  * @port: TCP port, 0 for any.
  * @on_request: called for each forwarded job; answer with mm_peer_reply().
@@ -367,7 +371,7 @@
   p->on_request = on_request;
   p->ctx = ctx;
   p->links_by_id = g_hash_table_new (g_int64_hash, g_int64_equal);
-  p->out_by_addr = g_hash_table_new (g_str_hash, g_str_equal);
+  p->outgoing_by_addr = g_hash_table_new (g_str_hash, g_str_equal);
   ev_io_init (&p->accept_io, accept_cb, fd, EV_READ);
   p->accept_io.data = p;
   ev_io_start (loop, &p->accept_io);
@@ -386,7 +390,7 @@
     link_close (l->data, "shutting down");
   g_list_free (links);
   g_hash_table_destroy (p->links_by_id);
-  g_hash_table_destroy (p->out_by_addr);
+  g_hash_table_destroy (p->outgoing_by_addr);
   g_free (p);
 }
 
@@ -396,10 +400,11 @@
   return p->port;
 }
 
+/* Returns the outgoing link to @addr, and opens one when there is none.  */
 static peer_link *
 link_to (mm_peer *p, const char *addr, GError **error)
 {
-  peer_link *l = g_hash_table_lookup (p->out_by_addr, addr);
+  peer_link *l = g_hash_table_lookup (p->outgoing_by_addr, addr);
   if (l)
     return l;
   char *host = g_strdup (addr);
@@ -436,7 +441,8 @@
   fail_pending (p, MM_ERROR_TIMEOUT, "no answer in time");
 }
 
-/* Send a request frame whose req_id is the newest, and await its answer. */
+/* Sends a request frame and registers @done for its answer.  The frame's
+   req_id must be p->next_req_id, the last one that was issued.  */
 static void
 send_request (mm_peer *p, const char *addr, GByteArray *frame,
               mm_time_ms timeout_ms, mm_peer_answer_cb done, void *ctx)
@@ -450,26 +456,26 @@
       g_error_free (err);
       return;
     }
-  pending *pd = g_new0 (pending, 1);
-  pd->done = done;
-  pd->ctx = ctx;
-  pd->l = l;
-  pd->req_id = p->next_req_id;
-  ev_timer_init (&pd->timer, timeout_cb, (double)timeout_ms / 1000.0, 0.);
-  pd->timer.data = pd;
-  ev_timer_start (p->loop, &pd->timer);
-  g_hash_table_insert (l->pending, &pd->req_id, pd);
+  pending *request = g_new0 (pending, 1);
+  request->done = done;
+  request->ctx = ctx;
+  request->l = l;
+  request->req_id = p->next_req_id;
+  ev_timer_init (&request->timer, timeout_cb, (double)timeout_ms / 1000.0, 0.);
+  request->timer.data = request;
+  ev_timer_start (p->loop, &request->timer);
+  g_hash_table_insert (l->pending, &request->req_id, request);
   link_queue (l, frame);
 }
 
 /**
- * mm_peer_forward() - send a packed job to its owner, await its answer.
+ * mm_peer_forward() - send a packed job to its owner.
  * @p: the peer endpoint.
  * @addr: the owner's "host:peer_port".
- * @hops: how often the job was forwarded before.
+ * @hops: how often the job has been forwarded before.
  * @job: bytes from mm_job_pack().
- * @len: their number.
- * @timeout_ms: give up after this (the caller is then answered at once).
+ * @len: length of @job in bytes.
+ * @timeout_ms: without an answer for this long, @done gets an error.
  * @done: called once with the answer or an error.
  * @ctx: context pointer for @done.
  */
@@ -478,10 +484,10 @@
                  const uint8_t *job, size_t len, mm_time_ms timeout_ms,
                  mm_peer_answer_cb done, void *ctx)
 {
-  msgpack_packer pk;
-  GByteArray *b = frame_begin (&pk, 4, FRAME_FORWARD, ++p->next_req_id);
-  msgpack_pack_uint32 (&pk, hops);
-  pack_bytes (&pk, job, len);
+  msgpack_packer packer;
+  GByteArray *b = frame_begin (&packer, 4, FRAME_FORWARD, ++p->next_req_id);
+  msgpack_pack_uint32 (&packer, hops);
+  pack_bytes (&packer, job, len);
   send_request (p, addr, b, timeout_ms, done, ctx);
   g_byte_array_free (b, TRUE);
 }
@@ -490,16 +496,17 @@
  * mm_peer_ping() - ask a peer whether it reaches the platform's service.
  * @p: the peer endpoint.
  * @addr: the peer's "host:peer_port".
- * @timeout_ms: give up after this.
- * @done: status 200 when it does, 503 when it does not, or an error.
+ * @timeout_ms: without an answer for this long, @done gets an error.
+ * @done: called once with status 200 when the peer reaches the platform,
+ *        503 when it does not, 204 when it cannot tell, or an error.
  * @ctx: context pointer for @done.
  */
 void
 mm_peer_ping (mm_peer *p, const char *addr, mm_time_ms timeout_ms,
               mm_peer_answer_cb done, void *ctx)
 {
-  msgpack_packer pk;
-  GByteArray *b = frame_begin (&pk, 2, FRAME_PING, ++p->next_req_id);
+  msgpack_packer packer;
+  GByteArray *b = frame_begin (&packer, 2, FRAME_PING, ++p->next_req_id);
   send_request (p, addr, b, timeout_ms, done, ctx);
   g_byte_array_free (b, TRUE);
 }
@@ -512,15 +519,16 @@
 }
 
 /**
- * mm_peer_tell() - send news to a peer; no answer comes.
+ * mm_peer_tell() - send a notification to a peer; no answer is expected.
  * @p: the peer endpoint.
  * @addr: the peer's "host:peer_port".
- * @kind: what the payload is.
- * @self: our member name.
- * @payload: the news.
- * @len: its length.
+ * @kind: what the payload holds.
+ * @self: this instance's member name.
+ * @payload: the payload.
+ * @len: length of @payload in bytes.
  *
- * News that cannot be sent is dropped: it only saves work.
+ * A notification that cannot be sent is dropped: notifications only save
+ * work.
  */
 void
 mm_peer_tell (mm_peer *p, const char *addr, mm_tell_kind kind,
@@ -529,27 +537,28 @@
   peer_link *l = link_to (p, addr, NULL);
   if (!l)
     return;
-  msgpack_packer pk;
-  GByteArray *b = frame_begin (&pk, 5, FRAME_TELL, ++p->next_req_id);
-  msgpack_pack_uint32 (&pk, kind);
-  pack_text (&pk, self);
-  pack_bytes (&pk, payload, len);
+  msgpack_packer packer;
+  GByteArray *b = frame_begin (&packer, 5, FRAME_NOTIFY, ++p->next_req_id);
+  msgpack_pack_uint32 (&packer, kind);
+  pack_text (&packer, self);
+  pack_bytes (&packer, payload, len);
   link_queue (l, b);
   g_byte_array_free (b, TRUE);
 }
 
 /**
- * mm_peer_drop() - fail a peer's link now.
+ * mm_peer_drop() - close the outgoing link to a peer.
  * @p: the peer endpoint.
  * @addr: the peer's "host:peer_port".
  *
- * For a peer that left the member list: a frozen process keeps its
- * sockets open, so nothing else tells that no answer will come.
+ * For a peer that has left the member list.  Its pending requests fail at
+ * once: a frozen process keeps its sockets open, so the socket does not
+ * show that no answer will come.
  */
 void
 mm_peer_drop (mm_peer *p, const char *addr)
 {
-  peer_link *l = g_hash_table_lookup (p->out_by_addr, addr);
+  peer_link *l = g_hash_table_lookup (p->outgoing_by_addr, addr);
   if (l)
     link_close (l, "it left the member list");
 }
@@ -562,15 +571,15 @@
 }
 
 /**
- * mm_peer_reply() - answer a job forwarded to us.
+ * mm_peer_reply() - answer a request of a peer.
  * @p: the peer endpoint.
- * @conn_id: the peer_link it came on (from the request callback).
- * @req_id: its request id.
+ * @conn_id: id of the peer_link that the request came on.
+ * @req_id: the request's id on that link.
  * @status: HTTP status for the caller.
- * @retry_after_s: Retry-After, 0 for none.
+ * @retry_after_s: Retry-After in seconds, 0 for none.
  * @body: JSON answer.
  *
- * If the peer_link has closed meanwhile the answer is dropped: the forwarding
+ * If the peer_link has closed since, the answer is dropped: the forwarding
  * instance has already answered its caller with an error.
  */
 void
@@ -580,11 +589,11 @@
   peer_link *l = g_hash_table_lookup (p->links_by_id, &conn_id);
   if (!l)
     return;
-  msgpack_packer pk;
-  GByteArray *b = frame_begin (&pk, 5, FRAME_ANSWER, req_id);
-  msgpack_pack_uint32 (&pk, status);
-  msgpack_pack_uint32 (&pk, retry_after_s);
-  pack_text (&pk, body);
+  msgpack_packer packer;
+  GByteArray *b = frame_begin (&packer, 5, FRAME_ANSWER, req_id);
+  msgpack_pack_uint32 (&packer, status);
+  msgpack_pack_uint32 (&packer, retry_after_s);
+  pack_text (&packer, body);
   link_queue (l, b);
   g_byte_array_free (b, TRUE);
 }
--- a/src/mm_quota.c
+++ b/src/mm_quota.c
@@ -1,12 +1,13 @@
 /* mm_quota: a team's tasks against its quota in the whole data centre.
 
    A team's jobs are spread over the entry instances by their ids, so no
-   instance alone knows what a team uses.  Each tells its peers, a few
-   times a second, the teams that use a noticeable part of their quota
-   here: at least 1/(4n) of it with n instances, the MM_QUOTA_MAX_ROWS
-   largest.  What goes untold is thus under a quarter of a quota in all,
-   and a team that uses little costs no message.  Reports expire, so an
-   instance that dies frees its teams' quota by itself.
+   instance alone knows how many tasks a team has.  A few times a second,
+   each instance reports to its peers the teams that use at least 1/(4n) of
+   their quota on it, n being the number of instances; of these only the
+   MM_QUOTA_MAX_ROWS teams with most tasks.  The unreported usage of a team
+   is thus less than a quarter of its quota over all instances, and a team
+   with few tasks costs no message.  Reports expire, so the tasks of an
+   instance that dies stop counting against the quota.
 
    A report is a msgpack array: [team, tasks, team, tasks, ...].  */
 #include "mm_quota.h"
@@ -18,15 +19,15 @@
 
 struct mm_quota
 {
-  GHashTable *own;   /* team -> tasks waiting or running here */
-  GHashTable *peers; /* peer -> peer_report */
-  bool reported;     /* the last report named a team */
+  GHashTable *local; /* team -> tasks waiting or running here */
+  GHashTable *peers; /* peer -> peer_report, the last one */
+  bool reported;     /* the last report was not empty */
 };
 
 typedef struct
 {
   GHashTable *tasks; /* team -> tasks */
-  mm_time_ms at_ms;
+  mm_time_ms received_ms;
 } peer_report;
 
 typedef struct
@@ -36,7 +37,7 @@
 } usage_row;
 
 static void
-free_report (gpointer data)
+report_free (gpointer data)
 {
   peer_report *r = data;
   g_hash_table_destroy (r->tasks);
@@ -44,7 +45,7 @@
 }
 
 static GHashTable *
-new_counts (void)
+counts_create (void)
 {
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
@@ -59,9 +60,9 @@
 mm_quota_create (void)
 {
   mm_quota *q = g_new0 (mm_quota, 1);
-  q->own = new_counts ();
+  q->local = counts_create ();
   q->peers
-      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, free_report);
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, report_free);
   return q;
 }
 
@@ -70,53 +71,55 @@
 {
   if (!q)
     return;
-  g_hash_table_destroy (q->own);
+  g_hash_table_destroy (q->local);
   g_hash_table_destroy (q->peers);
   g_free (q);
 }
 
 /**
- * mm_quota_add() - a team's tasks come or go on this instance.
+ * mm_quota_add() - change the count of a team's tasks on this instance.
  * @q: the quota state.
  * @team: the team.
- * @n: tasks added, negative when they end.
+ * @n: tasks added, negative when tasks have ended.
  */
 void
 mm_quota_add (mm_quota *q, const char *team, int64_t n)
 {
-  int64_t v = count_of (q->own, team) + n;
+  int64_t v = count_of (q->local, team) + n;
   if (v <= 0)
-    g_hash_table_remove (q->own, team);
+    g_hash_table_remove (q->local, team);
   else
-    g_hash_table_insert (q->own, g_strdup (team), GSIZE_TO_POINTER ((gsize)v));
+    g_hash_table_insert (q->local, g_strdup (team),
+                         GSIZE_TO_POINTER ((gsize)v));
 }
 
 /**
- * mm_quota_used() - a team's tasks in the data centre.
+ * mm_quota_used() - count a team's tasks in the data centre.
  * @q: the quota state.
  * @team: the team.
  * @now: mm_clock_now_ms().
  *
- * Return: ours, and what peers reported within MM_QUOTA_REPORT_TTL_MS.
+ * Return: the tasks on this instance and those that peers reported within
+ * the last MM_QUOTA_REPORT_TTL_MS.
  */
 int64_t
 mm_quota_used (const mm_quota *q, const char *team, mm_time_ms now)
 {
-  int64_t sum = count_of (q->own, team);
+  int64_t sum = count_of (q->local, team);
   GHashTableIter it;
   gpointer peer, v;
   g_hash_table_iter_init (&it, q->peers);
   while (g_hash_table_iter_next (&it, &peer, &v))
     {
       const peer_report *r = v;
-      if (now - r->at_ms < MM_QUOTA_REPORT_TTL_MS)
+      if (now - r->received_ms < MM_QUOTA_REPORT_TTL_MS)
         sum += count_of (r->tasks, team);
     }
   return sum;
 }
 
 static int
-larger_first (const void *a, const void *b)
+compare_tasks_descending (const void *a, const void *b)
 {
   int64_t x = ((const usage_row *)a)->tasks;
   int64_t y = ((const usage_row *)b)->tasks;
@@ -131,15 +134,18 @@
 }
 
 /**
- * mm_quota_report() - what the peers should know.
+ * mm_quota_report() - build the report for the peers.
  * @q: the quota state.
- * @n_instances: live entry instances, ourselves included.
- * @quota_of: a team's quota.
+ * @n_instances: number of live entry instances, this one included.
+ * @quota_of: returns a team's quota.
  * @ctx: context pointer for @quota_of.
  * @out: the report is appended here.
  *
- * Return: false when there is nothing to say, now and in the report
- * before (an empty report takes the last one back).
+ * An empty report is sent once after one with teams, to replace it at the
+ * peers.
+ *
+ * Return: false when the report need not be sent: it is empty, and so was
+ * the one before.
  */
 bool
 mm_quota_report (mm_quota *q, uint32_t n_instances,
@@ -149,42 +155,43 @@
   GArray *rows = g_array_new (FALSE, FALSE, sizeof (usage_row));
   GHashTableIter it;
   gpointer team, n;
-  g_hash_table_iter_init (&it, q->own);
+  g_hash_table_iter_init (&it, q->local);
   while (g_hash_table_iter_next (&it, &team, &n))
     {
       usage_row row = { .team = team, .tasks = (int64_t)GPOINTER_TO_SIZE (n) };
       if (row.tasks * 4 * n_instances >= quota_of (team, ctx))
         g_array_append_val (rows, row);
     }
-  g_array_sort (rows, larger_first);
+  g_array_sort (rows, compare_tasks_descending);
   uint32_t n_rows = MIN (rows->len, MM_QUOTA_MAX_ROWS);
-  bool worth_it = n_rows || q->reported;
+  bool must_send = n_rows || q->reported;
   q->reported = n_rows > 0;
-  msgpack_packer pk;
-  msgpack_packer_init (&pk, out, write_cb);
-  msgpack_pack_array (&pk, (size_t)2 * n_rows);
+  msgpack_packer packer;
+  msgpack_packer_init (&packer, out, write_cb);
+  msgpack_pack_array (&packer, (size_t)2 * n_rows);
   for (uint32_t i = 0; i < n_rows; i++)
     {
       const usage_row *row = &g_array_index (rows, usage_row, i);
       size_t len = strlen (row->team);
-      msgpack_pack_str (&pk, len);
-      msgpack_pack_str_body (&pk, row->team, len);
-      msgpack_pack_int64 (&pk, row->tasks);
+      msgpack_pack_str (&packer, len);
+      msgpack_pack_str_body (&packer, row->team, len);
+      msgpack_pack_int64 (&packer, row->tasks);
     }
   g_array_free (rows, TRUE);
-  return worth_it;
+  return must_send;
 }
 
 /**
- * mm_quota_take_report() - a peer's report, in place of its last one.
+ * mm_quota_take_report() - replace a peer's last report by a new one.
  * @q: the quota state.
- * @peer: its name.
- * @data: the report, untrusted.
- * @len: its length.
+ * @peer: the peer's name.
+ * @data: the encoded report, untrusted.
+ * @len: length of @data in bytes.
  * @now: mm_clock_now_ms().
- * @error: MM_ERROR_DECODE when malformed; the last report then stays.
+ * @error: MM_ERROR_DECODE when @data is malformed; the last report is then
+ *         kept.
  *
- * Return: true when taken.
+ * Return: true when the report was stored.
  */
 bool
 mm_quota_take_report (mm_quota *q, const char *peer, const uint8_t *data,
@@ -197,7 +204,7 @@
                 == MSGPACK_UNPACK_SUCCESS
             && msg.data.type == MSGPACK_OBJECT_ARRAY
             && msg.data.via.array.size % 2 == 0;
-  GHashTable *tasks = new_counts ();
+  GHashTable *tasks = counts_create ();
   for (uint32_t i = 0; ok && i < msg.data.via.array.size; i += 2)
     {
       const msgpack_object *f = &msg.data.via.array.ptr[i];
@@ -218,7 +225,7 @@
     }
   peer_report *r = g_new0 (peer_report, 1);
   r->tasks = tasks;
-  r->at_ms = now;
+  r->received_ms = now;
   g_hash_table_insert (q->peers, g_strdup (peer), r);
   return true;
 }
@@ -226,5 +233,5 @@
 uint32_t
 mm_quota_teams (const mm_quota *q)
 {
-  return g_hash_table_size (q->own);
+  return g_hash_table_size (q->local);
 }
