--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -1,21 +1,22 @@
-/* mm_shard: who owns a shard of jobs, decided by its log stream.
+/* mm_shard: ownership of a shard of jobs, decided by the shard's log stream.
 
-   The stream "accept.DC.N" holds, per record:
+   The stream "accept.DC.N" holds these records:
      {"kind":"take","by":NAME,"inc":INCARNATION}    a new owner
      {"kind":"accept","by":NAME,"inc":..,"fp":HEX,"jobs":[ID,...]}
-     {"kind":"release","by":NAME,"inc":..}          a graceful hand-over
-   Every append carries the owner's epoch.  To take the shard, an
-   instance reads the stream to its end, then appends a "take" with a
-   higher epoch on the condition that the stream still ends there; of two
-   that try, the log lets one through.  From then on it refuses the old
-   owner's appends, so what was read is all that was ever accepted: an
-   owner that was frozen, cut off or wrongly thought dead cannot accept
-   one more job when it comes back.  A job starts only after its accept
-   is in the log.
-
-   One append is in flight per shard; jobs that come meanwhile go out in
-   the next one (group commit), so a slow log makes larger batches, not
-   more appends.  */
+     {"kind":"release","by":NAME,"inc":..}          a graceful handover
+   Every append carries the owner's epoch.  To take the shard, an instance
+   reads the stream to its end, then appends a "take" record with a higher
+   epoch, on the condition that the stream still ends there.  When two
+   instances try at the same time, the log accepts one of the two records.
+   From then on the log refuses appends with a lower epoch, so the new owner
+   has read every job that was ever accepted: a previous owner that was
+   frozen, disconnected or wrongly taken for dead cannot accept another job
+   when it comes back.  A job starts only after its accept record is in the
+   log.
+
+   At most one append per shard is in flight; jobs that come meanwhile are
+   recorded by the next append (group commit), so a slow log leads to larger
+   batches, not to more appends.  */
 #include "mm_shard.h"
 
 #include "config.h"
@@ -26,19 +27,19 @@
 
 typedef enum
 {
-  SHARD_IDLE,
-  SHARD_READING, /* before the take: what epoch, which records */
-  SHARD_TAKING,  /* the take record is on its way */
-  SHARD_HELD
+  SHARD_IDLE,    /* not owned, and not being taken */
+  SHARD_READING, /* reading the stream to its end before a take */
+  SHARD_TAKING,  /* the take record is sent next, or in flight */
+  SHARD_OWNED    /* owned by this instance */
 } shard_state;
 
-/* A job that waits for its accept record.  */
+/* A job whose accept record is not in the log yet.  */
 typedef struct
 {
   char *job_id;
   mm_accept_cb done; /* NULL once cancelled */
   void *ctx;
-  bool in_append; /* part of the append in flight */
+  bool in_append; /* the append in flight records it */
 } waiting_job;
 
 struct mm_shard
@@ -46,29 +47,30 @@
   const mm_shard_env *env;
   char *stream;
   shard_state state;
-  bool call_open;
-  int64_t epoch;        /* ours while HELD or TAKING */
-  int64_t seen_epoch;   /* highest the stream told */
-  int64_t cursor;       /* next offset to read */
-  char *holder;         /* of the last take record */
-  bool holder_released; /* the last take was followed by a release */
-  bool owner_gap;       /* we took it from one that had not released it */
-  bool unwitnessed;     /* and nobody alive was up in its time */
-  bool releasing;       /* hand it over with the next append */
-  bool polite; /* leave the shard to a holder that has not released it */
-  uint32_t failed_takes;  /* in a row */
-  mm_time_ms appended_ms; /* the last accept record */
-  ev_timer pace;          /* until the next may go out */
-  mm_time_ms taken_ms;    /* when we became the owner */
-  mm_time_ms yielded_ms;  /* when we were fenced, 0 never */
-  GQueue waiting;         /* waiting_job *, oldest first */
-  GPtrArray *owed;        /* ids of jobs that started unrecorded */
-  guint owed_in_append;   /* how many of them are on their way */
-  mm_known *known;        /* jobs accepted before, not held here */
-  GQueue verify;          /* verify_waiter *, for the next call */
-  GQueue verifying;       /* verify_waiter *, for the call that is open */
+  bool call_in_flight;     /* a read or an append is in flight */
+  int64_t epoch;           /* of this instance, while OWNED or TAKING */
+  int64_t seen_epoch;      /* highest epoch known of the stream */
+  int64_t cursor;          /* next offset to read */
+  char *owner;             /* owner by the last take record read, or NULL */
+  bool owner_released;     /* a release record followed the last take */
+  bool unclean_takeover;   /* the previous owner had not released the shard */
+  bool unobserved;         /* and no live instance was up in its time */
+  bool releasing;          /* release the shard with the next append */
+  bool only_if_released;   /* take the shard only if its owner released it */
+  uint32_t failed_takes;   /* in a row */
+  mm_time_ms appended_ms;  /* when the last accept record was sent */
+  ev_timer interval_timer; /* runs until the next accept may be appended */
+  mm_time_ms taken_ms;     /* when this instance became the owner */
+  mm_time_ms fenced_ms;    /* when this instance was fenced, 0: never */
+  GQueue waiting;          /* waiting_job *, oldest first */
+  GPtrArray *unrecorded;   /* ids of jobs that started without a record */
+  guint unrecorded_sent;   /* how many of them the append in flight records */
+  mm_known *accepted;      /* accepted jobs that are not stored here */
+  GQueue verify_queue;     /* verify_waiter *, for the next call */
+  GQueue verify_in_flight; /* verify_waiter *, for the call in flight */
 };
 
+/* A call of mm_shard_verify() that has no answer yet.  */
 typedef struct
 {
   mm_shard_verify_cb done;
@@ -76,10 +78,10 @@
 } verify_waiter;
 
 static void advance (mm_shard *s);
-static void pace_cb (struct ev_loop *loop, ev_timer *w, int revents);
+static void interval_cb (struct ev_loop *loop, ev_timer *w, int revents);
 
 static void
-free_waiting (gpointer data)
+waiting_free (gpointer data)
 {
   waiting_job *w = data;
   g_free (w->job_id);
@@ -87,11 +89,11 @@
 }
 
 /**
- * mm_shard_create() - a shard, not owned yet.
+ * mm_shard_create() - create a shard that is not owned yet.
  * @env: what all shards share; must outlive the shard.
  * @index: the shard's number in the data centre.
  *
- * Return: the shard; free with mm_shard_destroy().
+ * Return: the shard, to free with mm_shard_destroy().
  */
 mm_shard *
 mm_shard_create (const mm_shard_env *env, uint32_t index)
@@ -100,13 +102,13 @@
   s->env = env;
   s->stream = g_strdup_printf ("accept.%s.%u", env->datacentre, index);
   g_queue_init (&s->waiting);
-  g_queue_init (&s->verify);
-  g_queue_init (&s->verifying);
-  ev_timer_init (&s->pace, pace_cb, 0., 0.);
-  s->pace.data = s;
+  g_queue_init (&s->verify_queue);
+  g_queue_init (&s->verify_in_flight);
+  ev_timer_init (&s->interval_timer, interval_cb, 0., 0.);
+  s->interval_timer.data = s;
   s->appended_ms = -env->accept_interval_ms;
-  s->owed = g_ptr_array_new_with_free_func (g_free);
-  s->known = mm_known_create ();
+  s->unrecorded = g_ptr_array_new_with_free_func (g_free);
+  s->accepted = mm_known_create ();
   return s;
 }
 
@@ -115,18 +117,18 @@
 {
   if (!s)
     return;
-  ev_timer_stop (s->env->loop, &s->pace);
-  g_queue_clear_full (&s->waiting, free_waiting);
-  g_queue_clear_full (&s->verify, g_free);
-  g_queue_clear_full (&s->verifying, g_free);
-  mm_known_destroy (s->known);
-  g_ptr_array_free (s->owed, TRUE);
-  g_free (s->holder);
+  ev_timer_stop (s->env->loop, &s->interval_timer);
+  g_queue_clear_full (&s->waiting, waiting_free);
+  g_queue_clear_full (&s->verify_queue, g_free);
+  g_queue_clear_full (&s->verify_in_flight, g_free);
+  mm_known_destroy (s->accepted);
+  g_ptr_array_free (s->unrecorded, TRUE);
+  g_free (s->owner);
   g_free (s->stream);
   g_free (s);
 }
 
-typedef bool (*waiting_test) (const mm_shard *s, const waiting_job *w);
+typedef bool (*waiting_filter) (const mm_shard *s, const waiting_job *w);
 
 static bool
 any_job (const mm_shard *s, const waiting_job *w)
@@ -141,53 +143,56 @@
 }
 
 static bool
-is_known (const mm_shard *s, const waiting_job *w)
+was_accepted (const mm_shard *s, const waiting_job *w)
 {
-  return mm_known_find (s->known, w->job_id, NULL);
+  return mm_known_find (s->accepted, w->job_id, NULL);
 }
 
-/* Answer the waiting jobs that pass @test.  They leave the queue before
-   the first callback, as a callback may hand the same job in again.  */
+/* Answers the waiting jobs that @matches selects.  All of them are removed
+   from the queue before the first callback, as a callback may submit the same
+   job again.  */
 static void
-settle (mm_shard *s, waiting_test test, mm_accept_verdict verdict)
+answer_waiting (mm_shard *s, waiting_filter matches, mm_accept_verdict verdict)
 {
   GQueue ready = G_QUEUE_INIT;
   for (GList *l = s->waiting.head, *next; l; l = next)
     {
       next = l->next;
-      if (!test (s, l->data))
+      if (!matches (s, l->data))
         continue;
       g_queue_push_tail (&ready, l->data);
       g_queue_delete_link (&s->waiting, l);
     }
-  char *holder = g_strdup (s->holder);
+  char *holder = g_strdup (s->owner);
   waiting_job *w;
   while ((w = g_queue_pop_head (&ready)))
     {
       mm_accept a
           = { .verdict = verdict, .epoch = s->epoch, .holder = holder };
-      mm_known_find (s->known, w->job_id, &a.fingerprint);
+      mm_known_find (s->accepted, w->job_id, &a.fingerprint);
       if (w->done)
         w->done (&a, w->ctx);
-      free_waiting (w);
+      waiting_free (w);
     }
   g_free (holder);
 }
 
-/* Another instance raised the epoch: the shard is not ours any more.  */
+/* Another instance raised the epoch: this instance no longer owns the
+   shard.  */
 static void
-lose (mm_shard *s, int64_t their_epoch)
+on_fenced (mm_shard *s, int64_t new_epoch)
 {
   mm_counters_add (s->env->counters, "shards_lost", 1);
-  s->seen_epoch = MAX (s->seen_epoch, their_epoch);
-  s->yielded_ms = mm_clock_now_ms ();
-  g_ptr_array_set_size (s->owed, 0);
-  /* Who took it stands in the stream: read on before jobs move.  */
+  s->seen_epoch = MAX (s->seen_epoch, new_epoch);
+  s->fenced_ms = mm_clock_now_ms ();
+  g_ptr_array_set_size (s->unrecorded, 0);
+  /* The stream names the new owner: read it before jobs are passed on.  */
   s->state = SHARD_READING;
 }
 
+/* Applies a record that was read from the stream.  */
 static void
-take_record (mm_shard *s, const cJSON *data)
+apply_record (mm_shard *s, const cJSON *data)
 {
   const char *kind = cJSON_GetStringValue (cJSON_GetObjectItem (data, "kind"));
   const char *by = cJSON_GetStringValue (cJSON_GetObjectItem (data, "by"));
@@ -196,14 +201,14 @@
     return;
   if (g_str_equal (kind, "take"))
     {
-      g_free (s->holder);
-      s->holder = g_strdup (by);
-      s->holder_released = false;
+      g_free (s->owner);
+      s->owner = g_strdup (by);
+      s->owner_released = false;
     }
   else if (g_str_equal (kind, "release"))
-    s->holder_released = true;
-  /* Our own accepts of this life are in the jobs and answers that the
-     instance keeps itself, or were given to mm_shard_remember().  */
+    s->owner_released = true;
+  /* Skips accepts of this incarnation: the instance has these jobs or their
+     answers itself, or has passed them to mm_shard_remember().  */
   else if (g_str_equal (kind, "accept")
            && strcmp (inc, s->env->incarnation) != 0)
     {
@@ -220,9 +225,9 @@
 }
 
 static void
-expire_known (mm_shard *s)
+expire_accepted (mm_shard *s)
 {
-  mm_known_expire (s->known, mm_clock_now_ms () - s->env->ttl_ms);
+  mm_known_expire (s->accepted, mm_clock_now_ms () - s->env->ttl_ms);
 }
 
 static int64_t
@@ -232,19 +237,20 @@
   return cJSON_IsNumber (v) ? (int64_t)v->valuedouble : 0;
 }
 
-/* As far as we have read.  */
+/* Returns whether another instance owns the shard and has not released it,
+   by the part of the stream that has been read.  */
 static bool
-held_by_another (const mm_shard *s)
+owned_by_another (const mm_shard *s)
 {
-  return s->holder && !s->holder_released
-         && strcmp (s->holder, s->env->self) != 0;
+  return s->owner && !s->owner_released
+         && strcmp (s->owner, s->env->self) != 0;
 }
 
 static void
 read_done (const mm_http_result *res, void *ctx)
 {
   mm_shard *s = ctx;
-  s->call_open = false;
+  s->call_in_flight = false;
   s->env->contact (res->status == 200, s->env->ctx);
   if (res->status != 200)
     return;
@@ -256,7 +262,7 @@
       int64_t offset = int_field (r, "offset");
       if (offset < s->cursor)
         continue;
-      take_record (s, cJSON_GetObjectItem (r, "data"));
+      apply_record (s, cJSON_GetObjectItem (r, "data"));
       s->cursor = offset + 1;
     }
   if (!cJSON_GetArraySize (cJSON_GetObjectItem (o, "records")))
@@ -265,15 +271,16 @@
   cJSON_Delete (o);
   if (s->state == SHARD_READING && s->cursor >= head)
     {
-      if (mm_shard_yielded (s, mm_clock_now_ms ()) && s->holder
-          && strcmp (s->holder, s->env->self) != 0)
+      if (mm_shard_yielded (s, mm_clock_now_ms ()) && s->owner
+          && strcmp (s->owner, s->env->self) != 0)
         {
-          /* Fenced just now: the jobs go to who took the shard.  */
+          /* Fenced a short time ago: the jobs go to the new owner.  */
           s->state = SHARD_IDLE;
-          settle (s, any_job, MM_ACCEPT_MOVED);
+          answer_waiting (s, any_job, MM_ACCEPT_MOVED);
           return;
         }
-      if (s->polite && g_queue_is_empty (&s->waiting) && held_by_another (s))
+      if (s->only_if_released && g_queue_is_empty (&s->waiting)
+          && owned_by_another (s))
         {
           s->state = SHARD_IDLE;
           return;
@@ -284,11 +291,11 @@
 }
 
 static void
-read_on (mm_shard *s)
+read_stream (mm_shard *s)
 {
   char *url = g_strdup_printf ("%s/v1/log/%s?from=%" G_GINT64_FORMAT,
                                s->env->platform_url, s->stream, s->cursor);
-  s->call_open = true;
+  s->call_in_flight = true;
   mm_counters_add (s->env->counters, "shard_reads", 1);
   mm_http_client_call (s->env->http, "GET", url, NULL, MM_LOG_CALL_TIMEOUT_MS,
                        read_done, s);
@@ -296,7 +303,7 @@
 }
 
 static void
-append (mm_shard *s, cJSON *record, bool at_cursor, mm_http_done done)
+append_record (mm_shard *s, cJSON *record, bool at_cursor, mm_http_done done)
 {
   cJSON_AddStringToObject (record, "by", s->env->self);
   cJSON_AddStringToObject (record, "inc", s->env->incarnation);
@@ -306,7 +313,7 @@
                        : g_strdup ("");
   char *url = g_strdup_printf ("%s/v1/log/%s?epoch=%" G_GINT64_FORMAT "%s",
                                s->env->platform_url, s->stream, s->epoch, at);
-  s->call_open = true;
+  s->call_in_flight = true;
   mm_counters_add (s->env->counters, "shard_appends", 1);
   mm_http_client_call (s->env->http, "POST", url, body, MM_LOG_CALL_TIMEOUT_MS,
                        done, s);
@@ -324,9 +331,9 @@
   return v;
 }
 
-/* The platform answered, whatever it said.  */
+/* Returns whether the platform answered, with success or with a refusal.  */
 static bool
-answered (const mm_http_result *res)
+platform_answered (const mm_http_result *res)
 {
   return res->status == 200 || res->status == 409 || res->status == 412;
 }
@@ -334,16 +341,16 @@
 static void
 become_owner (mm_shard *s)
 {
-  expire_known (s);
-  s->owner_gap = s->holder && !s->holder_released;
-  s->unwitnessed = s->owner_gap && !s->env->witnessed (s->env->ctx);
-  g_free (s->holder);
-  s->holder = g_strdup (s->env->self);
-  s->holder_released = false;
-  s->state = SHARD_HELD;
+  expire_accepted (s);
+  s->unclean_takeover = s->owner && !s->owner_released;
+  s->unobserved = s->unclean_takeover && !s->env->witnessed (s->env->ctx);
+  g_free (s->owner);
+  s->owner = g_strdup (s->env->self);
+  s->owner_released = false;
+  s->state = SHARD_OWNED;
   s->failed_takes = 0;
   s->taken_ms = mm_clock_now_ms ();
-  s->yielded_ms = 0;
+  s->fenced_ms = 0;
   mm_counters_add (s->env->counters, "shards_taken", 1);
 }
 
@@ -351,8 +358,8 @@
 take_done (const mm_http_result *res, void *ctx)
 {
   mm_shard *s = ctx;
-  s->call_open = false;
-  s->env->contact (answered (res), s->env->ctx);
+  s->call_in_flight = false;
+  s->env->contact (platform_answered (res), s->env->ctx);
   if (res->status == 200)
     {
       s->cursor = answer_field (res, "offset") + 1;
@@ -360,78 +367,81 @@
       advance (s);
       return;
     }
-  /* Somebody wrote meanwhile, or our take may be in the log although its
-     answer was lost: read on and try with a higher epoch.  Against a busy
-     owner that can fail for long, so after a few tries the next waits for
+  /* Another instance has appended meanwhile, or the take record is in the
+     log although its answer was lost: read the new records and try again
+     with a higher epoch.  While another owner appends often, takes can fail
+     for long, so after MM_SHARD_TAKE_BURST tries the next one waits for
      mm_shard_retry().  */
   s->state = SHARD_READING;
   s->failed_takes++;
   if (res->status == 409)
     s->seen_epoch = MAX (s->seen_epoch, answer_field (res, "epoch"));
-  if (answered (res) && s->failed_takes % MM_SHARD_TAKE_BURST)
+  if (platform_answered (res) && s->failed_takes % MM_SHARD_TAKE_BURST)
     advance (s);
 }
 
 static void
-take (mm_shard *s)
+append_take (mm_shard *s)
 {
   s->epoch = s->seen_epoch + 1;
   cJSON *r = cJSON_CreateObject ();
   cJSON_AddStringToObject (r, "kind", "take");
-  append (s, r, true, take_done);
+  append_record (s, r, true, take_done);
 }
 
 static void
 accept_done (const mm_http_result *res, void *ctx)
 {
   mm_shard *s = ctx;
-  s->call_open = false;
-  s->env->contact (answered (res), s->env->ctx);
+  s->call_in_flight = false;
+  s->env->contact (platform_answered (res), s->env->ctx);
   if (res->status == 200)
     {
-      g_ptr_array_remove_range (s->owed, 0, s->owed_in_append);
-      s->owed_in_append = 0;
-      settle (s, was_appended, MM_ACCEPT_FRESH);
+      g_ptr_array_remove_range (s->unrecorded, 0, s->unrecorded_sent);
+      s->unrecorded_sent = 0;
+      answer_waiting (s, was_appended, MM_ACCEPT_FRESH);
       advance (s);
       return;
     }
-  s->owed_in_append = 0;
+  s->unrecorded_sent = 0;
   for (GList *l = s->waiting.head; l; l = l->next)
     ((waiting_job *)l->data)->in_append = false;
   if (res->status == 409)
     {
-      lose (s, answer_field (res, "epoch"));
+      on_fenced (s, answer_field (res, "epoch"));
       advance (s);
     }
 }
 
 static void
-pace_cb (struct ev_loop *loop, ev_timer *w, int revents)
+interval_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   advance (w->data);
 }
 
-/* Keeps the log's appends within its budget at a large size, at the
-   price of waiting: jobs that come meanwhile share the next record.  */
+/* Returns whether the next accept record must wait, and starts the timer
+   that sends it.  The interval keeps the number of appends within the log's
+   budget in large installations; jobs that come meanwhile wait and share
+   the next record.  */
 static bool
-must_wait (mm_shard *s)
+accept_delayed (mm_shard *s)
 {
-  mm_time_ms left
+  mm_time_ms wait_ms
       = s->appended_ms + s->env->accept_interval_ms - mm_clock_now_ms ();
-  if (left <= 0)
+  if (wait_ms <= 0)
     return false;
-  if (!ev_is_active (&s->pace))
+  if (!ev_is_active (&s->interval_timer))
     {
-      ev_timer_set (&s->pace, (double)left / 1000.0, 0.);
-      ev_timer_start (s->env->loop, &s->pace);
+      ev_timer_set (&s->interval_timer, (double)wait_ms / 1000.0, 0.);
+      ev_timer_start (s->env->loop, &s->interval_timer);
     }
   return true;
 }
 
 static void
-append_accepts (mm_shard *s)
+append_accept (mm_shard *s)
 {
-  if (must_wait (s))
+  if (accept_delayed (s))
     return;
   s->appended_ms = mm_clock_now_ms ();
   cJSON *r = cJSON_CreateObject ();
@@ -447,29 +457,29 @@
       w->in_append = true;
       cJSON_AddItemToArray (jobs, cJSON_CreateString (w->job_id));
     }
-  for (guint i = 0; i < s->owed->len; i++)
-    cJSON_AddItemToArray (jobs, cJSON_CreateString (s->owed->pdata[i]));
-  s->owed_in_append = s->owed->len;
-  append (s, r, false, accept_done);
+  for (guint i = 0; i < s->unrecorded->len; i++)
+    cJSON_AddItemToArray (jobs, cJSON_CreateString (s->unrecorded->pdata[i]));
+  s->unrecorded_sent = s->unrecorded->len;
+  append_record (s, r, false, accept_done);
 }
 
 static void
 release_done (const mm_http_result *res, void *ctx)
 {
   mm_shard *s = ctx;
-  s->call_open = false;
-  s->env->contact (answered (res), s->env->ctx);
+  s->call_in_flight = false;
+  s->env->contact (platform_answered (res), s->env->ctx);
   if (res->status == 409)
-    lose (s, answer_field (res, "epoch"));
+    on_fenced (s, answer_field (res, "epoch"));
   else if (res->status == 200)
     {
       s->state = SHARD_IDLE;
-      g_free (s->holder);
-      s->holder = NULL;
-      settle (s, any_job, MM_ACCEPT_MOVED);
+      g_free (s->owner);
+      s->owner = NULL;
+      answer_waiting (s, any_job, MM_ACCEPT_MOVED);
     }
   s->releasing = false;
-  if (answered (res))
+  if (platform_answered (res))
     advance (s);
 }
 
@@ -478,14 +488,15 @@
 {
   cJSON *r = cJSON_CreateObject ();
   cJSON_AddStringToObject (r, "kind", "release");
-  append (s, r, false, release_done);
+  append_record (s, r, false, release_done);
 }
 
-/* One step on: at most one call to the log is open per shard.  */
+/* Makes the next call to the log that the state calls for.  At most one
+   read or append is in flight per shard.  */
 static void
 advance (mm_shard *s)
 {
-  if (s->call_open)
+  if (s->call_in_flight)
     return;
   switch (s->state)
     {
@@ -493,52 +504,56 @@
       if (!g_queue_is_empty (&s->waiting))
         {
           s->state = SHARD_READING;
-          read_on (s);
+          read_stream (s);
         }
       break;
     case SHARD_READING:
-      read_on (s);
+      read_stream (s);
       break;
     case SHARD_TAKING:
-      take (s);
+      append_take (s);
       break;
-    case SHARD_HELD:
-      settle (s, is_known, MM_ACCEPT_KNOWN);
-      /* The callbacks may have brought us back here already.  */
-      if (s->call_open || s->state != SHARD_HELD)
+    case SHARD_OWNED:
+      answer_waiting (s, was_accepted, MM_ACCEPT_KNOWN);
+      /* The callbacks may have called advance() already.  */
+      if (s->call_in_flight || s->state != SHARD_OWNED)
         break;
       if (s->env->outage (s->env->ctx))
         mm_shard_serve_unrecorded (s);
-      else if (s->releasing && !s->owed->len)
+      else if (s->releasing && !s->unrecorded->len)
         append_release (s);
-      else if (!g_queue_is_empty (&s->waiting) || s->owed->len)
-        append_accepts (s);
+      else if (!g_queue_is_empty (&s->waiting) || s->unrecorded->len)
+        append_accept (s);
       break;
     }
 }
 
 /**
- * mm_shard_superseded() - somebody showed us a higher epoch.
+ * mm_shard_superseded() - handle an epoch seen in the log or at an upstream.
  * @s: the shard.
- * @epoch: the epoch an upstream has for one of its jobs; 0 when it only
- *         refused ours as too old.
+ * @epoch: the epoch that the log has for the shard, or an upstream for one
+ *         of its jobs; 0 when an upstream only refused this instance's epoch
+ *         as too old.
+ *
+ * Nothing happens when the shard is not owned or @epoch is not higher than
+ * this instance's epoch.
  */
 void
 mm_shard_superseded (mm_shard *s, int64_t epoch)
 {
-  if (s->state == SHARD_HELD && (!epoch || epoch > s->epoch))
+  if (s->state == SHARD_OWNED && (!epoch || epoch > s->epoch))
     {
-      lose (s, epoch);
+      on_fenced (s, epoch);
       advance (s);
     }
 }
 
 /**
- * mm_shard_accept() - record that we run a job, before it starts.
- * @s: the shard.
+ * mm_shard_accept() - record that this instance runs a job, before it starts.
+ * @s: the shard; taken first when this instance does not own it.
  * @job_id: the job.
- * @done: called once, perhaps before this returns.
- * @ctx: context pointer for @done; also names the job to
+ * @done: called once, possibly before this function returns.
+ * @ctx: context pointer for @done; also identifies the job to
  *       mm_shard_cancel().
  */
 void
@@ -553,12 +568,12 @@
 }
 
 /**
- * mm_shard_cancel() - forget a pending accept.
+ * mm_shard_cancel() - cancel a pending accept; its callback is not called.
  * @s: the shard.
- * @ctx: what mm_shard_accept() was given.
+ * @ctx: the context pointer that mm_shard_accept() was given.
  *
- * The record may still reach the log; a later owner that reads it finds
- * the job started nowhere and runs it.
+ * The record may still reach the log.  A later owner that reads it finds
+ * that no task of the job was started, and runs the job.
  */
 void
 mm_shard_cancel (mm_shard *s, void *ctx)
@@ -572,40 +587,41 @@
       if (!w->in_append)
         {
           g_queue_delete_link (&s->waiting, l);
-          free_waiting (w);
+          waiting_free (w);
         }
       return;
     }
 }
 
-static void verify_next (mm_shard *s);
+static void start_verify (mm_shard *s);
 
 static void
 verify_done (const mm_http_result *res, void *ctx)
 {
   mm_shard *s = ctx;
-  s->env->contact (answered (res), s->env->ctx);
+  s->env->contact (platform_answered (res), s->env->ctx);
   int64_t epoch = res->status == 200 ? answer_field (res, "epoch") : 0;
-  bool ours = s->state == SHARD_HELD && epoch == s->epoch;
+  bool owned = s->state == SHARD_OWNED && epoch == s->epoch;
   mm_shard_superseded (s, MAX (epoch, 1));
-  GQueue ready = s->verifying;
-  g_queue_init (&s->verifying);
+  GQueue ready = s->verify_in_flight;
+  g_queue_init (&s->verify_in_flight);
   verify_waiter *v;
   while ((v = g_queue_pop_head (&ready)))
     {
-      v->done (ours, v->ctx);
+      v->done (owned, v->ctx);
       g_free (v);
     }
-  verify_next (s);
+  start_verify (s);
 }
 
 static void
-verify_next (mm_shard *s)
+start_verify (mm_shard *s)
 {
-  if (g_queue_is_empty (&s->verify) || !g_queue_is_empty (&s->verifying))
+  if (g_queue_is_empty (&s->verify_queue)
+      || !g_queue_is_empty (&s->verify_in_flight))
     return;
-  s->verifying = s->verify;
-  g_queue_init (&s->verify);
+  s->verify_in_flight = s->verify_queue;
+  g_queue_init (&s->verify_queue);
   char *url = g_strdup_printf ("%s/v1/log/%s?max=1&from=%" G_GINT64_FORMAT,
                                s->env->platform_url, s->stream, INT64_MAX);
   mm_counters_add (s->env->counters, "shard_verifies", 1);
@@ -615,17 +631,19 @@
 }
 
 /**
- * mm_shard_verify() - is the shard still ours, by the log's word of now?
+ * mm_shard_verify() - check with the log that the shard is still owned.
  * @s: the shard.
- * @done: called once; false also when the log does not answer soon.
+ * @done: called once with whether this instance owns the shard; false also
+ *        when the log does not answer within MM_VERIFY_TIMEOUT_MS.
  * @ctx: context pointer for @done.
  *
- * One call is open per shard; who asks meanwhile shares the next one.
+ * At most one such call is in flight per shard; requests that come meanwhile
+ * share the next call.
  */
 void
 mm_shard_verify (mm_shard *s, mm_shard_verify_cb done, void *ctx)
 {
-  if (s->state != SHARD_HELD)
+  if (s->state != SHARD_OWNED)
     {
       done (false, ctx);
       return;
@@ -633,98 +651,114 @@
   verify_waiter *v = g_new0 (verify_waiter, 1);
   v->done = done;
   v->ctx = ctx;
-  g_queue_push_tail (&s->verify, v);
-  verify_next (s);
+  g_queue_push_tail (&s->verify_queue, v);
+  start_verify (s);
 }
 
 /**
- * mm_shard_take() - own the shard ahead of its jobs.
- * @s: the shard; nothing happens when it is held or being taken.
- * @polite: not from a holder that has not released it.
+ * mm_shard_take() - take ownership of the shard before jobs arrive.
+ * @s: the shard; nothing happens when it is owned or being taken.
+ * @only_if_released: leave the shard to an owner that has not released it.
  */
 void
-mm_shard_take (mm_shard *s, bool polite)
+mm_shard_take (mm_shard *s, bool only_if_released)
 {
-  if (s->state != SHARD_IDLE || s->call_open
-      || (polite && held_by_another (s)))
+  if (s->state != SHARD_IDLE || s->call_in_flight
+      || (only_if_released && owned_by_another (s)))
     return;
-  s->polite = polite;
+  s->only_if_released = only_if_released;
   s->state = SHARD_READING;
-  read_on (s);
+  read_stream (s);
 }
 
 bool
 mm_shard_held (const mm_shard *s)
 {
-  return s->state == SHARD_HELD;
+  return s->state == SHARD_OWNED;
 }
 
 /**
- * mm_shard_remember() - a job that we accepted and do not have any more.
+ * mm_shard_remember() - add an accepted job that has left this instance.
  * @s: the shard.
  * @job_id: the job.
- * @fingerprint: the upstreams listed when we accepted it.
+ * @fingerprint: fingerprint of the upstreams listed when it was accepted.
  *
- * Guards against a second run when a job moves away and comes back: our
- * own records in the log are skipped when read, so without this the job
- * would look new (tasks started twice after a freeze).
+ * Guards against a second run of a job that moves to another instance and
+ * back: accept records of this incarnation are skipped when the stream is
+ * read, so the job would look new and its tasks would be started twice, as
+ * happens after a freeze of this instance.
  */
 void
 mm_shard_remember (mm_shard *s, const char *job_id, uint64_t fingerprint)
 {
-  mm_known_add (s->known, job_id, fingerprint, mm_clock_now_ms ());
+  mm_known_add (s->accepted, job_id, fingerprint, mm_clock_now_ms ());
 }
 
 /**
- * mm_shard_knows() - did an owner before us accept this job?
- * @s: the shard; when it is not held, more may have been accepted.
+ * mm_shard_knows() - check whether a job that is not here was accepted.
+ * @s: the shard; while this instance does not own it, more jobs may have
+ *     been accepted than are known here.
  * @job_id: the job.
+ *
+ * Return: true when an earlier owner accepted the job, or this instance did
+ * and the job has moved away.
  */
 bool
 mm_shard_knows (const mm_shard *s, const char *job_id)
 {
-  return mm_known_find (s->known, job_id, NULL);
+  return mm_known_find (s->accepted, job_id, NULL);
 }
 
 /**
- * mm_shard_owner_gap() - did the owner before us go without a release?
+ * mm_shard_owner_gap() - check for a previous owner that did not release.
  * @s: the shard.
  *
- * If the platform was out in its time, it may have run jobs without a
- * record.  After ttl_ms no answer of that time can be asked for.
+ * If the platform had an outage in the previous owner's time, that owner may
+ * have run jobs without a record in the log.
+ *
+ * Return: true when the previous owner did not release the shard, for ttl_ms
+ * after the shard was taken; answers from before the take are no longer kept
+ * after that.
  */
 bool
 mm_shard_owner_gap (const mm_shard *s)
 {
-  return s->owner_gap && mm_clock_now_ms () - s->taken_ms < s->env->ttl_ms;
+  return s->unclean_takeover
+         && mm_clock_now_ms () - s->taken_ms < s->env->ttl_ms;
 }
 
 /**
- * mm_shard_unwitnessed() - could an outage have gone unseen?
- * @s: the shard, with an owner gap.
+ * mm_shard_unwitnessed() - check whether an outage may be unknown here.
+ * @s: the shard, whose previous owner did not release it.
  *
- * Return: true when no instance that is alive was up in the time of the
- * owner before us.
+ * Return: true when no live instance was up in the time of the previous
+ * owner, so that no instance can know of an outage in that time.
  */
 bool
 mm_shard_unwitnessed (const mm_shard *s)
 {
-  return s->unwitnessed;
+  return s->unobserved;
 }
 
-/* Guards against two instances with different member lists taking a
-   shard from each other for every job: who was fenced holds back for a
-   while and passes jobs on to who took it.  */
+/**
+ * mm_shard_yielded() - check whether this instance was fenced recently.
+ * @s: the shard.
+ * @now: mm_clock_now_ms().
+ *
+ * Guards against two instances with different member lists that take a
+ * shard from each other for every job: for MM_SHARD_HOLD_DOWN_MS after it
+ * was fenced, an instance forwards jobs to the new owner.
+ */
 bool
 mm_shard_yielded (const mm_shard *s, mm_time_ms now)
 {
-  return s->yielded_ms && now - s->yielded_ms < MM_SHARD_HOLD_DOWN_MS;
+  return s->fenced_ms && now - s->fenced_ms < MM_SHARD_HOLD_DOWN_MS;
 }
 
 const char *
 mm_shard_holder (const mm_shard *s)
 {
-  return s->holder;
+  return s->owner;
 }
 
 bool
@@ -734,72 +768,80 @@
 }
 
 /**
- * mm_shard_retry() - go on after a call that failed.
- * @s: the shard; nothing happens when a call is open.
+ * mm_shard_retry() - continue after a call to the log that failed.
+ * @s: the shard; no call is made while one is in flight.
+ *
+ * Also drops accepted jobs that are older than ttl_ms.
  */
 void
 mm_shard_retry (mm_shard *s)
 {
-  expire_known (s);
+  expire_accepted (s);
   advance (s);
 }
 
 /**
  * mm_shard_serve_unrecorded() - let waiting jobs start without a record.
- * @s: the shard; only jobs of a held shard may start.
+ * @s: the shard; nothing happens when this instance does not own it.
  *
- * The caller has made sure that no instance can reach the log, so nobody
- * can take the shard from now on.  Somebody may have taken it just before
- * without our knowing: the caller lets the upstreams decide, whose word
- * on a job's epoch stands in for the log's.  The records stay owed and go out
- * with the next append; a later owner that saw the outage does not rely on
- * them and asks the upstreams instead.
+ * The caller has checked that no instance can reach the log, so no instance
+ * can take the shard from now on.  Another instance may have taken it just
+ * before, unknown to this one: the caller then relies on the epochs that the
+ * upstreams have for a job instead of the log's.  The missing records are
+ * part of the next append.  A later owner that knows of the
+ * outage does not rely on these records and asks the upstreams instead.
  */
 void
 mm_shard_serve_unrecorded (mm_shard *s)
 {
-  if (s->state != SHARD_HELD)
+  if (s->state != SHARD_OWNED)
     return;
   mm_counters_add (s->env->counters, "accepts_unrecorded", s->waiting.length);
   for (GList *l = s->waiting.head; l; l = l->next)
-    g_ptr_array_add (s->owed, g_strdup (((waiting_job *)l->data)->job_id));
-  settle (s, any_job, MM_ACCEPT_UNRECORDED);
+    g_ptr_array_add (s->unrecorded,
+                     g_strdup (((waiting_job *)l->data)->job_id));
+  answer_waiting (s, any_job, MM_ACCEPT_UNRECORDED);
 }
 
 /**
- * mm_shard_give_up() - pass every waiting job on.
+ * mm_shard_give_up() - answer every waiting job with MM_ACCEPT_MOVED.
  * @s: the shard.
- * @holder: who gets them, or NULL when nobody is known.
+ * @holder: name of the instance that the jobs go to, or NULL when none is
+ *          known.
  */
 void
 mm_shard_give_up (mm_shard *s, const char *holder)
 {
-  char *keep = s->holder;
-  s->holder = g_strdup (holder);
-  settle (s, any_job, MM_ACCEPT_MOVED);
-  g_free (s->holder);
-  s->holder = keep;
+  char *previous = s->owner;
+  s->owner = g_strdup (holder);
+  answer_waiting (s, any_job, MM_ACCEPT_MOVED);
+  g_free (s->owner);
+  s->owner = previous;
 }
 
 /**
- * mm_shard_insist() - take the shard although it was lost just now.
- * @s: the shard; who took it is gone.
+ * mm_shard_insist() - end the hold-down that follows on being fenced.
+ * @s: the shard; the instance that took it is gone.
+ *
+ * The shard can then be taken back at once.
  */
 void
 mm_shard_insist (mm_shard *s)
 {
-  s->yielded_ms = 0;
+  s->fenced_ms = 0;
 }
 
 /**
  * mm_shard_release() - hand the shard over.
- * @s: the shard; its owed records go out first, and jobs that come
- *     meanwhile are MOVED.
+ * @s: the shard; nothing happens when this instance does not own it.
+ *
+ * Missing records of jobs that started unrecorded are appended first.  Jobs
+ * that come meanwhile are answered with MM_ACCEPT_MOVED.
  */
 void
 mm_shard_release (mm_shard *s)
 {
-  if (s->state != SHARD_HELD || s->releasing)
+  if (s->state != SHARD_OWNED || s->releasing)
     return;
   s->releasing = true;
   advance (s);
@@ -808,5 +850,5 @@
 uint32_t
 mm_shard_known_jobs (const mm_shard *s)
 {
-  return mm_known_count (s->known);
+  return mm_known_count (s->accepted);
 }
--- a/src/mm_shard.h
+++ b/src/mm_shard.h
@@ -1,7 +1,8 @@
-/* mm_shard: one shard of a data centre's jobs, owned by one entry
-   instance at a time.  The shard's stream in the platform's log decides
-   who: a new owner raises the stream's epoch, which shuts the old one
-   out, then reads which jobs were accepted before it.  Internal.  */
+/* mm_shard: one shard of a data centre's jobs, owned by one entry instance
+   at a time.  The shard's stream in the platform's log decides which: a new
+   owner reads which jobs were accepted before and raises the stream's
+   epoch, so that the log refuses appends of the previous owner.
+   Internal.  */
 #ifndef MM_SHARD_H
 #define MM_SHARD_H
 
@@ -9,8 +10,8 @@
 
 typedef enum
 {
-  MM_ACCEPT_FRESH,      /* recorded; nobody accepted it before */
-  MM_ACCEPT_KNOWN,      /* an earlier owner accepted it: recover it */
+  MM_ACCEPT_FRESH,      /* recorded; no instance accepted it before */
+  MM_ACCEPT_KNOWN,      /* accepted before: recover it */
   MM_ACCEPT_UNRECORDED, /* allowed by mm_shard_serve_unrecorded() */
   MM_ACCEPT_MOVED       /* another instance owns the shard now */
 } mm_accept_verdict;
@@ -18,9 +19,9 @@
 typedef struct
 {
   mm_accept_verdict verdict;
-  int64_t epoch;        /* ours; starts carry it */
-  uint64_t fingerprint; /* KNOWN: upstreams listed when accepted */
-  const char *holder;   /* MOVED: its name */
+  int64_t epoch;        /* of this instance; sent with each start */
+  uint64_t fingerprint; /* KNOWN: of the upstreams listed at acceptance */
+  const char *holder;   /* MOVED: name of the owner, or NULL */
 } mm_accept;
 
 typedef void (*mm_accept_cb) (const mm_accept *a, void *ctx);
@@ -33,14 +34,14 @@
   mm_counters *counters;
   char *platform_url;
   char *datacentre;
-  char *self;                           /* our member name */
+  char *self;                           /* this instance's member name */
   char *incarnation;                    /* "name#start", one per process */
-  mm_time_ms ttl_ms;                    /* accepts older than this go */
-  mm_time_ms accept_interval_ms;        /* least time between appends */
-  uint64_t (*fingerprint) (void *ctx);  /* upstreams listed now */
-  bool (*witnessed) (void *ctx);        /* some live instance was up before */
+  mm_time_ms ttl_ms;                    /* older accepted jobs are dropped */
+  mm_time_ms accept_interval_ms;        /* least time between accept records */
+  uint64_t (*fingerprint) (void *ctx);  /* of the upstreams listed now */
+  bool (*witnessed) (void *ctx);        /* a live instance was up before */
   void (*contact) (bool ok, void *ctx); /* a call to the log ended */
-  bool (*outage) (void *ctx);           /* nobody reaches the log */
+  bool (*outage) (void *ctx);           /* no instance reaches the log */
   void *ctx;
 } mm_shard_env;
 
@@ -48,27 +49,30 @@
 mm_shard *mm_shard_create (const mm_shard_env *env, uint32_t index);
 void mm_shard_destroy (mm_shard *s);
 void mm_shard_accept (mm_shard *s, const char *job_id, mm_accept_cb done,
-                      void *ctx); /* own the shard, record the job */
-void mm_shard_superseded (mm_shard *s, int64_t epoch); /* told by others */
-void mm_shard_cancel (mm_shard *s, void *ctx); /* forget a pending accept */
-typedef void (*mm_shard_verify_cb) (bool ours, void *ctx);
+                      void *ctx); /* take the shard, record the job */
+void mm_shard_superseded (mm_shard *s, int64_t epoch); /* higher epoch seen */
+void mm_shard_cancel (mm_shard *s, void *ctx); /* no answer is wanted */
+typedef void (*mm_shard_verify_cb) (bool owned, void *ctx);
 void mm_shard_verify (mm_shard *s, mm_shard_verify_cb done,
-                      void *ctx);              /* ask the log: still ours? */
-void mm_shard_take (mm_shard *s, bool polite); /* own it ahead of jobs */
+                      void *ctx); /* check ownership with the log */
+void mm_shard_take (mm_shard *s,
+                    bool only_if_released); /* before jobs arrive */
 bool mm_shard_held (const mm_shard *s);
 void mm_shard_remember (mm_shard *s, const char *job_id,
-                        uint64_t fingerprint); /* accepted, let go */
+                        uint64_t fingerprint); /* accepted, moved away */
 bool mm_shard_knows (const mm_shard *s, const char *job_id);
-bool mm_shard_owner_gap (const mm_shard *s);   /* taken without a release */
-bool mm_shard_unwitnessed (const mm_shard *s); /* see there */
-bool mm_shard_yielded (const mm_shard *s, mm_time_ms now); /* lost just now */
-const char *mm_shard_holder (const mm_shard *s); /* last known, or NULL */
-void mm_shard_insist (mm_shard *s);           /* the one who took it is gone */
+bool mm_shard_owner_gap (const mm_shard *s);   /* not released before */
+bool mm_shard_unwitnessed (const mm_shard *s); /* outage may be unknown */
+bool mm_shard_yielded (const mm_shard *s,
+                       mm_time_ms now); /* fenced recently */
+const char *
+mm_shard_holder (const mm_shard *s);          /* last known owner, or NULL */
+void mm_shard_insist (mm_shard *s);           /* end the hold-down */
 void mm_shard_retry (mm_shard *s);            /* after a failed call */
-void mm_shard_serve_unrecorded (mm_shard *s); /* the log is out: go on */
-void mm_shard_give_up (mm_shard *s, const char *holder); /* all MOVED */
+void mm_shard_serve_unrecorded (mm_shard *s); /* start without records */
+void mm_shard_give_up (mm_shard *s, const char *holder); /* answer all MOVED */
 bool mm_shard_waiting (const mm_shard *s);               /* accepts pending */
-void mm_shard_release (mm_shard *s); /* graceful hand-over */
+void mm_shard_release (mm_shard *s); /* graceful handover */
 uint32_t mm_shard_known_jobs (const mm_shard *s);
 
 #endif /* MM_SHARD_H */
