--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -1,5 +1,5 @@
-/* Ownership of upstreams through the store's groups, the upstream list
-   and the streams, under faults, on a clock that the test moves.  */
+/* Ownership of upstreams through the store's groups, the upstream list and
+   the streams, under faults.  The test sets the clock.  */
 #include "config.h"
 #include "mm_catalog.h"
 #include "mm_group_table.h"
@@ -12,10 +12,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PARTS 16
-#define NODES 3
+#define PARTITIONS 16
+#define INSTANCES 3
 #define CALL_MS 4
-/* Two hand-overs, one after the other, that nobody cuts short.  */
+/* Time for two handovers in a row, each of which takes its full time.  */
 #define HANDOVERS_MS (2 * (MM_HANDOVER_MS + MM_GROUP_BEAT_MS))
 
 static mm_time_ms now_ms;
@@ -30,23 +30,23 @@
 
 typedef struct
 {
-  bool cut;          /* calls get no answer and are not carried out */
-  bool lose_answers; /* carried out, not answered */
-  mm_time_ms slow_ms;
-} weather;
+  bool disconnected;   /* calls are neither carried out nor answered */
+  bool lose_answers;   /* calls are carried out, but not answered */
+  mm_time_ms delay_ms; /* added to the time of a call */
+} faults;
 
 typedef struct
 {
-  mm_time_ms at_ms;   /* carried out */
-  mm_time_ms done_ms; /* answered */
-  bool leave;
-  bool carried_out;
-  bool lost;
+  mm_time_ms execute_ms; /* when the store carries the call out */
+  mm_time_ms answer_ms;  /* when the caller gets the answer or a timeout */
+  bool leave;            /* a call to leave the group, else to join */
+  bool executed;
+  bool answer_lost;
   char member[32];
   uint64_t generation;
   mm_time_ms ttl_ms;
   mm_join_result result;
-  uint32_t parts[PARTS];
+  uint32_t parts[PARTITIONS];
   mm_join_done done;
   void *ctx;
 } store_call;
@@ -54,14 +54,14 @@
 typedef struct
 {
   mm_group_table *group;
-  weather *weather; /* of the node that calls */
+  faults *faults; /* of the instance that calls */
   GList **calls;
 } node_store;
 
 static void
-carry_out (mm_group_table *g, store_call *c)
+execute (mm_group_table *g, store_call *c)
 {
-  c->carried_out = true;
+  c->executed = true;
   c->result.ok = true;
   if (c->leave)
     {
@@ -70,7 +70,7 @@
     }
   c->result.generation
       = mm_group_table_join (g, c->member, c->generation, c->ttl_ms, now_ms);
-  for (uint32_t i = 0; i < PARTS; i++)
+  for (uint32_t i = 0; i < PARTITIONS; i++)
     {
       const char *holder = mm_group_table_holder (g, i);
       if (holder && strcmp (holder, c->member) == 0)
@@ -84,10 +84,13 @@
             mm_time_ms timeout_ms, mm_join_done done, void *ctx)
 {
   g_strlcpy (c->member, member, sizeof c->member);
-  mm_time_ms way = CALL_MS + s->weather->slow_ms;
-  c->at_ms = s->weather->cut ? G_MAXINT64 : now_ms + way / 2;
-  c->lost = s->weather->cut || s->weather->lose_answers;
-  c->done_ms = now_ms + (c->lost ? timeout_ms : MIN (way, timeout_ms));
+  mm_time_ms round_trip_ms = CALL_MS + s->faults->delay_ms;
+  c->execute_ms
+      = s->faults->disconnected ? G_MAXINT64 : now_ms + round_trip_ms / 2;
+  c->answer_lost = s->faults->disconnected || s->faults->lose_answers;
+  c->answer_ms
+      = now_ms
+        + (c->answer_lost ? timeout_ms : MIN (round_trip_ms, timeout_ms));
   c->result.why = "no answer";
   c->done = done;
   c->ctx = ctx;
@@ -118,82 +121,82 @@
 {
   mm_group_table *group;
   GList *calls;
-  weather weather[NODES];
-  node_store stores[NODES];
-  mm_shares *shares[NODES];
-} world;
+  faults faults[INSTANCES];
+  node_store stores[INSTANCES];
+  mm_shares *partitions[INSTANCES];
+} fixture;
 
-static world *
-world_create (void)
+static fixture *
+fixture_create (void)
 {
   now_ms = 1000;
   mm_clock_set_source (test_clock, NULL);
-  world *w = g_new0 (world, 1);
-  w->group = mm_group_table_create (PARTS);
-  return w;
+  fixture *f = g_new0 (fixture, 1);
+  f->group = mm_group_table_create (PARTITIONS);
+  return f;
 }
 
 static void
-world_join (world *w, int i)
+fixture_join (fixture *f, int i)
 {
-  w->stores[i] = (node_store){ .group = w->group,
-                               .weather = &w->weather[i],
-                               .calls = &w->calls };
+  f->stores[i] = (node_store){ .group = f->group,
+                               .faults = &f->faults[i],
+                               .calls = &f->calls };
   mm_store_port port
-      = { .join = store_join, .leave = store_leave, .ctx = &w->stores[i] };
+      = { .join = store_join, .leave = store_leave, .ctx = &f->stores[i] };
   char name[16];
   snprintf (name, sizeof name, "node%d", i);
-  w->shares[i] = mm_shares_create (&port, "room", name, PARTS);
+  f->partitions[i] = mm_shares_create (&port, "room", name, PARTITIONS);
 }
 
 static void
-world_step (world *w)
+fixture_step (fixture *f)
 {
   now_ms++;
-  mm_group_table_step (w->group, now_ms);
+  mm_group_table_step (f->group, now_ms);
   GList *next;
-  for (GList *l = w->calls; l; l = next)
+  for (GList *l = f->calls; l; l = next)
     {
       store_call *c = l->data;
-      if (!c->carried_out && now_ms >= c->at_ms)
-        carry_out (w->group, c);
+      if (!c->executed && now_ms >= c->execute_ms)
+        execute (f->group, c);
       next = l->next;
-      if (now_ms < c->done_ms)
+      if (now_ms < c->answer_ms)
         continue;
-      w->calls = g_list_delete_link (w->calls, l);
-      if (c->lost)
+      f->calls = g_list_delete_link (f->calls, l);
+      if (c->answer_lost)
         c->result.ok = false;
       c->done (&c->result, c->ctx);
       g_free (c);
     }
-  for (int i = 0; i < NODES; i++)
-    if (w->shares[i] && now_ms % MM_EXEC_TICK_MS == 0)
-      mm_shares_tick (w->shares[i]);
+  for (int i = 0; i < INSTANCES; i++)
+    if (f->partitions[i] && now_ms % MM_EXEC_TICK_MS == 0)
+      mm_shares_tick (f->partitions[i]);
 }
 
 static void
-world_run (world *w, mm_time_ms ms)
+fixture_run (fixture *f, mm_time_ms ms)
 {
   for (mm_time_ms i = 0; i < ms; i++)
-    world_step (w);
+    fixture_step (f);
 }
 
 static void
-world_destroy (world *w)
+fixture_destroy (fixture *f)
 {
-  for (int i = 0; i < NODES; i++)
-    mm_shares_destroy (w->shares[i]);
-  for (GList *l = w->calls; l; l = l->next)
+  for (int i = 0; i < INSTANCES; i++)
+    mm_shares_destroy (f->partitions[i]);
+  for (GList *l = f->calls; l; l = l->next)
     {
       store_call *c = l->data;
       c->result.ok = false;
       c->done (&c->result, c->ctx);
       g_free (c);
     }
-  g_list_free (w->calls);
-  mm_group_table_destroy (w->group);
+  g_list_free (f->calls);
+  mm_group_table_destroy (f->group);
   mm_clock_set_source (NULL, NULL);
-  g_free (w);
+  g_free (f);
 }
 
 #define UPSTREAMS 60
@@ -204,19 +207,20 @@
   snprintf (out, cap, "upstream-%d", i);
 }
 
-/* Instances that would start tasks there now, and the highest token.  */
+/* Counts the instances that own an upstream, and so may start tasks there.
+   Stores the highest of their fencing tokens in @highest.  */
 static int
-owners_of (const world *w, int upstream, uint64_t *highest)
+count_owners (const fixture *f, int upstream, uint64_t *highest)
 {
   char name[32];
   int n = 0;
   upstream_name (name, sizeof name, upstream);
   *highest = 0;
-  for (int i = 0; i < NODES; i++)
+  for (int i = 0; i < INSTANCES; i++)
     {
       uint64_t fence = 0;
-      if (w->shares[i]
-          && mm_shares_of (w->shares[i], name, &fence) == MM_SHARE_OURS)
+      if (f->partitions[i]
+          && mm_shares_of (f->partitions[i], name, &fence) == MM_SHARE_OURS)
         {
           n++;
           *highest = MAX (*highest, fence);
@@ -225,240 +229,249 @@
   return n;
 }
 
+/* Counts the upstreams that no instance owns.  */
 static int
-unowned (const world *w)
+count_unowned (const fixture *f)
 {
   int n = 0;
   uint64_t fence;
   for (int i = 0; i < UPSTREAMS; i++)
-    n += owners_of (w, i, &fence) == 0;
+    n += count_owners (f, i, &fence) == 0;
   return n;
 }
 
 static void
-assert_one_owner_each (const world *w)
+assert_one_owner_each (const fixture *f)
 {
   uint64_t fence;
   for (int i = 0; i < UPSTREAMS; i++)
-    ck_assert_int_eq (owners_of (w, i, &fence), 1);
+    ck_assert_int_eq (count_owners (f, i, &fence), 1);
 }
 
 static void
-assert_never_two_owners (world *w, mm_time_ms ms)
+assert_never_two_owners (fixture *f, mm_time_ms ms)
 {
   uint64_t fence;
   for (mm_time_ms t = 0; t < ms; t++)
     {
-      world_step (w);
+      fixture_step (f);
       for (int i = 0; i < UPSTREAMS; i++)
-        ck_assert_int_le (owners_of (w, i, &fence), 1);
+        ck_assert_int_le (count_owners (f, i, &fence), 1);
     }
 }
 
-/* Instances join one after the other, and one leaves.  With calm calls no
-   two of them ever believe to own one upstream, and none stays without.  */
+/* Instances join one after the other, and one leaves.  Without faults, two
+   instances must never own an upstream at the same time, and in the end each
+   upstream must have an owner.  */
 START_TEST (joining_and_leaving_never_makes_two_owners)
 {
-  world *w = world_create ();
-  world_join (w, 0);
-  assert_never_two_owners (w, 500);
-  assert_one_owner_each (w);
-  world_join (w, 1);
-  assert_never_two_owners (w, HANDOVERS_MS);
-  world_join (w, 2);
-  assert_never_two_owners (w, HANDOVERS_MS);
-  assert_one_owner_each (w);
-  mm_shares_leave (w->shares[1]);
-  assert_never_two_owners (w, 2000);
-  ck_assert (mm_shares_left (w->shares[1]));
-  assert_one_owner_each (w);
-  world_destroy (w);
+  fixture *f = fixture_create ();
+  fixture_join (f, 0);
+  assert_never_two_owners (f, 500);
+  assert_one_owner_each (f);
+  fixture_join (f, 1);
+  assert_never_two_owners (f, HANDOVERS_MS);
+  fixture_join (f, 2);
+  assert_never_two_owners (f, HANDOVERS_MS);
+  assert_one_owner_each (f);
+  mm_shares_leave (f->partitions[1]);
+  assert_never_two_owners (f, 2000);
+  ck_assert (mm_shares_left (f->partitions[1]));
+  assert_one_owner_each (f);
+  fixture_destroy (f);
 }
 END_TEST
 
 static void
-tell_other (void *ctx, const char *group)
+notify_all (void *ctx, const char *group)
 {
-  world *w = ctx;
-  for (int i = 0; i < NODES; i++)
-    if (w->shares[i])
-      mm_shares_hurry (w->shares[i]);
+  fixture *f = ctx;
+  for (int i = 0; i < INSTANCES; i++)
+    if (f->partitions[i])
+      mm_shares_hurry (f->partitions[i]);
 }
 
-/* Longest time for which some upstream had no owner, in @ms.  */
+/* Runs for @ms, in which instances release partitions as soon as they can.
+   Returns the longest time for which an upstream had no owner.  */
 static mm_time_ms
-longest_gap (world *w, mm_time_ms ms)
+longest_unowned_ms (fixture *f, mm_time_ms ms)
 {
-  mm_time_ms longest = 0, gap = 0;
+  mm_time_ms longest_ms = 0, unowned_ms = 0;
   for (mm_time_ms t = 0; t < ms; t++)
     {
-      world_step (w);
-      gap = unowned (w) ? gap + 1 : 0;
-      longest = MAX (longest, gap);
-      for (int i = 0; i < NODES; i++)
-        if (w->shares[i] && mm_shares_releasing (w->shares[i]))
-          mm_shares_release (w->shares[i]);
+      fixture_step (f);
+      unowned_ms = count_unowned (f) ? unowned_ms + 1 : 0;
+      longest_ms = MAX (longest_ms, unowned_ms);
+      for (int i = 0; i < INSTANCES; i++)
+        if (f->partitions[i] && mm_shares_releasing (f->partitions[i]))
+          mm_shares_release (f->partitions[i]);
     }
-  return longest;
-}
-
-/* An instance joins and gets half of the upstreams.  Their holder lets go of
-   them, and the newcomer learns of it only with its next call, up to 300 ms
-   later: nobody owned half of a data centre meanwhile, and its callers were
-   refused.  Told by the holder, it calls at once: two calls and two ticks.  */
-START_TEST (partitions_that_are_let_go_of_are_taken_at_once)
-{
-  world *w = world_create ();
-  world_join (w, 0);
-  mm_shares_events ev = { .handed = tell_other, .ctx = w };
-  mm_shares_on (w->shares[0], &ev);
-  world_run (w, 500);
-  world_join (w, 1);
-  mm_shares_on (w->shares[1], &ev);
-  ck_assert_int_le (longest_gap (w, 3000),
+  return longest_ms;
+}
+
+/* An instance joins and gets half of the upstreams.  If it learns only with
+   its next call, up to 300 ms later, that their owner has released them, no
+   instance owns half of a data centre's upstreams meanwhile and callers are
+   refused.  Notified by the previous owner, it calls the store at once: no
+   more than two calls and two ticks pass.  */
+START_TEST (released_partitions_are_taken_at_once)
+{
+  fixture *f = fixture_create ();
+  fixture_join (f, 0);
+  mm_shares_events ev = { .handed = notify_all, .ctx = f };
+  mm_shares_on (f->partitions[0], &ev);
+  fixture_run (f, 500);
+  fixture_join (f, 1);
+  mm_shares_on (f->partitions[1], &ev);
+  ck_assert_int_le (longest_unowned_ms (f, 3000),
                     2 * (CALL_MS + MM_EXEC_TICK_MS) + CALL_MS);
-  assert_one_owner_each (w);
-  mm_shares_leave (w->shares[0]);
-  ck_assert_int_le (longest_gap (w, 3000),
+  assert_one_owner_each (f);
+  mm_shares_leave (f->partitions[0]);
+  ck_assert_int_le (longest_unowned_ms (f, 3000),
                     2 * (CALL_MS + MM_EXEC_TICK_MS) + CALL_MS);
-  assert_one_owner_each (w);
-  world_destroy (w);
+  assert_one_owner_each (f);
+  fixture_destroy (f);
 }
 END_TEST
 
-/* An instance is cut off from the store for longer than its membership
-   lasts.  It goes on as owner, which it must if all are cut off; the one
-   that took over has a higher token for each upstream, so the upstreams
-   themselves refuse the old one.  Back in touch, one owner is left.  */
-START_TEST (cut_off_owner_is_outranked_by_its_successor)
-{
-  world *w = world_create ();
-  world_join (w, 0);
-  world_join (w, 1);
-  world_run (w, 4000);
+/* An instance is disconnected from the store for longer than its membership
+   lasts.  It continues as owner, as it must when all instances are
+   disconnected.  The instance that takes over has a higher fencing token for
+   each upstream, so the upstreams refuse the previous owner.  Once
+   connected again, each upstream must have one owner.  */
+START_TEST (disconnected_owner_is_fenced_by_its_successor)
+{
+  fixture *f = fixture_create ();
+  fixture_join (f, 0);
+  fixture_join (f, 1);
+  fixture_run (f, 4000);
   uint64_t before[UPSTREAMS], after;
   for (int i = 0; i < UPSTREAMS; i++)
-    owners_of (w, i, &before[i]);
-  w->weather[0].cut = true;
-  world_run (w, 4000);
-  int doubled = 0;
+    count_owners (f, i, &before[i]);
+  f->faults[0].disconnected = true;
+  fixture_run (f, 4000);
+  int with_two_owners = 0;
   for (int i = 0; i < UPSTREAMS; i++)
-    if (owners_of (w, i, &after) == 2)
+    if (count_owners (f, i, &after) == 2)
       {
-        doubled++;
+        with_two_owners++;
         ck_assert_uint_gt (after, before[i]);
       }
-  ck_assert_int_gt (doubled, 0);
-  w->weather[0].cut = false;
-  world_run (w, 6000);
-  assert_one_owner_each (w);
-  world_destroy (w);
+  ck_assert_int_gt (with_two_owners, 0);
+  f->faults[0].disconnected = false;
+  fixture_run (f, 6000);
+  assert_one_owner_each (f);
+  fixture_destroy (f);
 }
 END_TEST
 
-/* The whole store is away for ten seconds, and memberships lapse in it.
-   Serving goes on: nobody gives up an upstream meanwhile.  */
-START_TEST (outage_of_the_store_takes_no_upstream_away)
+/* The store does not answer any instance for ten seconds, and memberships
+   expire.  Instances must keep their upstreams meanwhile.  */
+START_TEST (store_outage_takes_no_upstream_away)
 {
-  world *w = world_create ();
-  world_join (w, 0);
-  world_join (w, 1);
-  world_run (w, 4000);
-  w->weather[0].cut = w->weather[1].cut = true;
+  fixture *f = fixture_create ();
+  fixture_join (f, 0);
+  fixture_join (f, 1);
+  fixture_run (f, 4000);
+  f->faults[0].disconnected = f->faults[1].disconnected = true;
   for (int i = 0; i < 10000; i++)
     {
-      world_step (w);
-      ck_assert_int_eq (unowned (w), 0);
+      fixture_step (f);
+      ck_assert_int_eq (count_unowned (f), 0);
     }
-  w->weather[0].cut = w->weather[1].cut = false;
-  world_run (w, 6000);
-  assert_one_owner_each (w);
-  world_destroy (w);
+  f->faults[0].disconnected = f->faults[1].disconnected = false;
+  fixture_run (f, 6000);
+  assert_one_owner_each (f);
+  fixture_destroy (f);
 }
 END_TEST
 
-/* The store answers 60 times slower than usual.  Memberships must not
-   lapse for that: each lapse takes upstreams away from their owner.  */
+/* The store answers 60 times slower than usual.  Memberships must not expire
+   because of that: an instance whose membership expires loses its
+   upstreams.  */
 START_TEST (slow_store_keeps_memberships)
 {
-  world *w = world_create ();
-  world_join (w, 0);
-  world_join (w, 1);
-  world_run (w, 4000);
-  w->weather[0].slow_ms = w->weather[1].slow_ms = 370;
-  uint64_t generation = mm_group_table_generation (w->group);
-  world_run (w, 8000);
-  ck_assert_uint_eq (mm_group_table_generation (w->group), generation);
-  world_destroy (w);
+  fixture *f = fixture_create ();
+  fixture_join (f, 0);
+  fixture_join (f, 1);
+  fixture_run (f, 4000);
+  f->faults[0].delay_ms = f->faults[1].delay_ms = 370;
+  uint64_t generation = mm_group_table_generation (f->group);
+  fixture_run (f, 8000);
+  ck_assert_uint_eq (mm_group_table_generation (f->group), generation);
+  fixture_destroy (f);
 }
 END_TEST
 
-/* The store deals all partitions anew, at once and unasked.  An owner may
-   learn late of it; whoever got them has the higher token.  */
-START_TEST (partitions_dealt_anew_get_higher_tokens)
-{
-  world *w = world_create ();
-  world_join (w, 0);
-  world_join (w, 1);
-  world_run (w, 4000);
-  uint64_t before = mm_group_table_generation (w->group), fence;
-  mm_group_table_deal_anew (w->group);
-  world_run (w, 3000);
-  assert_one_owner_each (w);
+/* The store reassigns all partitions at once, without a handover.  A previous
+   owner may learn of it late; the new owner must have the higher fencing
+   token.  */
+START_TEST (reassigned_partitions_get_higher_tokens)
+{
+  fixture *f = fixture_create ();
+  fixture_join (f, 0);
+  fixture_join (f, 1);
+  fixture_run (f, 4000);
+  uint64_t before = mm_group_table_generation (f->group), fence;
+  mm_group_table_deal_anew (f->group);
+  fixture_run (f, 3000);
+  assert_one_owner_each (f);
   int moved = 0;
   for (int i = 0; i < UPSTREAMS; i++)
     {
-      owners_of (w, i, &fence);
+      count_owners (f, i, &fence);
       moved += fence > before;
     }
   ck_assert_int_gt (moved, 0);
-  world_destroy (w);
+  fixture_destroy (f);
 }
 END_TEST
 
-/* Joins are carried out, their answers lost: the instance learns nothing
-   new, and must not count as gone either.  */
+/* Joins are carried out, but their answers are lost.  The instance learns of
+   no change meanwhile, and must not count as gone for that.  */
 START_TEST (lost_answers_keep_the_membership)
 {
-  world *w = world_create ();
-  world_join (w, 0);
-  world_join (w, 1);
-  world_run (w, 4000);
-  uint64_t generation = mm_group_table_generation (w->group);
-  w->weather[1].lose_answers = true;
-  world_run (w, 4500);
-  w->weather[1].lose_answers = false;
-  world_run (w, 1000);
-  ck_assert_uint_ge (mm_group_table_generation (w->group), generation);
-  world_run (w, 5000);
-  assert_one_owner_each (w);
-  world_destroy (w);
+  fixture *f = fixture_create ();
+  fixture_join (f, 0);
+  fixture_join (f, 1);
+  fixture_run (f, 4000);
+  uint64_t generation = mm_group_table_generation (f->group);
+  f->faults[1].lose_answers = true;
+  fixture_run (f, 4500);
+  f->faults[1].lose_answers = false;
+  fixture_run (f, 1000);
+  ck_assert_uint_ge (mm_group_table_generation (f->group), generation);
+  fixture_run (f, 5000);
+  assert_one_owner_each (f);
+  fixture_destroy (f);
 }
 END_TEST
 
-/* Fifty seeds of cuts, losses, slowness and new deals: tokens of two
-   claimants always differ, and calm ends with one owner each.  */
-START_TEST (random_weather_ends_with_one_owner_each)
+/* Fifty seeds of disconnections, lost answers, slow calls and reassignments.
+   Two instances may claim an upstream meanwhile, always with different fencing
+   tokens.  Once the faults have ended, each upstream must have one owner.  */
+START_TEST (random_faults_end_with_one_owner_each)
 {
   GRand *rnd = g_rand_new_with_seed ((guint32)_i);
-  world *w = world_create ();
-  for (int i = 0; i < NODES; i++)
-    world_join (w, i);
+  fixture *f = fixture_create ();
+  for (int i = 0; i < INSTANCES; i++)
+    fixture_join (f, i);
   for (int step = 0; step < 40; step++)
     {
-      weather *x = &w->weather[g_rand_int_range (rnd, 0, NODES)];
-      x->cut = g_rand_int_range (rnd, 0, 4) == 0;
-      x->lose_answers = g_rand_int_range (rnd, 0, 4) == 0;
-      x->slow_ms = g_rand_int_range (rnd, 0, 3) ? 0 : 300;
+      faults *instance_faults
+          = &f->faults[g_rand_int_range (rnd, 0, INSTANCES)];
+      instance_faults->disconnected = g_rand_int_range (rnd, 0, 4) == 0;
+      instance_faults->lose_answers = g_rand_int_range (rnd, 0, 4) == 0;
+      instance_faults->delay_ms = g_rand_int_range (rnd, 0, 3) ? 0 : 300;
       if (g_rand_int_range (rnd, 0, 10) == 0)
-        mm_group_table_deal_anew (w->group);
-      world_run (w, g_rand_int_range (rnd, 50, 900));
+        mm_group_table_deal_anew (f->group);
+      fixture_run (f, g_rand_int_range (rnd, 50, 900));
     }
-  for (int i = 0; i < NODES; i++)
-    w->weather[i] = (weather){ 0 };
-  world_run (w, 8000);
-  assert_one_owner_each (w);
-  world_destroy (w);
+  for (int i = 0; i < INSTANCES; i++)
+    f->faults[i] = (faults){ 0 };
+  fixture_run (f, 8000);
+  assert_one_owner_each (f);
+  fixture_destroy (f);
   g_rand_free (rnd);
 }
 END_TEST
@@ -466,7 +479,7 @@
 /* ---- the upstream list ------------------------------------------------ */
 
 static mm_upstream_info *
-some_upstream (const char *name)
+upstream_info (const char *name)
 {
   static mm_upstream_info u;
   u = (mm_upstream_info){ .name = (char *)name,
@@ -476,14 +489,15 @@
   return &u;
 }
 
-/* Entries lapse while the store is away and are back within two seconds of
-   its return.  Dropped at once, each living upstream lost what ran on it.  */
-START_TEST (missing_upstream_is_kept_for_a_while_of_contact)
+/* Entries of live upstreams expire during an outage of the store and are
+   listed again within two seconds after it.  If they were dropped at once,
+   each live upstream would lose the tasks that run on it.  */
+START_TEST (missing_upstream_is_dropped_after_grace_time)
 {
   now_ms = 1000;
   mm_clock_set_source (test_clock, NULL);
   mm_catalog *c = mm_catalog_create ();
-  mm_catalog_put (c, some_upstream ("a"), &(mm_catalog_origin){ 0 });
+  mm_catalog_put (c, upstream_info ("a"), &(mm_catalog_origin){ 0 });
   mm_catalog_missing (c, "a");
   for (int i = 0; i < 8000; i += 25)
     {
@@ -510,13 +524,14 @@
 
 /* ---- streams ---------------------------------------------------------- */
 
-/* A stream of keys, two a page, whose history can be dropped.  */
+/* A store with one stream of keys, read two to a page, whose history can be
+   dropped.  */
 typedef struct
 {
   const char *keys[8];
   size_t n_keys;
-  uint64_t end;
-  uint64_t first; /* offsets before it are gone */
+  uint64_t end;   /* offset past the newest record */
+  uint64_t first; /* records before this offset are gone */
   uint32_t newest_calls;
   uint32_t tail_calls;
   mm_stream_done done;
@@ -566,34 +581,34 @@
 
 typedef struct
 {
-  uint32_t items;
-  uint32_t wholes;
-  guint keys;
-  mm_time_ms pause_ms;
-} reading;
+  uint32_t items;      /* items read */
+  uint32_t full_reads; /* full reads completed */
+  guint keys;          /* keys in the last full read */
+  mm_time_ms pause_ms; /* between reads */
+} reader;
 
 static void
 on_item (void *ctx, const mm_stream_item *item)
 {
-  ((reading *)ctx)->items++;
+  ((reader *)ctx)->items++;
 }
 
 static void
-on_whole (void *ctx, GHashTable *keys)
+on_full_read (void *ctx, GHashTable *keys)
 {
-  reading *r = ctx;
-  r->wholes++;
+  reader *r = ctx;
+  r->full_reads++;
   r->keys = g_hash_table_size (keys);
 }
 
 static mm_time_ms
-reading_pause_ms (void *ctx)
+reader_pause_ms (void *ctx)
 {
-  return ((reading *)ctx)->pause_ms;
+  return ((reader *)ctx)->pause_ms;
 }
 
 static void
-turn (mm_stream *s, key_store *k)
+step_stream (mm_stream *s, key_store *k)
 {
   now_ms += 25;
   mm_stream_tick (s);
@@ -604,62 +619,65 @@
   done (&k->result, k->ctx);
 }
 
-/* The store drops its history: reading goes on from the newest records,
-   and what is not among them is gone, though no record said so.  */
+/* The store drops its history.  The stream must be read again from the newest
+   record of each key; keys that are not among these are gone, although no
+   record dropped them.  */
 START_TEST (dropped_history_is_read_again_from_the_newest)
 {
   now_ms = 1000;
   mm_clock_set_source (test_clock, NULL);
   key_store k = { .keys = { "a", "b", "c" }, .n_keys = 3, .end = 7 };
-  reading r = { 0 };
+  reader r = { 0 };
   mm_store_port port = { .newest = key_newest, .tail = key_tail, .ctx = &k };
   r.pause_ms = 100;
-  mm_stream_events ev = {
-    .item = on_item, .whole = on_whole, .pause_ms = reading_pause_ms, .ctx = &r
-  };
+  mm_stream_events ev = { .item = on_item,
+                          .whole = on_full_read,
+                          .pause_ms = reader_pause_ms,
+                          .ctx = &r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   for (int i = 0; i < 10; i++)
-    turn (s, &k);
-  ck_assert_uint_eq (r.wholes, 1);
+    step_stream (s, &k);
+  ck_assert_uint_eq (r.full_reads, 1);
   ck_assert_uint_eq (r.keys, 3);
   ck_assert_uint_gt (k.tail_calls, 0);
   k.first = k.end = 50;
   k.n_keys = 2;
   for (int i = 0; i < 20; i++)
-    turn (s, &k);
-  ck_assert_uint_eq (r.wholes, 2);
+    step_stream (s, &k);
+  ck_assert_uint_eq (r.full_reads, 2);
   ck_assert_uint_eq (r.keys, 2);
   mm_stream_destroy (s);
   mm_clock_set_source (NULL, NULL);
 }
 END_TEST
 
-/* An instance that holds no upstreams reads no list, and comes to hold some
-   later.  What it read before the pause may name upstreams that have left
-   since: it is not to be used before it was read again, also when an answer
-   from before the pause comes late.  */
-START_TEST (list_that_was_not_read_for_a_while_is_stale_until_it_is)
+/* An instance that owns no upstreams does not read the upstream list, and
+   owns some later.  The list that it read before this pause may name
+   upstreams that have left since, so it must not be used before it has been
+   read again, also when an answer to a read from before the pause comes
+   late.  */
+START_TEST (list_is_stale_after_a_pause_until_read_again)
 {
   now_ms = 1000;
   mm_clock_set_source (test_clock, NULL);
   key_store k = { .keys = { "a", "b" }, .n_keys = 2, .end = 7 };
-  reading r = { 0 };
+  reader r = { 0 };
   mm_store_port port = { .newest = key_newest, .tail = key_tail, .ctx = &k };
-  mm_stream_events ev = { .item = on_item, .whole = on_whole, .ctx = &r };
+  mm_stream_events ev = { .item = on_item, .whole = on_full_read, .ctx = &r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   ck_assert (!mm_stream_fresh (s));
   for (int i = 0; i < 10; i++)
-    turn (s, &k);
+    step_stream (s, &k);
   ck_assert (mm_stream_fresh (s));
   mm_stream_tick (s);
   uint32_t calls = k.tail_calls;
   for (int i = 0; i < 10; i++)
     mm_stream_pause (s);
   ck_assert (!mm_stream_fresh (s));
-  turn (s, &k);
+  step_stream (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls);
   ck_assert (!mm_stream_fresh (s));
-  turn (s, &k);
+  step_stream (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls + 1);
   ck_assert (mm_stream_fresh (s));
   mm_stream_destroy (s);
@@ -667,19 +685,21 @@
 }
 END_TEST
 
-/* An instance comes to hold upstreams in the same millisecond in which it held
-   none.  Its list was read after that, and must count: else it starts nothing
-   before it is read again, 0.8 s later.  */
+/* An instance gets upstreams in the same millisecond in which it paused
+   reading because it had none.  The list that it reads after the pause must
+   count as fresh; otherwise it starts no task until the next read, 0.8 s
+   later.  */
 START_TEST (list_read_in_the_millisecond_of_a_pause_is_fresh)
 {
   now_ms = 1000;
   mm_clock_set_source (test_clock, NULL);
   key_store k = { .keys = { "a", "b" }, .n_keys = 2, .end = 7 };
-  reading r = { .pause_ms = 800 };
+  reader r = { .pause_ms = 800 };
   mm_store_port port = { .newest = key_newest, .tail = key_tail, .ctx = &k };
-  mm_stream_events ev = {
-    .item = on_item, .whole = on_whole, .pause_ms = reading_pause_ms, .ctx = &r
-  };
+  mm_stream_events ev = { .item = on_item,
+                          .whole = on_full_read,
+                          .pause_ms = reader_pause_ms,
+                          .ctx = &r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   mm_stream_pause (s);
   mm_stream_tick (s);
@@ -691,7 +711,8 @@
 }
 END_TEST
 
-/* A stream whose changes are all of one size, read over a thin link.  */
+/* A store with one stream whose records all have one size, read over a link
+   of low bandwidth.  */
 typedef struct
 {
   uint64_t end;
@@ -700,26 +721,26 @@
   uint32_t newest_calls;
   uint32_t tail_calls;
   mm_time_ms timeout_ms; /* of the last call */
-  mm_time_ms at_ms;      /* and when it was made */
+  mm_time_ms called_ms;  /* when the last call was made */
   size_t max_bytes;
   mm_stream_done done;
   void *ctx;
   mm_stream_result result;
   mm_stream_item items[10];
-} thin_store;
+} slow_link_store;
 
-#define THIN_RECORD_BYTES 300
+#define RECORD_BYTES 300
 
 static void
-thin_newest (void *ctx, mm_stream_kind kind, const char *after,
-             mm_time_ms timeout_ms, mm_stream_done done, void *done_ctx)
+slow_link_newest (void *ctx, mm_stream_kind kind, const char *after,
+                  mm_time_ms timeout_ms, mm_stream_done done, void *done_ctx)
 {
   static char *const keys[]
       = { "a", "b", "c", "d", "e", "f", "g", "h", "i", "j" };
-  thin_store *k = ctx;
+  slow_link_store *k = ctx;
   k->newest_calls++;
   k->timeout_ms = timeout_ms;
-  k->at_ms = now_ms;
+  k->called_ms = now_ms;
   k->done = done;
   k->ctx = done_ctx;
   k->result = (mm_stream_result){ .ok = !k->down,
@@ -732,23 +753,24 @@
 }
 
 static void
-thin_tail (void *ctx, const mm_tail *t, mm_stream_done done, void *done_ctx)
+slow_link_tail (void *ctx, const mm_tail *t, mm_stream_done done,
+                void *done_ctx)
 {
-  thin_store *k = ctx;
+  slow_link_store *k = ctx;
   k->tail_calls++;
   k->timeout_ms = t->timeout_ms;
   k->max_bytes = t->max_bytes;
-  k->at_ms = now_ms;
+  k->called_ms = now_ms;
   k->done = done;
   k->ctx = done_ctx;
-  uint64_t n = MIN (k->end - t->from, t->max_bytes / THIN_RECORD_BYTES);
+  uint64_t n = MIN (k->end - t->from, t->max_bytes / RECORD_BYTES);
   k->result = (mm_stream_result){
     .ok = !k->down, .why = "no answer", .next = t->from + n, .end = k->end
   };
 }
 
 static void
-thin_turn (mm_stream *s, thin_store *k)
+slow_link_step (mm_stream *s, slow_link_store *k)
 {
   now_ms += 25;
   mm_stream_tick (s);
@@ -760,42 +782,45 @@
 }
 
 static mm_stream *
-thin_stream (thin_store *k, reading *r, mm_time_ms pause_ms)
+slow_link_stream (slow_link_store *k, reader *r, mm_time_ms pause_ms)
 {
   now_ms = 1000;
   mm_clock_set_source (test_clock, NULL);
-  mm_store_port port
-      = { .newest = thin_newest, .tail = thin_tail, .ctx = k, .link_mbps = 2 };
+  mm_store_port port = { .newest = slow_link_newest,
+                         .tail = slow_link_tail,
+                         .ctx = k,
+                         .link_mbps = 2 };
   r->pause_ms = pause_ms;
-  mm_stream_events ev = {
-    .item = on_item, .whole = on_whole, .pause_ms = reading_pause_ms, .ctx = r
-  };
+  mm_stream_events ev = { .item = on_item,
+                          .whole = on_full_read,
+                          .pause_ms = reader_pause_ms,
+                          .ctx = r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   for (int i = 0; i < 100 && !k->tail_calls; i++)
-    thin_turn (s, k);
+    slow_link_step (s, k);
   ck_assert (mm_stream_fresh (s));
   return s;
 }
 
-/* More changes have gathered than one answer may hold.  Read one answer a
-   pause, the list would fall behind further and further; the pieces that are
-   left are read at once, and until the last one nothing counts as fresh.  */
+/* There are more changes than one answer may hold.  With one answer per pause
+   the list would fall behind further and further.  The remaining chunks must
+   be read at once, and the list is not fresh before the last one.  */
 START_TEST (changes_beyond_one_answer_are_read_without_a_pause)
 {
-  thin_store k = { .end = 5 };
-  reading r = { 0 };
-  mm_stream *s = thin_stream (&k, &r, 900);
+  slow_link_store k = { .end = 5 };
+  reader r = { 0 };
+  mm_stream *s = slow_link_stream (&k, &r, 900);
   ck_assert_uint_le (k.max_bytes * 8 / 2000, 2 * MM_STREAM_PIECE_MS);
   mm_stream_pause (s);
   uint32_t calls = k.tail_calls;
-  k.end += k.max_bytes / THIN_RECORD_BYTES + 10;
-  thin_turn (s, &k);
+  k.end += k.max_bytes / RECORD_BYTES + 10;
+  slow_link_step (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls + 1);
   ck_assert (!mm_stream_fresh (s));
-  thin_turn (s, &k);
+  slow_link_step (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls + 2);
   ck_assert (mm_stream_fresh (s));
-  thin_turn (s, &k);
+  slow_link_step (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls + 2);
   ck_assert_uint_eq (k.newest_calls, 1);
   mm_stream_destroy (s);
@@ -803,41 +828,42 @@
 }
 END_TEST
 
-/* After an outage thousands of changes of ten upstreams wait to be read.  The
-   newest record of each is all that counts, and far less to read.  */
+/* After an outage there are thousands of changes of ten upstreams to read.
+   Only the newest record of each upstream matters, and reading these takes
+   far fewer bytes.  */
 START_TEST (newest_records_are_read_when_that_is_less)
 {
-  thin_store k = { .end = 5 };
-  reading r = { 0 };
-  mm_stream *s = thin_stream (&k, &r, 0);
+  slow_link_store k = { .end = 5 };
+  reader r = { 0 };
+  mm_stream *s = slow_link_stream (&k, &r, 0);
   k.end += 5000;
   for (int i = 0; i < 4; i++)
-    thin_turn (s, &k);
+    slow_link_step (s, &k);
   ck_assert_uint_eq (k.newest_calls, 2);
-  ck_assert_uint_eq (r.wholes, 2);
+  ck_assert_uint_eq (r.full_reads, 2);
   ck_assert (k.result.next == k.end);
   mm_stream_destroy (s);
   mm_clock_set_source (NULL, NULL);
 }
 END_TEST
 
-/* A record of 1 MB takes 4 s over a link of 2 Mbit/s, and nobody knows its
-   size before it is read: with the same timeout at each try it would never
+/* A record of 1 MB takes 4 s over a link of 2 Mbit/s, and its size is not
+   known before it is read.  With the same timeout at each try it would never
    arrive.  */
 START_TEST (read_that_fails_is_waited_for_longer_each_time)
 {
-  thin_store k = { .end = 5 };
-  reading r = { 0 };
-  mm_stream *s = thin_stream (&k, &r, 0);
+  slow_link_store k = { .end = 5 };
+  reader r = { 0 };
+  mm_stream *s = slow_link_stream (&k, &r, 0);
   k.down = true;
-  mm_time_ms before_ms = k.timeout_ms;
+  mm_time_ms first_timeout_ms = k.timeout_ms;
   for (int i = 0; i < 200; i++)
-    thin_turn (s, &k);
+    slow_link_step (s, &k);
   ck_assert_int_ge (k.timeout_ms, 8 * MM_STORE_ANSWER_MAX_BYTES / 2000);
   k.down = false;
   for (int i = 0; i < 20; i++)
-    thin_turn (s, &k);
-  ck_assert_int_eq (k.timeout_ms, before_ms);
+    slow_link_step (s, &k);
+  ck_assert_int_eq (k.timeout_ms, first_timeout_ms);
   mm_stream_destroy (s);
   mm_clock_set_source (NULL, NULL);
 }
@@ -850,16 +876,16 @@
   TCase *c = tcase_create ("faults");
   tcase_set_timeout (c, 60);
   tcase_add_test (c, joining_and_leaving_never_makes_two_owners);
-  tcase_add_test (c, partitions_that_are_let_go_of_are_taken_at_once);
-  tcase_add_test (c, cut_off_owner_is_outranked_by_its_successor);
-  tcase_add_test (c, outage_of_the_store_takes_no_upstream_away);
+  tcase_add_test (c, released_partitions_are_taken_at_once);
+  tcase_add_test (c, disconnected_owner_is_fenced_by_its_successor);
+  tcase_add_test (c, store_outage_takes_no_upstream_away);
   tcase_add_test (c, slow_store_keeps_memberships);
-  tcase_add_test (c, partitions_dealt_anew_get_higher_tokens);
+  tcase_add_test (c, reassigned_partitions_get_higher_tokens);
   tcase_add_test (c, lost_answers_keep_the_membership);
-  tcase_add_loop_test (c, random_weather_ends_with_one_owner_each, 0, 50);
-  tcase_add_test (c, missing_upstream_is_kept_for_a_while_of_contact);
+  tcase_add_loop_test (c, random_faults_end_with_one_owner_each, 0, 50);
+  tcase_add_test (c, missing_upstream_is_dropped_after_grace_time);
   tcase_add_test (c, dropped_history_is_read_again_from_the_newest);
-  tcase_add_test (c, list_that_was_not_read_for_a_while_is_stale_until_it_is);
+  tcase_add_test (c, list_is_stale_after_a_pause_until_read_again);
   tcase_add_test (c, list_read_in_the_millisecond_of_a_pause_is_fresh);
   tcase_add_test (c, changes_beyond_one_answer_are_read_without_a_pause);
   tcase_add_test (c, newest_records_are_read_when_that_is_less);
