--- a/src/mm_peer.c
+++ b/src/mm_peer.c
@@ -60,7 +60,7 @@
   ev_timer timer;
   peer_link *l;
   uint64_t req_id;
-} pending;
+} pending_request;
 
 struct peer_link
 {
@@ -70,7 +70,7 @@
   char *addr; /* the peer's "host:port"; NULL for an accepted link */
   ev_io read_io, write_io; /* watch fd for reading and writing */
   GByteArray *in, *out;    /* bytes received and bytes to send */
-  GHashTable *pending;     /* req_id -> pending */
+  GHashTable *pending;     /* req_id -> pending_request */
 };
 
 static void link_close (peer_link *l, const char *why);
@@ -120,7 +120,7 @@
 }
 
 static void
-answer_pending (pending *p, const mm_peer_answer *a)
+answer_pending (pending_request *p, const mm_peer_answer *a)
 {
   ev_timer_stop (p->l->peer->loop, &p->timer);
   p->done (a, p->ctx);
@@ -128,7 +128,7 @@
 }
 
 static void
-fail_pending (pending *p, int code, const char *why)
+fail_pending (pending_request *p, int code, const char *why)
 {
   mm_peer_answer a = { 0 };
   a.error = g_error_new (MM_ERROR, code, "peer link: %s", why);
@@ -188,7 +188,7 @@
            && f[4].type == MSGPACK_OBJECT_STR)
     {
       uint64_t status = 0, after = 0;
-      pending *p = g_hash_table_lookup (l->pending, &req);
+      pending_request *p = g_hash_table_lookup (l->pending, &req);
       ok = unpack_uint (&f[2], &status) && unpack_uint (&f[3], &after);
       if (ok && p)
         {
@@ -436,7 +436,7 @@
 static void
 timeout_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
-  pending *p = w->data;
+  pending_request *p = w->data;
   g_hash_table_remove (p->l->pending, &p->req_id);
   fail_pending (p, MM_ERROR_TIMEOUT, "no answer in time");
 }
@@ -456,7 +456,7 @@
       g_error_free (err);
       return;
     }
-  pending *request = g_new0 (pending, 1);
+  pending_request *request = g_new0 (pending_request, 1);
   request->done = done;
   request->ctx = ctx;
   request->l = l;
@@ -475,7 +475,8 @@
  * @hops: how often the job has been forwarded before.
  * @job: bytes from mm_job_pack().
  * @len: length of @job in bytes.
- * @timeout_ms: without an answer for this long, @done gets an error.
+ * @timeout_ms: without an answer for this long, @done gets MM_ERROR_TIMEOUT,
+ *              so that the caller is answered at once.
  * @done: called once with the answer or an error.
  * @ctx: context pointer for @done.
  */
--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -163,18 +163,17 @@
       g_queue_push_tail (&ready, l->data);
       g_queue_delete_link (&s->waiting, l);
     }
-  char *holder = g_strdup (s->owner);
+  char *owner = g_strdup (s->owner);
   waiting_job *w;
   while ((w = g_queue_pop_head (&ready)))
     {
-      mm_accept a
-          = { .verdict = verdict, .epoch = s->epoch, .holder = holder };
+      mm_accept a = { .verdict = verdict, .epoch = s->epoch, .holder = owner };
       mm_known_find (s->accepted, w->job_id, &a.fingerprint);
       if (w->done)
         w->done (&a, w->ctx);
       waiting_free (w);
     }
-  g_free (holder);
+  g_free (owner);
 }
 
 /* Another instance raised the epoch: this instance no longer owns the
@@ -806,14 +805,14 @@
 /**
  * mm_shard_give_up() - answer every waiting job with MM_ACCEPT_MOVED.
  * @s: the shard.
- * @holder: name of the instance that the jobs go to, or NULL when none is
+ * @target: name of the instance that the jobs go to, or NULL when none is
  *          known.
  */
 void
-mm_shard_give_up (mm_shard *s, const char *holder)
+mm_shard_give_up (mm_shard *s, const char *target)
 {
   char *previous = s->owner;
-  s->owner = g_strdup (holder);
+  s->owner = g_strdup (target);
   answer_waiting (s, any_job, MM_ACCEPT_MOVED);
   g_free (s->owner);
   s->owner = previous;
--- a/src/mm_shard.h
+++ b/src/mm_shard.h
@@ -70,7 +70,7 @@
 void mm_shard_insist (mm_shard *s);           /* end the hold-down */
 void mm_shard_retry (mm_shard *s);            /* after a failed call */
 void mm_shard_serve_unrecorded (mm_shard *s); /* start without records */
-void mm_shard_give_up (mm_shard *s, const char *holder); /* answer all MOVED */
+void mm_shard_give_up (mm_shard *s, const char *target); /* answer all MOVED */
 bool mm_shard_waiting (const mm_shard *s);               /* accepts pending */
 void mm_shard_release (mm_shard *s); /* graceful handover */
 uint32_t mm_shard_known_jobs (const mm_shard *s);
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -72,8 +72,8 @@
       = mm_group_table_join (g, c->member, c->generation, c->ttl_ms, now_ms);
   for (uint32_t i = 0; i < PARTITIONS; i++)
     {
-      const char *holder = mm_group_table_holder (g, i);
-      if (holder && strcmp (holder, c->member) == 0)
+      const char *owner = mm_group_table_holder (g, i);
+      if (owner && strcmp (owner, c->member) == 0)
         c->parts[c->result.n_parts++] = i;
     }
   c->result.parts = c->parts;
