--- a/fuzz/fuzz_decoders.c
+++ b/fuzz/fuzz_decoders.c
@@ -32,12 +32,12 @@
   mm_toml_destroy (parsed);
   g_clear_error (&err);
   mm_cfg *cfg = mm_cfg_create ("lima");
-  mm_cfg_offer (cfg, 0, text, &err);
+  mm_cfg_apply (cfg, 0, text, &err);
   mm_cfg_destroy (cfg);
   g_clear_error (&err);
   g_free (text);
   mm_quota *quota = mm_quota_create ();
-  mm_quota_take_report (quota, "peer", data, size, 0, &err);
+  mm_quota_apply_report (quota, "peer", data, size, 0, &err);
   mm_quota_destroy (quota);
   g_clear_error (&err);
   return 0;
--- a/src/config.h
+++ b/src/config.h
@@ -80,9 +80,9 @@
 #define MM_RECOVER_POLL_MS 100   /* between polls for tasks that still run */
 
 /* Team quotas over a data centre.  */
-#define MM_QUOTA_REPORT_MS 500      /* between reports to the peers */
-#define MM_QUOTA_REPORT_TTL_MS 1500 /* a peer's report counts this long */
-#define MM_QUOTA_MAX_ROWS 20u       /* teams in one report */
+#define MM_QUOTA_REPORT_MS 500        /* between reports to the peers */
+#define MM_QUOTA_REPORT_TTL_MS 1500   /* a peer's report counts this long */
+#define MM_QUOTA_REPORT_MAX_TEAMS 20u /* teams in one report */
 
 /* Platform stand-in.  */
 #define MM_DEFAULT_PLATFORM_PORT 7000
--- a/src/mm_known.c
+++ b/src/mm_accepted_jobs.c
@@ -1,16 +1,16 @@
-/* mm_known: see mm_known.h.  Jobs expire in the order in which they were
-   added, so expiry visits only the jobs that it drops.  */
-#include "mm_known.h"
+/* mm_accepted_jobs: see mm_accepted_jobs.h.  Jobs expire in the order in which
+   they were added, so expiry visits only the jobs that it drops.  */
+#include "mm_accepted_jobs.h"
 
 typedef struct
 {
   char *job_id;
   uint64_t fingerprint; /* of the upstreams listed at acceptance */
-  mm_time_ms added_ms;  /* time of the last mm_known_add() */
-  GList *link;          /* its element of mm_known.order */
+  mm_time_ms added_ms;  /* time of the last mm_accepted_jobs_add() */
+  GList *link;          /* its element of mm_accepted_jobs.order */
 } accepted_job;
 
-struct mm_known
+struct mm_accepted_jobs
 {
   GHashTable *jobs; /* job id -> accepted_job, owned */
   GQueue order;     /* accepted_job *, oldest first */
@@ -24,17 +24,17 @@
   g_free (j);
 }
 
-mm_known *
-mm_known_create (void)
+mm_accepted_jobs *
+mm_accepted_jobs_create (void)
 {
-  mm_known *k = g_new0 (mm_known, 1);
+  mm_accepted_jobs *k = g_new0 (mm_accepted_jobs, 1);
   k->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, job_free);
   g_queue_init (&k->order);
   return k;
 }
 
 void
-mm_known_destroy (mm_known *k)
+mm_accepted_jobs_destroy (mm_accepted_jobs *k)
 {
   if (!k)
     return;
@@ -44,14 +44,14 @@
 }
 
 static void
-drop (mm_known *k, accepted_job *j)
+drop (mm_accepted_jobs *k, accepted_job *j)
 {
   g_queue_delete_link (&k->order, j->link);
   g_hash_table_remove (k->jobs, j->job_id);
 }
 
 /**
- * mm_known_add() - add a job that was accepted before.
+ * mm_accepted_jobs_add() - add a job that was accepted before.
  * @k: the set.
  * @job_id: the job, copied.
  * @fingerprint: mm_pool_list_fingerprint() when the job was accepted.
@@ -60,8 +60,8 @@
  * Replaces the entry of a job that is in the set already.
  */
 void
-mm_known_add (mm_known *k, const char *job_id, uint64_t fingerprint,
-              mm_time_ms now)
+mm_accepted_jobs_add (mm_accepted_jobs *k, const char *job_id,
+                      uint64_t fingerprint, mm_time_ms now)
 {
   accepted_job *old = g_hash_table_lookup (k->jobs, job_id);
   if (old)
@@ -76,7 +76,8 @@
 }
 
 bool
-mm_known_find (const mm_known *k, const char *job_id, uint64_t *fingerprint)
+mm_accepted_jobs_find (const mm_accepted_jobs *k, const char *job_id,
+                       uint64_t *fingerprint)
 {
   const accepted_job *j = g_hash_table_lookup (k->jobs, job_id);
   if (j && fingerprint)
@@ -85,12 +86,12 @@
 }
 
 /**
- * mm_known_expire() - drop jobs whose answers are no longer kept.
+ * mm_accepted_jobs_expire() - drop jobs whose answers are no longer kept.
  * @k: the set.
  * @before: jobs added before this time are dropped.
  */
 void
-mm_known_expire (mm_known *k, mm_time_ms before)
+mm_accepted_jobs_expire (mm_accepted_jobs *k, mm_time_ms before)
 {
   accepted_job *j;
   while ((j = g_queue_peek_head (&k->order)) && j->added_ms < before)
@@ -98,7 +99,7 @@
 }
 
 uint32_t
-mm_known_count (const mm_known *k)
+mm_accepted_jobs_count (const mm_accepted_jobs *k)
 {
   return g_hash_table_size (k->jobs);
 }
--- /dev/null
+++ b/src/mm_accepted_jobs.h
@@ -0,0 +1,21 @@
+/* mm_accepted_jobs: ids of accepted jobs that this instance does not store:
+   jobs that the shard's log lists as accepted by an earlier owner, and jobs
+   that have moved to another instance.  Internal.  */
+#ifndef MM_ACCEPTED_JOBS_H
+#define MM_ACCEPTED_JOBS_H
+
+#include "masticmill.h"
+
+typedef struct mm_accepted_jobs mm_accepted_jobs;
+mm_accepted_jobs *mm_accepted_jobs_create (void);
+void mm_accepted_jobs_destroy (mm_accepted_jobs *k);
+void mm_accepted_jobs_add (mm_accepted_jobs *k, const char *job_id,
+                           uint64_t fingerprint,
+                           mm_time_ms now); /* replaces an older entry */
+bool mm_accepted_jobs_find (const mm_accepted_jobs *k, const char *job_id,
+                            uint64_t *fingerprint); /* false: not in the set */
+void mm_accepted_jobs_expire (mm_accepted_jobs *k,
+                              mm_time_ms before); /* drop jobs added earlier */
+uint32_t mm_accepted_jobs_count (const mm_accepted_jobs *k);
+
+#endif /* MM_ACCEPTED_JOBS_H */
--- a/src/mm_cfg.c
+++ b/src/mm_cfg.c
@@ -28,39 +28,41 @@
   int64_t head;      /* offset of the last accepted record, -1: none yet */
   int64_t origin;    /* offset of the change that the head is or copies */
   char *head_record; /* JSON text of the head, or NULL */
-  mm_knobs settings; /* settings in force */
-  uint64_t rejected; /* records refused */
+  mm_cfg_settings settings; /* settings in force */
+  uint64_t rejected;        /* records refused */
 };
 
 const mm_setting_spec mm_cfg_setting_specs[] = {
   { "limits.max_tasks_per_job", MM_SETTING_INT,
-    offsetof (mm_knobs, max_tasks_per_job), 1, 100000, "largest job" },
+    offsetof (mm_cfg_settings, max_tasks_per_job), 1, 100000, "largest job" },
   { "limits.max_queued_tasks", MM_SETTING_INT,
-    offsetof (mm_knobs, max_queued_tasks), 1, 10000000,
+    offsetof (mm_cfg_settings, max_queued_tasks), 1, 10000000,
     "tasks waiting or running on one instance" },
   { "limits.team_max_queued_tasks", MM_SETTING_INT,
-    offsetof (mm_knobs, team_max_queued_tasks), 1, 10000000,
+    offsetof (mm_cfg_settings, team_max_queued_tasks), 1, 10000000,
     "tasks of one team waiting or running in a data centre" },
-  { "teams.*", MM_SETTING_INT_TABLE, offsetof (mm_knobs, team_quotas), 1,
-    10000000, "tasks of the named team waiting or running in a data centre" },
-  { "dispatch.retry_budget", MM_SETTING_INT, offsetof (mm_knobs, retry_budget),
-    0, 10, "retries per idempotent task" },
+  { "teams.*", MM_SETTING_INT_TABLE, offsetof (mm_cfg_settings, team_quotas),
+    1, 10000000,
+    "tasks of the named team waiting or running in a data centre" },
+  { "dispatch.retry_budget", MM_SETTING_INT,
+    offsetof (mm_cfg_settings, retry_budget), 0, 10,
+    "retries per idempotent task" },
   { "dispatch.timeout_ms", MM_SETTING_INT,
-    offsetof (mm_knobs, dispatch_timeout_ms), 10, 600000,
+    offsetof (mm_cfg_settings, dispatch_timeout_ms), 10, 600000,
     "upstream call timeout" },
   { "dispatch.retry_after_s", MM_SETTING_INT,
-    offsetof (mm_knobs, retry_after_s), 1, 3600,
+    offsetof (mm_cfg_settings, retry_after_s), 1, 3600,
     "Retry-After sent to refused callers" },
   { "dispatch.eject_after_failures", MM_SETTING_INT,
-    offsetof (mm_knobs, eject_after_failures), 1, 1000,
+    offsetof (mm_cfg_settings, eject_after_failures), 1, 1000,
     "failures in a row that eject an upstream" },
-  { "dispatch.eject_ms", MM_SETTING_INT, offsetof (mm_knobs, eject_ms), 10,
-    3600000, "how long an ejection lasts" },
+  { "dispatch.eject_ms", MM_SETTING_INT, offsetof (mm_cfg_settings, eject_ms),
+    10, 3600000, "how long an ejection lasts" },
   { NULL },
 };
 
 void
-mm_cfg_settings_clear (mm_knobs *k)
+mm_cfg_settings_clear (mm_cfg_settings *k)
 {
   if (k->team_quotas)
     g_hash_table_destroy (k->team_quotas);
@@ -68,7 +70,7 @@
 }
 
 /**
- * mm_knobs_team_quota() - get a team's quota in a data centre.
+ * mm_cfg_settings_team_quota() - get a team's quota in a data centre.
  * @k: the settings in force.
  * @team: the team.
  *
@@ -76,7 +78,7 @@
  * centre: its entry in the table "teams", or the default for all teams.
  */
 int64_t
-mm_knobs_team_quota (const mm_knobs *k, const char *team)
+mm_cfg_settings_team_quota (const mm_cfg_settings *k, const char *team)
 {
   gpointer quota
       = k->team_quotas ? g_hash_table_lookup (k->team_quotas, team) : NULL;
@@ -84,7 +86,7 @@
 }
 
 void
-mm_cfg_settings_defaults (mm_knobs *k)
+mm_cfg_settings_defaults (mm_cfg_settings *k)
 {
   k->team_quotas = NULL;
   k->max_tasks_per_job = MM_DEFAULT_MAX_TASKS_PER_JOB;
@@ -121,7 +123,7 @@
 /* Builds the settings of one site from a record: the defaults, then the
    base, then the site's overlay.  Without @site no overlay is applied.  */
 static bool
-settings_for_site (const cJSON *rec, const char *site, mm_knobs *out,
+settings_for_site (const cJSON *rec, const char *site, mm_cfg_settings *out,
                    GError **error)
 {
   const cJSON *base = cJSON_GetObjectItemCaseSensitive (rec, "base");
@@ -162,7 +164,7 @@
 static bool
 valid_for_all_sites (const cJSON *rec, GError **error)
 {
-  mm_knobs k;
+  mm_cfg_settings k;
   if (!settings_for_site (rec, NULL, &k, error))
     return false;
   mm_cfg_settings_clear (&k);
@@ -184,7 +186,7 @@
 apply_record (mm_cfg *c, int64_t offset, const cJSON *rec, const char *text,
               GError **error)
 {
-  mm_knobs k;
+  mm_cfg_settings k;
   if (!valid_for_all_sites (rec, error)
       || !settings_for_site (rec, c->site, &k, error))
     {
@@ -206,7 +208,7 @@
 }
 
 /**
- * mm_cfg_offer() - apply the next record of the config stream.
+ * mm_cfg_apply() - apply the next record of the config stream.
  * @c: the config state.
  * @offset: the record's log offset; records must come in log order.
  * @record: the record's JSON text.
@@ -218,7 +220,7 @@
  * without @error when its offset is not past the head.
  */
 bool
-mm_cfg_offer (mm_cfg *c, int64_t offset, const char *record, GError **error)
+mm_cfg_apply (mm_cfg *c, int64_t offset, const char *record, GError **error)
 {
   if (offset <= c->head)
     return false; /* already read: the head never moves back */
@@ -249,7 +251,7 @@
  * @c: the config state, just created.
  * @offset: the record's log offset.
  * @record: the record's JSON text.
- * @error: as for mm_cfg_offer(), but never MM_ERROR_CONFIG_REJECTED.
+ * @error: as for mm_cfg_apply(), but never MM_ERROR_CONFIG_REJECTED.
  *
  * An instance that starts after retention has dropped the start of the
  * stream adopts the head that live instances report.
@@ -275,8 +277,8 @@
   return c->head;
 }
 
-const mm_knobs *
-mm_cfg_knobs (const mm_cfg *c)
+const mm_cfg_settings *
+mm_cfg_current (const mm_cfg *c)
 {
   return &c->settings;
 }
--- a/src/mm_cfg.h
+++ b/src/mm_cfg.h
@@ -16,25 +16,26 @@
   int64_t retry_after_s;         /* Retry-After of refusals */
   int64_t eject_after_failures;  /* failures in a row eject an upstream */
   int64_t eject_ms;              /* how long an ejection lasts */
-} mm_knobs;
+} mm_cfg_settings;
 
 extern const mm_setting_spec mm_cfg_setting_specs[];
-void mm_cfg_settings_defaults (mm_knobs *k);
-void mm_cfg_settings_clear (mm_knobs *k); /* free its fields */
-int64_t mm_knobs_team_quota (const mm_knobs *k, const char *team);
+void mm_cfg_settings_defaults (mm_cfg_settings *k);
+void mm_cfg_settings_clear (mm_cfg_settings *k); /* free its fields */
+int64_t mm_cfg_settings_team_quota (const mm_cfg_settings *k,
+                                    const char *team);
 
 typedef struct mm_cfg mm_cfg;
 mm_cfg *mm_cfg_create (const char *site);
 void mm_cfg_destroy (mm_cfg *c);
-bool mm_cfg_offer (mm_cfg *c, int64_t offset, const char *record,
+bool mm_cfg_apply (mm_cfg *c, int64_t offset, const char *record,
                    GError **error); /* apply if its parent is the head */
 bool mm_cfg_adopt (mm_cfg *c, int64_t offset, const char *record,
                    GError **error);    /* no parent check, at a start */
 int64_t mm_cfg_head (const mm_cfg *c); /* its offset, -1: none yet */
-const mm_knobs *mm_cfg_knobs (const mm_cfg *c);   /* in force */
-const char *mm_cfg_head_record (const mm_cfg *c); /* JSON, or NULL */
-char *mm_cfg_snapshot_record (const mm_cfg *c);   /* a copy of the head */
-uint64_t mm_cfg_rejected (const mm_cfg *c);       /* records refused */
+const mm_cfg_settings *mm_cfg_current (const mm_cfg *c); /* in force */
+const char *mm_cfg_head_record (const mm_cfg *c);        /* JSON, or NULL */
+char *mm_cfg_snapshot_record (const mm_cfg *c); /* a copy of the head */
+uint64_t mm_cfg_rejected (const mm_cfg *c);     /* records refused */
 char *
 mm_cfg_make_record (const char *kind, int64_t parent, const char *base,
                     const char *const *sites,
--- a/src/mm_entry.c
+++ b/src/mm_entry.c
@@ -277,7 +277,7 @@
   cJSON_AddNumberToObject (o, "config_offset", (double)mm_cfg_head (e->cfg));
   cJSON_AddNumberToObject (o, "config_rejected",
                            (double)mm_cfg_rejected (e->cfg));
-  const mm_knobs *k = mm_cfg_knobs (e->cfg);
+  const mm_cfg_settings *k = mm_cfg_current (e->cfg);
   cJSON *ko = cJSON_AddObjectToObject (o, "config");
   cJSON_AddNumberToObject (ko, "max_tasks_per_job",
                            (double)k->max_tasks_per_job);
@@ -302,7 +302,7 @@
       cJSON_AddItemToArray (ups, u);
     }
   cJSON_AddNumberToObject (o, "tasks_queued", e->tasks_queued);
-  cJSON_AddNumberToObject (o, "teams", mm_quota_teams (e->quota));
+  cJSON_AddNumberToObject (o, "teams", mm_quota_team_count (e->quota));
   cJSON_AddNumberToObject (o, "queue_length", e->queue.length);
   cJSON_AddNumberToObject (o, "answers_kept", g_hash_table_size (e->answers));
   mm_entry_shards_dump (e, o);
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -122,7 +122,7 @@
 {
   mm_entry *e = ej->entry;
   uint32_t ran = finish_open_tasks (ej, owned);
-  uint32_t retry_s = (uint32_t)mm_cfg_knobs (e->cfg)->retry_after_s;
+  uint32_t retry_s = (uint32_t)mm_cfg_current (e->cfg)->retry_after_s;
   mm_counters_add (e->counters, "jobs_failed", 1);
   g_message ("job %s failed: %s", ej->job->id, ej->fail_why);
   char *answer = mm_entry_answer_json (ej, "failed", ej->fail_code,
@@ -202,7 +202,7 @@
   mm_entry *e = ej->entry;
   mm_counters_add (e->counters, "jobs_moved", 1);
   if (ej->phase != MM_JOB_ACCEPTING)
-    mm_shard_remember (ej->shard, ej->job->id, ej->fingerprint);
+    mm_shard_add_accepted (ej->shard, ej->job->id, ej->fingerprint);
   finish_open_tasks (ej, false);
   job_remove (ej);
   for (guint i = 0; i < ej->waiters->len; i++)
@@ -269,7 +269,7 @@
                               const char *result)
 {
   mm_entry *e = ej->entry;
-  const mm_knobs *k = mm_cfg_knobs (e->cfg);
+  const mm_cfg_settings *k = mm_cfg_current (e->cfg);
   switch (o)
     {
     case MM_OUTCOME_OK:
@@ -294,7 +294,7 @@
       t->attempts--;
       t->state = MM_TASK_PENDING;
       mm_shard_superseded (ej->shard, 0);
-      mm_entry_job_moved (ej, mm_shard_holder (ej->shard));
+      mm_entry_job_moved (ej, mm_shard_owner (ej->shard));
       return;
     case MM_OUTCOME_FAILED:
     case MM_OUTCOME_LOST:
@@ -329,7 +329,7 @@
 mm_entry_handle_upstream_outcome (mm_entry *e, int upstream, mm_outcome o,
                                   int64_t mode_seq)
 {
-  const mm_knobs *k = mm_cfg_knobs (e->cfg);
+  const mm_cfg_settings *k = mm_cfg_current (e->cfg);
   if (mm_pool_task_ended (e->pool, upstream, o, mode_seq, mm_clock_now_ms (),
                           (uint32_t)k->eject_after_failures, k->eject_ms))
     mm_entry_notify_ejected (e, mm_pool_at (e->pool, upstream)->name);
@@ -390,7 +390,7 @@
   mm_pool_task_sent (e->pool, upstream);
   mm_counters_add (e->counters, "tasks_sent", 1);
   mm_http_client_call (e->upstream_client, "POST", url, body,
-                       mm_cfg_knobs (e->cfg)->dispatch_timeout_ms,
+                       mm_cfg_current (e->cfg)->dispatch_timeout_ms,
                        task_answered, s);
   g_free (url);
   free (body);
@@ -449,7 +449,7 @@
                         : mm_pool_list_fingerprint (e->pool);
   switch (a->verdict)
     {
-    case MM_ACCEPT_FRESH:
+    case MM_ACCEPT_RECORDED:
       ej->earlier_accept = mm_entry_earlier_accept (e, ej->job->id);
       if (ej->earlier_accept == MM_EARLIER_ACCEPT_POSSIBLE)
         mm_entry_recover (ej, false, 0);
--- a/src/mm_entry_notify.c
+++ b/src/mm_entry_notify.c
@@ -39,7 +39,7 @@
 quota_of (const char *team, void *ctx)
 {
   mm_entry *e = ctx;
-  return mm_knobs_team_quota (mm_cfg_knobs (e->cfg), team);
+  return mm_cfg_settings_team_quota (mm_cfg_current (e->cfg), team);
 }
 
 static void
@@ -57,8 +57,8 @@
 apply_usage (mm_entry *e, const char *peer, const uint8_t *data, size_t len)
 {
   GError *err = NULL;
-  if (!mm_quota_take_report (e->quota, peer, data, len, mm_clock_now_ms (),
-                             &err))
+  if (!mm_quota_apply_report (e->quota, peer, data, len, mm_clock_now_ms (),
+                              &err))
     {
       g_warning ("%s from %s", err->message, peer);
       g_error_free (err);
--- a/src/mm_entry_platform.c
+++ b/src/mm_entry_platform.c
@@ -223,7 +223,7 @@
   char *text = cJSON_PrintUnformatted (data);
   GError *err = NULL;
   int64_t old_head = mm_cfg_head (e->cfg);
-  if (mm_cfg_offer (e->cfg, offset, text, &err))
+  if (mm_cfg_apply (e->cfg, offset, text, &err))
     {
       e->head_refreshed_ms = mm_clock_now_ms ();
       mm_counters_add (e->counters, "config_applied", 1);
--- a/src/mm_entry_route.c
+++ b/src/mm_entry_route.c
@@ -57,7 +57,7 @@
 static uint32_t
 retry_after_s (mm_entry *e)
 {
-  return (uint32_t)mm_cfg_knobs (e->cfg)->retry_after_s;
+  return (uint32_t)mm_cfg_current (e->cfg)->retry_after_s;
 }
 
 static void
@@ -162,7 +162,7 @@
 unpack (mm_entry *e, const uint8_t *data, size_t len, GError **error)
 {
   return mm_job_unpack (
-      data, len, (uint32_t)mm_cfg_knobs (e->cfg)->max_tasks_per_job, error);
+      data, len, (uint32_t)mm_cfg_current (e->cfg)->max_tasks_per_job, error);
 }
 
 static void
@@ -351,7 +351,7 @@
   const char *body = mm_http_request_body (req, &len);
   GError *err = NULL;
   mm_job *job = mm_job_parse_json (
-      body, len, (uint32_t)mm_cfg_knobs (e->cfg)->max_tasks_per_job, &err);
+      body, len, (uint32_t)mm_cfg_current (e->cfg)->max_tasks_per_job, &err);
   mm_waiter *w = g_new0 (mm_waiter, 1);
   w->http = req;
   if (job)
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -107,14 +107,14 @@
   if (current_standing (e, &contact_peer) == MM_STANDING_CUT
       && is_routable (e, contact_peer))
     return contact_peer;
-  if (mm_shard_held (s) && !e->shutting_down)
+  if (mm_shard_owned (s) && !e->shutting_down)
     return NULL;
   /* An instance that was fenced, or that cannot reach the log to take the
      shard, passes the job to the holder.  */
-  if ((mm_shard_yielded (s, mm_clock_now_ms ())
+  if ((mm_shard_recently_fenced (s, mm_clock_now_ms ())
        || mm_contact_lost (e->contact, mm_clock_now_ms ()))
-      && is_routable (e, mm_shard_holder (s)))
-    return mm_shard_holder (s);
+      && is_routable (e, mm_shard_owner (s)))
+    return mm_shard_owner (s);
   return rendezvous_owner (e, shard_index (e, s));
 }
 
@@ -132,10 +132,10 @@
 mm_entry_check_holder (mm_entry *e, const char *job_id)
 {
   mm_shard *s = mm_entry_shard_of (e, job_id);
-  const char *holder = mm_shard_holder (s);
+  const char *holder = mm_shard_owner (s);
   if (holder && strcmp (holder, e->settings.name) != 0
       && !is_routable (e, holder))
-    mm_shard_insist (s);
+    mm_shard_end_hold_down (s);
 }
 
 /**
@@ -195,12 +195,12 @@
   mm_shard *s = e->shards[i];
   mm_time_ms now = mm_clock_now_ms ();
   bool settled = now - e->peers_changed_ms > MM_PEERS_SETTLE_MS;
-  if (mm_shard_held (s))
+  if (mm_shard_owned (s))
     {
       if (verify_due (e))
         mm_shard_verify (s, ignore_verified, NULL);
     }
-  else if (!rendezvous_owner (e, i) && !mm_shard_yielded (s, now))
+  else if (!rendezvous_owner (e, i) && !mm_shard_recently_fenced (s, now))
     mm_shard_take (s, !settled);
 }
 
@@ -237,13 +237,13 @@
 mm_entry_earlier_accept (mm_entry *e, const char *job_id)
 {
   mm_shard *s = mm_entry_shard_of (e, job_id);
-  if (mm_shard_knows (s, job_id))
+  if (mm_shard_accepted_before (s, job_id))
     return MM_EARLIER_ACCEPT_KNOWN;
   if (!*e->settings.platform_url)
     return MM_EARLIER_ACCEPT_NONE;
-  if (!mm_shard_held (s)
-      || (mm_shard_owner_gap (s)
-          && (mm_shard_unwitnessed (s) || outage_within_ttl (e))))
+  if (!mm_shard_owned (s)
+      || (mm_shard_unclean_takeover (s)
+          && (mm_shard_unobserved (s) || outage_within_ttl (e))))
     return MM_EARLIER_ACCEPT_POSSIBLE;
   return MM_EARLIER_ACCEPT_NONE;
 }
@@ -306,16 +306,16 @@
       mm_shard_retry (s);
       break;
     case MM_STANDING_OUTAGE:
-      if (mm_shard_held (s))
+      if (mm_shard_owned (s))
         mm_shard_serve_unrecorded (s);
-      else if (mm_shard_waiting (s))
-        mm_shard_give_up (s, NULL);
+      else if (mm_shard_has_waiting (s))
+        mm_shard_redirect_waiting (s, NULL);
       break;
     case MM_STANDING_CUT:
-      mm_shard_give_up (s, peer);
+      mm_shard_redirect_waiting (s, peer);
       break;
     case MM_STANDING_ALONE:
-      mm_shard_give_up (s, NULL);
+      mm_shard_redirect_waiting (s, NULL);
       break;
     }
 }
@@ -397,7 +397,7 @@
     .fingerprint = listed_fingerprint,
     .contact = record_contact,
     .outage = in_outage,
-    .witnessed = has_witness,
+    .observed_before = has_witness,
     .ctx = e,
   };
   e->shards = g_new0 (mm_shard *, e->settings.shards);
@@ -448,7 +448,7 @@
 {
   uint32_t held = 0;
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
-    if (mm_shard_held (e->shards[i]))
+    if (mm_shard_owned (e->shards[i]))
       {
         held++;
         mm_shard_release (e->shards[i]);
@@ -473,9 +473,9 @@
   uint32_t known = 0;
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
     {
-      if (mm_shard_held (e->shards[i]))
+      if (mm_shard_owned (e->shards[i]))
         cJSON_AddItemToArray (held, cJSON_CreateNumber (i));
-      known += mm_shard_known_jobs (e->shards[i]);
+      known += mm_shard_accepted_count (e->shards[i]);
     }
   cJSON_AddNumberToObject (o, "jobs_known_from_earlier_owners", known);
   cJSON_AddStringToObject (out, "standing",
--- a/src/mm_quota.c
+++ b/src/mm_quota.c
@@ -4,8 +4,8 @@
    instance alone knows how many tasks a team has.  A few times a second,
    each instance reports to its peers the teams that use at least 1/(4n) of
    their quota on it, n being the number of instances; of these only the
-   MM_QUOTA_MAX_ROWS teams with most tasks.  The unreported usage of a team
-   is thus less than a quarter of its quota over all instances, and a team
+   MM_QUOTA_REPORT_MAX_TEAMS teams with most tasks.  The unreported usage of a
+   team is thus less than a quarter of its quota over all instances, and a team
    with few tasks costs no message.  Reports expire, so the tasks of an
    instance that dies stop counting against the quota.
 
@@ -163,7 +163,7 @@
         g_array_append_val (rows, row);
     }
   g_array_sort (rows, compare_tasks_descending);
-  uint32_t n_rows = MIN (rows->len, MM_QUOTA_MAX_ROWS);
+  uint32_t n_rows = MIN (rows->len, MM_QUOTA_REPORT_MAX_TEAMS);
   bool must_send = n_rows || q->reported;
   q->reported = n_rows > 0;
   msgpack_packer packer;
@@ -182,7 +182,7 @@
 }
 
 /**
- * mm_quota_take_report() - replace a peer's last report by a new one.
+ * mm_quota_apply_report() - replace a peer's last report by a new one.
  * @q: the quota state.
  * @peer: the peer's name.
  * @data: the encoded report, untrusted.
@@ -194,8 +194,8 @@
  * Return: true when the report was stored.
  */
 bool
-mm_quota_take_report (mm_quota *q, const char *peer, const uint8_t *data,
-                      size_t len, mm_time_ms now, GError **error)
+mm_quota_apply_report (mm_quota *q, const char *peer, const uint8_t *data,
+                       size_t len, mm_time_ms now, GError **error)
 {
   msgpack_unpacked msg;
   msgpack_unpacked_init (&msg);
@@ -231,7 +231,7 @@
 }
 
 uint32_t
-mm_quota_teams (const mm_quota *q)
+mm_quota_team_count (const mm_quota *q)
 {
   return g_hash_table_size (q->local);
 }
--- a/src/mm_quota.h
+++ b/src/mm_quota.h
@@ -14,8 +14,8 @@
 bool mm_quota_report (mm_quota *q, uint32_t n_instances,
                       int64_t (*quota_of) (const char *team, void *ctx),
                       void *ctx, GByteArray *out); /* to send to the peers */
-bool mm_quota_take_report (mm_quota *q, const char *peer, const uint8_t *data,
-                           size_t len, mm_time_ms now, GError **error);
-uint32_t mm_quota_teams (const mm_quota *q); /* with tasks here */
+bool mm_quota_apply_report (mm_quota *q, const char *peer, const uint8_t *data,
+                            size_t len, mm_time_ms now, GError **error);
+uint32_t mm_quota_team_count (const mm_quota *q); /* with tasks here */
 
 #endif /* MM_QUOTA_H */
--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -20,7 +20,7 @@
 #include "mm_shard.h"
 
 #include "config.h"
-#include "mm_known.h"
+#include "mm_accepted_jobs.h"
 
 #include <cJSON.h>
 #include <string.h>
@@ -65,9 +65,9 @@
   GQueue waiting;          /* waiting_job *, oldest first */
   GPtrArray *unrecorded;   /* ids of jobs that started without a record */
   guint unrecorded_sent;   /* how many of them the append in flight records */
-  mm_known *accepted;      /* accepted jobs that are not stored here */
-  GQueue verify_queue;     /* verify_waiter *, for the next call */
-  GQueue verify_in_flight; /* verify_waiter *, for the call in flight */
+  mm_accepted_jobs *accepted; /* accepted jobs that are not stored here */
+  GQueue verify_queue;        /* verify_waiter *, for the next call */
+  GQueue verify_in_flight;    /* verify_waiter *, for the call in flight */
 };
 
 /* A call of mm_shard_verify() that has no answer yet.  */
@@ -108,7 +108,7 @@
   s->interval_timer.data = s;
   s->appended_ms = -env->accept_interval_ms;
   s->unrecorded = g_ptr_array_new_with_free_func (g_free);
-  s->accepted = mm_known_create ();
+  s->accepted = mm_accepted_jobs_create ();
   return s;
 }
 
@@ -121,7 +121,7 @@
   g_queue_clear_full (&s->waiting, waiting_free);
   g_queue_clear_full (&s->verify_queue, g_free);
   g_queue_clear_full (&s->verify_in_flight, g_free);
-  mm_known_destroy (s->accepted);
+  mm_accepted_jobs_destroy (s->accepted);
   g_ptr_array_free (s->unrecorded, TRUE);
   g_free (s->owner);
   g_free (s->stream);
@@ -145,7 +145,7 @@
 static bool
 was_accepted (const mm_shard *s, const waiting_job *w)
 {
-  return mm_known_find (s->accepted, w->job_id, NULL);
+  return mm_accepted_jobs_find (s->accepted, w->job_id, NULL);
 }
 
 /* Answers the waiting jobs that @matches selects.  All of them are removed
@@ -168,7 +168,7 @@
   while ((w = g_queue_pop_head (&ready)))
     {
       mm_accept a = { .verdict = verdict, .epoch = s->epoch, .holder = owner };
-      mm_known_find (s->accepted, w->job_id, &a.fingerprint);
+      mm_accepted_jobs_find (s->accepted, w->job_id, &a.fingerprint);
       if (w->done)
         w->done (&a, w->ctx);
       waiting_free (w);
@@ -207,7 +207,7 @@
   else if (g_str_equal (kind, "release"))
     s->owner_released = true;
   /* Skips accepts of this incarnation: the instance has these jobs or their
-     answers itself, or has passed them to mm_shard_remember().  */
+     answers itself, or has passed them to mm_shard_add_accepted().  */
   else if (g_str_equal (kind, "accept")
            && strcmp (inc, s->env->incarnation) != 0)
     {
@@ -217,8 +217,8 @@
         {
           if (!cJSON_IsString (id))
             continue;
-          mm_shard_remember (s, id->valuestring,
-                             fp ? g_ascii_strtoull (fp, NULL, 16) : 0);
+          mm_shard_add_accepted (s, id->valuestring,
+                                 fp ? g_ascii_strtoull (fp, NULL, 16) : 0);
         }
     }
 }
@@ -226,7 +226,7 @@
 static void
 expire_accepted (mm_shard *s)
 {
-  mm_known_expire (s->accepted, mm_clock_now_ms () - s->env->ttl_ms);
+  mm_accepted_jobs_expire (s->accepted, mm_clock_now_ms () - s->env->ttl_ms);
 }
 
 static int64_t
@@ -270,7 +270,7 @@
   cJSON_Delete (o);
   if (s->state == SHARD_READING && s->cursor >= head)
     {
-      if (mm_shard_yielded (s, mm_clock_now_ms ()) && s->owner
+      if (mm_shard_recently_fenced (s, mm_clock_now_ms ()) && s->owner
           && strcmp (s->owner, s->env->self) != 0)
         {
           /* Fenced a short time ago: the jobs go to the new owner.  */
@@ -342,7 +342,8 @@
 {
   expire_accepted (s);
   s->unclean_takeover = s->owner && !s->owner_released;
-  s->unobserved = s->unclean_takeover && !s->env->witnessed (s->env->ctx);
+  s->unobserved
+      = s->unclean_takeover && !s->env->observed_before (s->env->ctx);
   g_free (s->owner);
   s->owner = g_strdup (s->env->self);
   s->owner_released = false;
@@ -398,7 +399,7 @@
     {
       g_ptr_array_remove_range (s->unrecorded, 0, s->unrecorded_sent);
       s->unrecorded_sent = 0;
-      answer_waiting (s, was_appended, MM_ACCEPT_FRESH);
+      answer_waiting (s, was_appended, MM_ACCEPT_RECORDED);
       advance (s);
       return;
     }
@@ -671,13 +672,13 @@
 }
 
 bool
-mm_shard_held (const mm_shard *s)
+mm_shard_owned (const mm_shard *s)
 {
   return s->state == SHARD_OWNED;
 }
 
 /**
- * mm_shard_remember() - add an accepted job that has left this instance.
+ * mm_shard_add_accepted() - add an accepted job that has left this instance.
  * @s: the shard.
  * @job_id: the job.
  * @fingerprint: fingerprint of the upstreams listed when it was accepted.
@@ -688,13 +689,14 @@
  * happens after a freeze of this instance.
  */
 void
-mm_shard_remember (mm_shard *s, const char *job_id, uint64_t fingerprint)
+mm_shard_add_accepted (mm_shard *s, const char *job_id, uint64_t fingerprint)
 {
-  mm_known_add (s->accepted, job_id, fingerprint, mm_clock_now_ms ());
+  mm_accepted_jobs_add (s->accepted, job_id, fingerprint, mm_clock_now_ms ());
 }
 
 /**
- * mm_shard_knows() - check whether a job that is not here was accepted.
+ * mm_shard_accepted_before() - check whether a job that is not here was
+ * accepted.
  * @s: the shard; while this instance does not own it, more jobs may have
  *     been accepted than are known here.
  * @job_id: the job.
@@ -703,13 +705,14 @@
  * and the job has moved away.
  */
 bool
-mm_shard_knows (const mm_shard *s, const char *job_id)
+mm_shard_accepted_before (const mm_shard *s, const char *job_id)
 {
-  return mm_known_find (s->accepted, job_id, NULL);
+  return mm_accepted_jobs_find (s->accepted, job_id, NULL);
 }
 
 /**
- * mm_shard_owner_gap() - check for a previous owner that did not release.
+ * mm_shard_unclean_takeover() - check for a previous owner that did not
+ * release.
  * @s: the shard.
  *
  * If the platform had an outage in the previous owner's time, that owner may
@@ -720,27 +723,28 @@
  * after that.
  */
 bool
-mm_shard_owner_gap (const mm_shard *s)
+mm_shard_unclean_takeover (const mm_shard *s)
 {
   return s->unclean_takeover
          && mm_clock_now_ms () - s->taken_ms < s->env->ttl_ms;
 }
 
 /**
- * mm_shard_unwitnessed() - check whether an outage may be unknown here.
+ * mm_shard_unobserved() - check whether an outage may be unknown here.
  * @s: the shard, whose previous owner did not release it.
  *
  * Return: true when no live instance was up in the time of the previous
  * owner, so that no instance can know of an outage in that time.
  */
 bool
-mm_shard_unwitnessed (const mm_shard *s)
+mm_shard_unobserved (const mm_shard *s)
 {
   return s->unobserved;
 }
 
 /**
- * mm_shard_yielded() - check whether this instance was fenced recently.
+ * mm_shard_recently_fenced() - check whether this instance was fenced
+ * recently.
  * @s: the shard.
  * @now: mm_clock_now_ms().
  *
@@ -749,19 +753,19 @@
  * was fenced, an instance forwards jobs to the new owner.
  */
 bool
-mm_shard_yielded (const mm_shard *s, mm_time_ms now)
+mm_shard_recently_fenced (const mm_shard *s, mm_time_ms now)
 {
   return s->fenced_ms && now - s->fenced_ms < MM_SHARD_HOLD_DOWN_MS;
 }
 
 const char *
-mm_shard_holder (const mm_shard *s)
+mm_shard_owner (const mm_shard *s)
 {
   return s->owner;
 }
 
 bool
-mm_shard_waiting (const mm_shard *s)
+mm_shard_has_waiting (const mm_shard *s)
 {
   return s->waiting.length > 0;
 }
@@ -803,13 +807,13 @@
 }
 
 /**
- * mm_shard_give_up() - answer every waiting job with MM_ACCEPT_MOVED.
+ * mm_shard_redirect_waiting() - answer every waiting job with MM_ACCEPT_MOVED.
  * @s: the shard.
  * @target: name of the instance that the jobs go to, or NULL when none is
  *          known.
  */
 void
-mm_shard_give_up (mm_shard *s, const char *target)
+mm_shard_redirect_waiting (mm_shard *s, const char *target)
 {
   char *previous = s->owner;
   s->owner = g_strdup (target);
@@ -819,13 +823,13 @@
 }
 
 /**
- * mm_shard_insist() - end the hold-down that follows on being fenced.
+ * mm_shard_end_hold_down() - end the hold-down that follows on being fenced.
  * @s: the shard; the instance that took it is gone.
  *
  * The shard can then be taken back at once.
  */
 void
-mm_shard_insist (mm_shard *s)
+mm_shard_end_hold_down (mm_shard *s)
 {
   s->fenced_ms = 0;
 }
@@ -847,7 +851,7 @@
 }
 
 uint32_t
-mm_shard_known_jobs (const mm_shard *s)
+mm_shard_accepted_count (const mm_shard *s)
 {
-  return mm_known_count (s->accepted);
+  return mm_accepted_jobs_count (s->accepted);
 }
--- a/src/mm_shard.h
+++ b/src/mm_shard.h
@@ -10,7 +10,7 @@
 
 typedef enum
 {
-  MM_ACCEPT_FRESH,      /* recorded; no instance accepted it before */
+  MM_ACCEPT_RECORDED,   /* recorded; no instance accepted it before */
   MM_ACCEPT_KNOWN,      /* accepted before: recover it */
   MM_ACCEPT_UNRECORDED, /* allowed by mm_shard_serve_unrecorded() */
   MM_ACCEPT_MOVED       /* another instance owns the shard now */
@@ -39,7 +39,7 @@
   mm_time_ms ttl_ms;                    /* older accepted jobs are dropped */
   mm_time_ms accept_interval_ms;        /* least time between accept records */
   uint64_t (*fingerprint) (void *ctx);  /* of the upstreams listed now */
-  bool (*witnessed) (void *ctx);        /* a live instance was up before */
+  bool (*observed_before) (void *ctx);  /* a live instance was up before */
   void (*contact) (bool ok, void *ctx); /* a call to the log ended */
   bool (*outage) (void *ctx);           /* no instance reaches the log */
   void *ctx;
@@ -57,22 +57,22 @@
                       void *ctx); /* check ownership with the log */
 void mm_shard_take (mm_shard *s,
                     bool only_if_released); /* before jobs arrive */
-bool mm_shard_held (const mm_shard *s);
-void mm_shard_remember (mm_shard *s, const char *job_id,
-                        uint64_t fingerprint); /* accepted, moved away */
-bool mm_shard_knows (const mm_shard *s, const char *job_id);
-bool mm_shard_owner_gap (const mm_shard *s);   /* not released before */
-bool mm_shard_unwitnessed (const mm_shard *s); /* outage may be unknown */
-bool mm_shard_yielded (const mm_shard *s,
-                       mm_time_ms now); /* fenced recently */
-const char *
-mm_shard_holder (const mm_shard *s);          /* last known owner, or NULL */
-void mm_shard_insist (mm_shard *s);           /* end the hold-down */
-void mm_shard_retry (mm_shard *s);            /* after a failed call */
-void mm_shard_serve_unrecorded (mm_shard *s); /* start without records */
-void mm_shard_give_up (mm_shard *s, const char *target); /* answer all MOVED */
-bool mm_shard_waiting (const mm_shard *s);               /* accepts pending */
-void mm_shard_release (mm_shard *s); /* graceful handover */
-uint32_t mm_shard_known_jobs (const mm_shard *s);
+bool mm_shard_owned (const mm_shard *s);
+void mm_shard_add_accepted (mm_shard *s, const char *job_id,
+                            uint64_t fingerprint); /* accepted, moved away */
+bool mm_shard_accepted_before (const mm_shard *s, const char *job_id);
+bool mm_shard_unclean_takeover (const mm_shard *s); /* not released before */
+bool mm_shard_unobserved (const mm_shard *s);       /* outage may be unknown */
+bool mm_shard_recently_fenced (const mm_shard *s,
+                               mm_time_ms now); /* fenced recently */
+const char *mm_shard_owner (const mm_shard *s); /* last known owner, or NULL */
+void mm_shard_end_hold_down (mm_shard *s);      /* end the hold-down */
+void mm_shard_retry (mm_shard *s);              /* after a failed call */
+void mm_shard_serve_unrecorded (mm_shard *s);   /* start without records */
+void mm_shard_redirect_waiting (mm_shard *s,
+                                const char *target); /* answer all MOVED */
+bool mm_shard_has_waiting (const mm_shard *s);       /* accepts pending */
+void mm_shard_release (mm_shard *s);                 /* graceful handover */
+uint32_t mm_shard_accepted_count (const mm_shard *s);
 
 #endif /* MM_SHARD_H */
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -122,18 +122,18 @@
     for (int i = 0; i < 4; i++)
       {
         GError *e = NULL;
-        mm_cfg_offer (sites[s], i, log[i], &e);
+        mm_cfg_apply (sites[s], i, log[i], &e);
         g_clear_error (&e);
       }
   ck_assert_int_eq (mm_cfg_head (lima), 1);
   ck_assert_int_eq (mm_cfg_head (buenos_aires), 1);
-  ck_assert_int_eq (mm_cfg_knobs (lima)->retry_budget, 0);
-  ck_assert_int_eq (mm_cfg_knobs (buenos_aires)->retry_budget, 2);
-  ck_assert (!mm_cfg_offer (lima, 0, r0, NULL)); /* an older record */
+  ck_assert_int_eq (mm_cfg_current (lima)->retry_budget, 0);
+  ck_assert_int_eq (mm_cfg_current (buenos_aires)->retry_budget, 2);
+  ck_assert (!mm_cfg_apply (lima, 0, r0, NULL)); /* an older record */
   ck_assert_int_eq (mm_cfg_head (lima), 1);
   char *snapshot = mm_cfg_snapshot_record (lima);
-  ck_assert (mm_cfg_offer (buenos_aires, 4, snapshot, NULL));
-  ck_assert_int_eq (mm_cfg_knobs (buenos_aires)->retry_budget, 2);
+  ck_assert (mm_cfg_apply (buenos_aires, 4, snapshot, NULL));
+  ck_assert_int_eq (mm_cfg_current (buenos_aires)->retry_budget, 2);
   GError *e = NULL;
   const char *lima_only[] = { "lima", NULL };
   const char *bad[] = { "[dispatch]\nretry_budget = 99\n", NULL };
@@ -178,18 +178,18 @@
 {
   mm_cfg *follower = mm_cfg_create ("lima"), *joining = mm_cfg_create ("lima");
   char *a = mm_cfg_make_record ("config", -1, "", NULL, NULL);
-  ck_assert (mm_cfg_offer (follower, 4, a, NULL));
+  ck_assert (mm_cfg_apply (follower, 4, a, NULL));
   char *snapshot = mm_cfg_snapshot_record (follower);
-  ck_assert (mm_cfg_offer (follower, 5, snapshot, NULL));
+  ck_assert (mm_cfg_apply (follower, 5, snapshot, NULL));
   ck_assert (mm_cfg_adopt (joining, 5, snapshot, NULL));
   char *b = mm_cfg_make_record ("config", 4, "[dispatch]\nretry_budget = 9\n",
                                 NULL, NULL);
-  ck_assert (mm_cfg_offer (follower, 6, b, NULL));
-  ck_assert (mm_cfg_offer (joining, 6, b, NULL));
-  ck_assert_int_eq (mm_cfg_knobs (joining)->retry_budget, 9);
+  ck_assert (mm_cfg_apply (follower, 6, b, NULL));
+  ck_assert (mm_cfg_apply (joining, 6, b, NULL));
+  ck_assert_int_eq (mm_cfg_current (joining)->retry_budget, 9);
   char *stale = mm_cfg_make_record ("config", 5, "", NULL, NULL);
-  ck_assert (!mm_cfg_offer (follower, 7, stale, NULL));
-  ck_assert (!mm_cfg_offer (joining, 7, stale, NULL));
+  ck_assert (!mm_cfg_apply (follower, 7, stale, NULL));
+  ck_assert (!mm_cfg_apply (joining, 7, stale, NULL));
   free (a);
   free (b);
   free (snapshot);
@@ -333,11 +333,11 @@
   mm_quota_add (b, "big", 40);
   GByteArray *r = g_byte_array_new ();
   ck_assert (mm_quota_report (a, 2, quota_100, NULL, r));
-  ck_assert (mm_quota_take_report (b, "a", r->data, r->len, 0, NULL));
+  ck_assert (mm_quota_apply_report (b, "a", r->data, r->len, 0, NULL));
   ck_assert_int_eq (mm_quota_used (b, "big", 100), 70);
   ck_assert_int_eq (mm_quota_used (b, "small", 100), 0);
   GError *e = NULL;
-  ck_assert (!mm_quota_take_report (b, "a", r->data, r->len - 1, 0, &e));
+  ck_assert (!mm_quota_apply_report (b, "a", r->data, r->len - 1, 0, &e));
   ck_assert (g_error_matches (e, MM_ERROR, MM_ERROR_DECODE));
   g_error_free (e);
   ck_assert_int_eq (mm_quota_used (b, "big", 100), 70);
