--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -278,8 +278,12 @@
   tcase_add_test (tc, owner_killed_in_an_outage_leaves_no_double_start);
   tcase_add_test (tc, lost_answers_of_the_log_double_nothing);
   tcase_add_test (tc, instance_cut_off_from_the_platform_passes_its_jobs_on);
-  tcase_add_test (tc, instances_joining_and_leaving_double_nothing);
   tcase_add_test (tc, all_instances_killed_in_an_outage_double_nothing);
   suite_add_tcase (s, tc);
+  tc = tcase_create ("changes");
+  tcase_set_tags (tc, "changes");
+  tcase_set_timeout (tc, 90);
+  tcase_add_test (tc, instances_joining_and_leaving_double_nothing);
+  suite_add_tcase (s, tc);
   return h_run_suite (s);
 }
