--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -79,7 +79,7 @@
 {
   mm_kept_answer kept_answer;
   mm_kept_answer_read (data, size, &kept_answer);
-  mm_job_record_free (mm_job_record_unpack (data, size, NULL));
+  mm_job_record_destroy (mm_job_record_unpack (data, size, NULL));
   GHashTable *tasks = mm_task_set_read (data, size);
   if (tasks)
     g_hash_table_destroy (tasks);
@@ -108,10 +108,10 @@
   mm_task_request request = { .id = { .job = "job", .step = 1, .index = 2 },
                               .service = "svc",
                               .payload = "p",
-                              .need = { .cpu_milli = 14000 } };
+                              .resources = { .cpu_milli = 14000 } };
   mm_work_result work = { .how = MM_END_DONE, .upstream = "u", .why = "" };
   mm_mesh_service_capacity capacity
-      = { .service = "svc", .room = { 10, 4, 1 } };
+      = { .service = "svc", .capacity = { 10, 4, 1 } };
   mm_mesh_pack_run (&b, 7, &request);
   mm_mesh_pack_ended (&b, 7, &work);
   mm_mesh_pack_report (&b, 7, "node", false, &capacity, 1);
@@ -139,12 +139,12 @@
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_task_id id = { .job = "job", .step = 1, .index = 2 };
-  mm_end_ack ack = { .task = id, .mark = 7 };
-  mm_found_end end = { .task = id, .how = MM_END_DONE, .mark = 7 };
+  mm_end_ack ack = { .task = id, .run_hash = 7 };
+  mm_found_end end = { .task = id, .how = MM_END_DONE, .run_hash = 7 };
   mm_kept_answer answer = { .status = MM_KEPT_OK, .pending = 3 };
   mm_search_result result = mm_search_result_init ();
   uint64_t hash = 9;
-  g_array_append_val (result.clear, hash);
+  g_array_append_val (result.clear_upstreams, hash);
   g_array_append_val (result.ends, end);
   if (kind == 0)
     mm_end_acks_pack (&b, &ack, 1);
@@ -165,7 +165,7 @@
   mm_route route = { .name = "q", .service = "s", .attempts = 2 };
   mm_submission *submission
       = pf_submission_decode ("0123456789abcdef", job, strlen (job), NULL);
-  mm_job_record *record = mm_job_record_new (submission, &route);
+  mm_job_record *record = mm_job_record_create (submission, &route);
   GBytes *bytes = mm_job_record_pack (record);
   gsize len;
   const void *data = g_bytes_get_data (bytes, &len);
@@ -173,7 +173,7 @@
   msgpack_sbuffer_init (&b);
   msgpack_sbuffer_write (&b, data, len);
   g_bytes_unref (bytes);
-  mm_job_record_free (record);
+  mm_job_record_destroy (record);
   return b;
 }
 
--- a/include/masticmill.h
+++ b/include/masticmill.h
@@ -181,8 +181,8 @@
     size_t body_bytes; /* length of body */
     bool sent;         /* at least a part of the request was written */
     GError *error;     /* transport failure, or NULL */
-    bool open; /* overdue but not ended: done is called again at its end */
-    bool late; /* ended after it was reported as overdue */
+    bool overdue; /* overdue but not ended: done is called again at its end */
+    bool was_overdue; /* ended after it was reported as overdue */
   } mm_http_result;
   typedef void (*mm_http_done) (const mm_http_result *res, void *ctx);
   typedef struct
@@ -192,9 +192,10 @@
     const char *body;      /* text or bytes, or NULL; copied */
     size_t body_bytes;     /* length of body, 0: body ends with NUL */
     const char *header;    /* additional header line, or NULL */
-    bool fresh;            /* use a new connection */
+    bool new_connection;   /* use a new connection */
     mm_time_ms timeout_ms; /* then the call is overdue */
-    mm_time_ms late_ms;    /* overdue calls stay open for this, 0: closed */
+    mm_time_ms
+        keep_overdue_ms; /* overdue calls stay open for this, 0: closed */
   } mm_http_call;
   mm_http_client *
   mm_http_client_create (struct ev_loop *loop,
--- a/src/config.h
+++ b/src/config.h
@@ -160,7 +160,8 @@
 /* How long the circuit breaker stays open the first time.  */
 #define MM_BREAKER_OPEN_MS 1000
 #define MM_BREAKER_MAX_DOUBLINGS 3u /* longest: 8 times the first */
-#define MM_SPEED_GAIN 0.2 /* weight of one run in an upstream's slowness */
+#define MM_SLOWNESS_GAIN 0.2 /* weight of one run in an upstream's slowness   \
+                              */
 /* Weight of one task in the average task size.  */
 #define MM_AVERAGE_GAIN 0.05
 /* Upstreams whose speeds differ by less count as equally fast, as run time
@@ -347,7 +348,7 @@
 /* When the record of a job is not stored within this time, its caller is told
    to send the job again.  The store takes some 7 ms, and 0.4 s when it is
    slow.  */
-#define MM_KEPT_ACCEPT_MS 1500
+#define MM_KEPT_STORE_TIMEOUT_MS 1500
 /* Timeout of requests to other instances about kept jobs.  A link is closed
    after 0.6 s without a message.  */
 #define MM_KEPT_REQUEST_TIMEOUT_MS 700
--- a/src/mm_admission.c
+++ b/src/mm_admission.c
@@ -74,7 +74,7 @@
 mm_admission
 mm_admission_decide (const mm_load *load, uint32_t tasks, mm_time_ms slack_ms)
 {
-  mm_admission a = { .take = true };
+  mm_admission a = { .accept = true };
   uint64_t ahead = (uint64_t)load->waiting + tasks;
   if (ahead <= load->free || !MM_WITH_ADMISSION)
     return a;
@@ -83,14 +83,14 @@
       /* During a handover no owner reports the upstreams' capacity for up to
          MM_NO_OWNER_WAIT_MS.  */
       a.wait_ms = MM_NO_OWNER_WAIT_MS;
-      a.take = a.wait_ms <= slack_ms;
+      a.accept = a.wait_ms <= slack_ms;
       a.retry_after_s = MM_RETRY_AFTER_NO_CAPACITY_S;
       return a;
     }
   double shortfall = (double)(ahead - load->free);
   a.wait_ms = (mm_time_ms)ceil (shortfall * (double)load->mean_task_ms
                                 / (double)load->places);
-  a.take = a.wait_ms <= slack_ms;
+  a.accept = a.wait_ms <= slack_ms;
   a.retry_after_s = (uint32_t)(1 + a.wait_ms / 1000);
   return a;
 }
--- a/src/mm_admission.h
+++ b/src/mm_admission.h
@@ -18,7 +18,7 @@
 
 typedef struct
 {
-  bool take;              /* whether the job is accepted */
+  bool accept;            /* whether the job is accepted */
   mm_time_ms wait_ms;     /* expected wait until its last task starts */
   uint32_t retry_after_s; /* when a refused caller should retry */
 } mm_admission;
--- a/src/mm_bench.c
+++ b/src/mm_bench.c
@@ -60,7 +60,7 @@
 
 typedef struct
 {
-  bench *b;
+  bench *bench;
   mm_time_ms sent_ms;
   mm_time_ms ideal_ms;
   uint32_t tasks;
@@ -74,7 +74,7 @@
 on_job_answered (const mm_http_result *res, void *ctx)
 {
   job_ctx *j = ctx;
-  bench *b = j->b;
+  bench *b = j->bench;
   mm_time_ms took_ms = mm_clock_now_ms () - j->sent_ms;
   cJSON *o
       = cJSON_ParseWithLength (res->body ? res->body : "", res->body_bytes);
@@ -161,7 +161,7 @@
   const mm_bench_plan *p = b->plan;
   const mm_bench_kind *k = kind < 0 ? NULL : &p->kinds[kind];
   job_ctx *j = g_new0 (job_ctx, 1);
-  j->b = b;
+  j->bench = b;
   j->kind = kind;
   j->tasks = k ? k->tasks : p->tasks;
   char *body = make_job (b, b->submitted, k, j->tasks, &j->ideal_ms);
--- a/src/mm_breaker.c
+++ b/src/mm_breaker.c
@@ -22,8 +22,8 @@
       *t = (mm_breaker){ 0 };
       return;
     }
-  t->failures_in_row++;
-  if (!t->on_trial && t->failures_in_row < MM_BREAKER_FAILURES)
+  t->consecutive_failures++;
+  if (!t->on_trial && t->consecutive_failures < MM_BREAKER_FAILURES)
     return;
   t->excluded_until_ms = now_ms + (MM_BREAKER_OPEN_MS << t->doublings);
   if (t->doublings < MM_BREAKER_MAX_DOUBLINGS)
--- a/src/mm_breaker.h
+++ b/src/mm_breaker.h
@@ -8,10 +8,10 @@
  */
 typedef struct
 {
-  uint32_t failures_in_row;     /* consecutive failures */
-  uint32_t doublings;           /* of the time for which it opens next */
-  mm_time_ms excluded_until_ms; /* open until this time, 0: closed */
-  bool on_trial;                /* half-open: one task at a time */
+  uint32_t consecutive_failures; /* consecutive failures */
+  uint32_t doublings;            /* of the time for which it opens next */
+  mm_time_ms excluded_until_ms;  /* open until this time, 0: closed */
+  bool on_trial;                 /* half-open: one task at a time */
 } mm_breaker;
 
 void mm_breaker_record (mm_breaker *t, bool ok, mm_time_ms now_ms);
--- a/src/mm_catalog.c
+++ b/src/mm_catalog.c
@@ -88,14 +88,14 @@
                   MM_INT (u->draining), MM_TEXT (from->peer),
                   MM_INT (mm_clock_now_ms () - from->as_of_ms));
   c->n_missing -= e && e->missing_since_ms;
-  entry *fresh = g_new0 (entry, 1);
-  fresh->info = mm_upstream_info_copy (u);
+  entry *new_entry = g_new0 (entry, 1);
+  new_entry->info = mm_upstream_info_copy (u);
   /* An older entry that is not draining cannot replace a newer one that is:
      the records of a key arrive in order.  */
-  g_hash_table_replace (c->by_name, g_strdup (u->name), fresh);
+  g_hash_table_replace (c->by_name, g_strdup (u->name), new_entry);
   c->changes++;
   if (c->listed)
-    c->listed (c->ctx, fresh->info);
+    c->listed (c->ctx, new_entry->info);
   return true;
 }
 
--- a/src/mm_datacentres.c
+++ b/src/mm_datacentres.c
@@ -61,7 +61,7 @@
   m->partitions = mm_partitions_create (&dcs->port, m->group, dcs->member,
                                         dcs->n_partitions);
   mm_partitions_events ev
-      = { .handed = on_released, .changed = on_changed, .ctx = dcs };
+      = { .released = on_released, .changed = on_changed, .ctx = dcs };
   mm_partitions_set_events (m->partitions, &ev);
   m->retiring = false;
 }
@@ -176,7 +176,7 @@
   mm_partitions_tick (m->partitions);
   bool releasing = mm_partitions_releasing (m->partitions);
   bool idle = (releasing || m->retiring)
-              && dcs->ev.quiet (dcs->ev.ctx, m->datacentre);
+              && dcs->ev.idle (dcs->ev.ctx, m->datacentre);
   if (releasing && idle)
     mm_partitions_release (m->partitions);
   if (m->retiring && (idle || now - m->retiring_since_ms > MM_HANDOVER_MS))
--- a/src/mm_datacentres.h
+++ b/src/mm_datacentres.h
@@ -17,7 +17,7 @@
 {
   /* Returns whether nothing runs any more on the upstreams of a data centre
      whose partitions are being released.  */
-  bool (*quiet) (void *ctx, const char *datacentre);
+  bool (*idle) (void *ctx, const char *datacentre);
   /* The store has reassigned partitions of a joined group.  */
   void (*changed) (void *ctx);
   void *ctx;
--- a/src/mm_dispatch.c
+++ b/src/mm_dispatch.c
@@ -14,18 +14,18 @@
 static bool
 better (const mm_dispatch_candidate *a, const mm_dispatch_candidate *b)
 {
-  bool a_free = a->room.free > 0, b_free = b->room.free > 0;
+  bool a_free = a->capacity.free > 0, b_free = b->capacity.free > 0;
   if (a_free != b_free)
     return a_free;
   if (!a_free)
-    return queue_length (&a->room) < queue_length (&b->room);
+    return queue_length (&a->capacity) < queue_length (&b->capacity);
   /* An owner that returned the task cannot use its free capacity for it: the
      capacity is on an upstream that the task avoids, or too small.  */
-  if (a->returned_by != b->returned_by)
-    return b->returned_by;
+  if (a->returned_task != b->returned_task)
+    return b->returned_task;
   if (a->near != b->near)
     return a->near < b->near;
-  return a->room.free > b->room.free;
+  return a->capacity.free > b->capacity.free;
 }
 
 int
@@ -33,7 +33,7 @@
 {
   int best = -1;
   for (size_t i = 0; i < n; i++)
-    if (c[i].room.places > 0 && (best < 0 || better (&c[i], &c[best])))
+    if (c[i].capacity.places > 0 && (best < 0 || better (&c[i], &c[best])))
       best = (int)i;
   return best;
 }
--- a/src/mm_dispatch.h
+++ b/src/mm_dispatch.h
@@ -16,8 +16,8 @@
 typedef struct
 {
   mm_nearness near;
-  bool returned_by; /* the owner has just returned this task as not run */
-  mm_capacity_report room;
+  bool returned_task; /* the owner has just returned this task as not run */
+  mm_capacity_report capacity;
 } mm_dispatch_candidate;
 
 /* Index of the owner to dispatch to, -1 when none has any capacity.  */
--- a/src/mm_entry_priv.h
+++ b/src/mm_entry_priv.h
@@ -31,7 +31,7 @@
   MM_JOB_RUNNING,    /* its tasks are queued or sent */
   MM_JOB_FAILING,    /* nothing more is sent; the log confirms the owner */
   MM_JOB_FINISHED    /* answered; later answers of tasks are dropped */
-} mm_job_phase;
+} mm_entry_job_phase;
 
 /* Whether an earlier owner may have run a job that this instance does not
    have.  */
@@ -49,7 +49,7 @@
   mm_job *job;
   mm_shard *shard;
   GPtrArray *waiters; /* mm_waiter * */
-  mm_job_phase phase;
+  mm_entry_job_phase phase;
   mm_earlier_accept earlier_accept;
   int fail_code;         /* mm_error_code of the failure, while FAILING */
   const char *fail_why;  /* message of the failure; a constant string */
--- a/src/mm_exec.c
+++ b/src/mm_exec.c
@@ -51,8 +51,8 @@
   mm_exec *x = r->exec;
   r->work = NULL;
   if (work && !x->closed)
-    x->ev.ended (x->ev.ctx, x, work, r->number, how,
-                 mm_clock_now_ms () - r->ordered_ms, why);
+    x->ev.run_ended (x->ev.ctx, x, work, r->number, how,
+                     mm_clock_now_ms () - r->ordered_ms, why);
 }
 
 static void
@@ -71,14 +71,14 @@
   if (r->gone)
     return;
   r->gone = true;
-  mm_resources_sub (&x->used, &r->need);
+  mm_resources_sub (&x->used, &r->resources);
   if (r->foreign)
     x->n_foreign--;
   g_hash_table_steal (x->runs, &r->id);
   report_end (r, how, why);
   free_if_unused (r);
   if (!x->closed)
-    x->ev.room (x->ev.ctx, x);
+    x->ev.capacity_freed (x->ev.ctx, x);
 }
 
 void
@@ -142,7 +142,7 @@
 mm_exec_on_replaced (mm_exec *x)
 {
   x->gone = true;
-  x->ev.lost (x->ev.ctx, x, true);
+  x->ev.upstream_lost (x->ev.ctx, x, true);
   end_all_runs (x, "upstream restarted");
 }
 
@@ -154,7 +154,7 @@
   if (c->exec->closed || c->run->gone)
     {
       free_if_unused (c->run);
-      mm_exec_call_close (c, res->open);
+      mm_exec_call_close (c, res->overdue);
       return false;
     }
   mm_exec_update_clock (c->exec, res);
@@ -166,7 +166,7 @@
 on_stop_answer (const mm_call_result *res, void *ctx)
 {
   mm_exec_call *c = ctx;
-  if (res->late)
+  if (res->was_overdue)
     {
       mm_exec_call_late (c, res);
       return;
@@ -204,11 +204,11 @@
         mm_exec_send_stop (r, true);
       break;
     }
-  mm_exec_call_close (c, res->open);
+  mm_exec_call_close (c, res->overdue);
 }
 
 void
-mm_exec_send_stop (mm_exec_run *r, bool fresh)
+mm_exec_send_stop (mm_exec_run *r, bool new_connection)
 {
   mm_exec *x = r->exec;
   if (r->stop_in_flight || r->stop_answered_event || x->fenced || x->gone)
@@ -217,7 +217,7 @@
   mm_order o = { .task = &r->id,
                  .run = r->number,
                  .fence = x->fence,
-                 .fresh = fresh,
+                 .new_connection = new_connection,
                  .timeout_ms = mm_exec_timeout_ms (x) };
   x->port.stop (x->port.ctx, x->info, &o, on_stop_answer,
                 mm_exec_call_open (x, r));
@@ -301,12 +301,12 @@
       mm_exec_finish_run (r, MM_END_FAILED, "start not understood");
       break;
     case MM_CALL_REFUSED:
-      x->ev.unhealthy (x->ev.ctx, x);
+      x->ev.upstream_unhealthy (x->ev.ctx, x);
       mm_exec_become_suspect (x, "start", v);
       mm_exec_finish_run (r, MM_END_NOT_RUN, mm_call_verdict_name (v));
       break;
     case MM_CALL_LATE:
-    case MM_CALL_NO_ROOM:
+    case MM_CALL_NO_CAPACITY:
       mm_exec_become_suspect (x, "start", v);
       mm_exec_finish_run (r, MM_END_NOT_RUN, mm_call_verdict_name (v));
       break;
@@ -329,7 +329,7 @@
 on_start_answer (const mm_call_result *res, void *ctx)
 {
   mm_exec_call *c = ctx;
-  if (res->late)
+  if (res->was_overdue)
     {
       mm_exec_call_late (c, res);
       return;
@@ -346,7 +346,7 @@
       r->phase = RUN_IN_DOUBT;
       on_start_verdict (r, res->verdict);
     }
-  mm_exec_call_close (c, res->open);
+  mm_exec_call_close (c, res->overdue);
 }
 
 mm_time_ms
@@ -383,7 +383,7 @@
 view_age_ms (const mm_exec *x)
 {
   const mm_exec_view *v = &x->common->view;
-  mm_time_ms known_ms = v->known_ms ? v->known_ms (v->ctx) : 0;
+  mm_time_ms known_ms = v->list_current_ms ? v->list_current_ms (v->ctx) : 0;
   return known_ms ? mm_clock_now_ms () - known_ms : -1;
 }
 
@@ -401,13 +401,13 @@
   r->exec = x;
   r->id = t->id;
   r->number = 1;
-  r->need = t->need;
+  r->resources = t->resources;
   r->kept = t->kept;
   r->work = work;
   r->payload = g_strdup (t->payload);
   r->estimate_ms = t->estimate_ms;
   r->ordered_ms = r->progress_ms = mm_clock_now_ms ();
-  mm_resources_add (&x->used, &r->need);
+  mm_resources_add (&x->used, &r->resources);
   g_hash_table_insert (x->runs, &r->id, r);
   mm_time_ms view_ms = view_age_ms (x);
   if (view_ms >= 0)
@@ -469,14 +469,14 @@
   r->adopted = true;
   x->n_foreign--;
   r->work = work;
-  r->need = t->need;
+  r->resources = t->resources;
   r->estimate_ms = t->estimate_ms;
   r->ordered_ms = mm_clock_now_ms () - t->ran_ms;
-  mm_resources_add (&x->used, &r->need);
+  mm_resources_add (&x->used, &r->resources);
   mm_log_event (MM_EV_TASK_ADOPTED, MM_TASK (&r->id), MM_TEXT (x->info->name),
                 MM_INT (r->number), MM_INT (t->ran_ms));
   if (x->n_foreign == 0)
-    x->ev.room (x->ev.ctx, x);
+    x->ev.capacity_freed (x->ev.ctx, x);
   return true;
 }
 
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -16,14 +16,14 @@
 typedef enum
 {
   MM_CALL_OK,
-  MM_CALL_FENCED,   /* the upstream has seen a higher fencing token */
-  MM_CALL_OLD_RUN,  /* a run with this or a higher number has ended */
-  MM_CALL_LATE,     /* the deadline had passed on arrival */
-  MM_CALL_NO_ROOM,  /* the upstream checks its capacity and is full */
-  MM_CALL_BAD,      /* the upstream did not understand the call */
-  MM_CALL_REFUSED,  /* unhealthy upstream: nothing was done */
-  MM_CALL_GONE,     /* another incarnation is at that address */
-  MM_CALL_NO_ANSWER /* may have been carried out, or may still be */
+  MM_CALL_FENCED,      /* the upstream has seen a higher fencing token */
+  MM_CALL_OLD_RUN,     /* a run with this or a higher number has ended */
+  MM_CALL_LATE,        /* the deadline had passed on arrival */
+  MM_CALL_NO_CAPACITY, /* the upstream checks its capacity and is full */
+  MM_CALL_BAD,         /* the upstream did not understand the call */
+  MM_CALL_REFUSED,     /* unhealthy upstream: nothing was done */
+  MM_CALL_GONE,        /* another incarnation is at that address */
+  MM_CALL_NO_ANSWER    /* may have been carried out, or may still be */
 } mm_call_verdict;
 
 const char *mm_call_verdict_name (mm_call_verdict v); /* such as "ok" */
@@ -33,8 +33,8 @@
 {
   mm_call_verdict verdict;
   mm_time_ms clock_ms; /* the upstream's clock, -1: not in the answer */
-  bool open;           /* no answer yet: the callback is called once more */
-  bool late;           /* this is the second callback, after one with @open */
+  bool overdue;        /* no answer yet: the callback is called once more */
+  bool was_overdue; /* this is the second callback, after one with @overdue */
 } mm_call_result;
 
 /* A running task in the answer to a hold.  */
@@ -73,7 +73,7 @@
   const char *payload;
   uint64_t fence;
   mm_time_ms deadline_ms; /* void after this time of the upstream's clock */
-  bool fresh;             /* use a new connection */
+  bool new_connection;    /* use a new connection */
   mm_time_ms timeout_ms;
 } mm_order;
 
@@ -84,7 +84,7 @@
   uint64_t acked_seq;     /* the upstream may forget ends up to this one */
   mm_time_ms deadline_ms; /* new lease of all runs, 0: do not renew */
   mm_time_ms wait_ms;     /* wait this long for an end before answering */
-  bool fresh;             /* use a new connection */
+  bool new_connection;    /* use a new connection */
   mm_time_ms timeout_ms;
 } mm_hold;
 
@@ -95,8 +95,8 @@
   uint32_t run;
   mm_end how;
   uint64_t seq;
-  mm_time_ms since_ms; /* when this instance first saw it */
-  bool foreign;        /* the run was started by an earlier owner */
+  mm_time_ms first_seen_ms; /* when this instance first saw it */
+  bool foreign;             /* the run was started by an earlier owner */
 } mm_unacked_end;
 
 typedef void (*mm_call_done) (const mm_call_result *res, void *ctx);
@@ -121,25 +121,26 @@
 typedef struct
 {
   /* The run @run of a task has ended; @why says how this was found out.  */
-  void (*ended) (void *ctx, mm_exec *x, void *work, uint32_t run, mm_end how,
-                 mm_time_ms ran_ms, const char *why);
+  void (*run_ended) (void *ctx, mm_exec *x, void *work, uint32_t run,
+                     mm_end how, mm_time_ms ran_ms, const char *why);
   /* Capacity became free, or the session became usable.  */
-  void (*room) (void *ctx, mm_exec *x);
+  void (*capacity_freed) (void *ctx, mm_exec *x);
   /* The upstream refused a start, or a task there is stalled.  */
-  void (*unhealthy) (void *ctx, mm_exec *x);
+  void (*upstream_unhealthy) (void *ctx, mm_exec *x);
   /* A run that an earlier owner started was found.  Return: true when an
      instance was asked to adopt the run (mm_exec_adopt); false stops the run
      at once.  */
-  bool (*found) (void *ctx, mm_exec *x, const mm_task_id *task, uint32_t run);
+  bool (*foreign_run_found) (void *ctx, mm_exec *x, const mm_task_id *task,
+                             uint32_t run);
   /* The upstream has seen another owner's fencing token: this session has
      ended.  */
   void (*fenced) (void *ctx, mm_exec *x);
   /* The upstream is lost with all its runs: it was out of contact for longer
      than any lease, or another incarnation answers (@crashed).  The ends of
      the runs are reported after this call.  */
-  void (*lost) (void *ctx, mm_exec *x, bool crashed);
+  void (*upstream_lost) (void *ctx, mm_exec *x, bool crashed);
   /* An upstream that was reported as lost answers again.  */
-  void (*back) (void *ctx, mm_exec *x);
+  void (*upstream_back) (void *ctx, mm_exec *x);
   void *ctx;
 } mm_exec_events;
 
@@ -148,7 +149,7 @@
 {
   /* When the list was last known to be current, 0: never.  NULL: not
      measured.  */
-  mm_time_ms (*known_ms) (void *ctx);
+  mm_time_ms (*list_current_ms) (void *ctx);
   void *ctx;
 } mm_exec_view;
 
--- a/src/mm_exec_call.c
+++ b/src/mm_exec_call.c
@@ -43,9 +43,9 @@
 /* A call without an answer stays open for a while: a late answer is passed to
    the callback once more.  */
 void
-mm_exec_call_close (mm_exec_call *c, bool open)
+mm_exec_call_close (mm_exec_call *c, bool overdue)
 {
-  if (open)
+  if (overdue)
     return;
   mm_exec *x = c->exec;
   g_free (c);
@@ -82,7 +82,7 @@
   if (recovered)
     {
       mm_exec_become_usable (x);
-      x->ev.room (x->ev.ctx, x);
+      x->ev.capacity_freed (x->ev.ctx, x);
     }
   mm_exec_call_close (c, false);
 }
--- a/src/mm_exec_hold.c
+++ b/src/mm_exec_hold.c
@@ -70,7 +70,7 @@
 on_hold_answer (const mm_hold_result *res, void *ctx)
 {
   mm_exec_call *c = ctx;
-  if (res->call.late)
+  if (res->call.was_overdue)
     {
       on_overdue_hold_answer (c, res);
       return;
@@ -79,7 +79,7 @@
   x->holds_in_flight--;
   if (x->closed)
     {
-      mm_exec_call_close (c, res->call.open);
+      mm_exec_call_close (c, res->call.overdue);
       return;
     }
   mm_exec_record_time (x, c, res->call.verdict);
@@ -90,7 +90,7 @@
         bool was_suspect = x->suspect;
         mm_exec_process_lists (x, c, res);
         if (was_suspect && !x->closed)
-          x->ev.room (x->ev.ctx, x);
+          x->ev.capacity_freed (x->ev.ctx, x);
         if (!x->closed)
           mm_exec_tick (x);
         break;
@@ -106,7 +106,7 @@
       on_hold_failed (x, res->call.verdict);
       break;
     }
-  mm_exec_call_close (c, res->call.open);
+  mm_exec_call_close (c, res->call.overdue);
 }
 
 /* Returns the highest sequence number that can be acknowledged: that before
@@ -130,7 +130,7 @@
   mm_hold h = { .fence = x->fence,
                 .acked_seq = ackable_seq (x),
                 .wait_ms = wait_ms,
-                .fresh = x->suspect,
+                .new_connection = x->suspect,
                 .timeout_ms = wait_ms + mm_exec_timeout_ms (x) };
   if (renew && x->clock_known)
     h.deadline_ms = mm_exec_lease_deadline (x);
@@ -151,7 +151,7 @@
   if (!x->hold_failed_ms || now <= x->leases_expire_ms + MM_LEASE_SLACK_MS)
     return;
   if (x->runs_known)
-    x->ev.lost (x->ev.ctx, x, false);
+    x->ev.upstream_lost (x->ev.ctx, x, false);
   GList *runs = g_hash_table_get_values (x->runs);
   for (GList *l = runs; l && !x->closed; l = l->next)
     {
--- a/src/mm_exec_http.c
+++ b/src/mm_exec_http.c
@@ -41,8 +41,8 @@
       = cJSON_GetObjectItemCaseSensitive (body, wire->clock_field);
   mm_call_result r = { .verdict = read_verdict (wire, res, body),
                        .clock_ms = -1,
-                       .open = res->open,
-                       .late = res->late };
+                       .overdue = res->overdue,
+                       .was_overdue = res->was_overdue };
   if (cJSON_IsNumber (clock))
     r.clock_ms = (mm_time_ms)clock->valuedouble;
   return r;
@@ -84,7 +84,7 @@
   mm_call_result r = read_result (p->wire, res, body);
   p->call_done (&r, p->ctx);
   cJSON_Delete (body);
-  if (!r.open)
+  if (!r.overdue)
     g_free (p);
 }
 
@@ -104,14 +104,14 @@
   g_free ((void *)r.running);
   g_free ((void *)r.ended);
   cJSON_Delete (body);
-  if (!r.call.open)
+  if (!r.call.overdue)
     g_free (p);
 }
 
 static void
 post (const mm_exec_http *x, const mm_upstream_info *u, const char *path,
-      cJSON *body, bool fresh, mm_time_ms timeout_ms, mm_http_done done,
-      const pending_call *p)
+      cJSON *body, bool new_connection, mm_time_ms timeout_ms,
+      mm_http_done done, const pending_call *p)
 {
   pending_call *call_state = g_new (pending_call, 1);
   *call_state = *p;
@@ -125,9 +125,9 @@
                         .url = url,
                         .body = text,
                         .header = header_line,
-                        .fresh = fresh,
+                        .new_connection = new_connection,
                         .timeout_ms = timeout_ms,
-                        .late_ms = MM_CALL_LATE_MS };
+                        .keep_overdue_ms = MM_CALL_LATE_MS };
   mm_http_client_send (x->client, &call, done, call_state);
   g_free (header_line);
   g_free (url);
@@ -141,7 +141,7 @@
 {
   const mm_exec_http *x = ctx;
   pending_call p = { .call_done = done, .ctx = done_ctx };
-  post (x, u, x->wire->start_path, x->wire->order_body (o), o->fresh,
+  post (x, u, x->wire->start_path, x->wire->order_body (o), o->new_connection,
         o->timeout_ms, on_call, &p);
 }
 
@@ -151,7 +151,7 @@
 {
   const mm_exec_http *x = ctx;
   pending_call p = { .call_done = done, .ctx = done_ctx };
-  post (x, u, x->wire->stop_path, x->wire->order_body (o), o->fresh,
+  post (x, u, x->wire->stop_path, x->wire->order_body (o), o->new_connection,
         o->timeout_ms, on_call, &p);
 }
 
@@ -161,7 +161,7 @@
 {
   const mm_exec_http *x = ctx;
   pending_call p = { .hold_done = done, .ctx = done_ctx };
-  post (x, u, x->wire->hold_path, x->wire->hold_body (h), h->fresh,
+  post (x, u, x->wire->hold_path, x->wire->hold_body (h), h->new_connection,
         h->timeout_ms, on_hold, &p);
 }
 
--- a/src/mm_exec_lists.c
+++ b/src/mm_exec_lists.c
@@ -13,7 +13,7 @@
     return;
   double ratio
       = (double)(mm_clock_now_ms () - r->ordered_ms) / (double)r->estimate_ms;
-  x->slowness += MM_SPEED_GAIN * (ratio - x->slowness);
+  x->slowness += MM_SLOWNESS_GAIN * (ratio - x->slowness);
 }
 
 /* Leaves an end unacknowledged until the job's home has stored it.  The
@@ -26,7 +26,7 @@
                        .run = e->run,
                        .how = e->how,
                        .seq = e->seq,
-                       .since_ms = mm_clock_now_ms (),
+                       .first_seen_ms = mm_clock_now_ms (),
                        .foreign = foreign };
   g_array_append_val (x->unacked, h);
 }
@@ -78,7 +78,7 @@
   mm_log_event (MM_EV_TASK_FOREIGN, MM_TASK (&r->id), MM_TEXT (x->info->name),
                 MM_INT (r->number));
   g_hash_table_insert (x->runs, &r->id, r);
-  if (x->ev.found (x->ev.ctx, x, &r->id, r->number))
+  if (x->ev.foreign_run_found (x->ev.ctx, x, &r->id, r->number))
     return;
   r->stop_wanted = r->stop_by_owner = true;
   mm_exec_send_stop (r, false);
@@ -105,7 +105,7 @@
   r->stop_wanted = true;
   mm_log_event (MM_EV_TASK_STOPPED, MM_TASK (&r->id), MM_TEXT (x->info->name),
                 MM_TEXT ("it is stalled"));
-  x->ev.unhealthy (x->ev.ctx, x);
+  x->ev.upstream_unhealthy (x->ev.ctx, x);
 }
 
 static void
@@ -173,7 +173,7 @@
   GHashTable *present = g_hash_table_new (NULL, NULL);
   bool first = !x->runs_known;
   if (first && x->fence_known)
-    x->ev.back (x->ev.ctx, x);
+    x->ev.upstream_back (x->ev.ctx, x);
   if (!x->fence_known)
     mm_log_event (MM_EV_UPSTREAM_OWNED, MM_TEXT (x->info->name),
                   MM_INT (x->fence));
@@ -186,5 +186,5 @@
     process_absent (x, present, c->sent_event);
   g_hash_table_destroy (present);
   if (first && !x->closed)
-    x->ev.room (x->ev.ctx, x);
+    x->ev.capacity_freed (x->ev.ctx, x);
 }
--- a/src/mm_exec_priv.h
+++ b/src/mm_exec_priv.h
@@ -18,7 +18,7 @@
   mm_exec *exec;
   mm_task_id id;
   uint32_t number; /* distinguishes the runs of one task */
-  mm_resources need;
+  mm_resources resources;
   void *work; /* the owner's handle, NULL once reported or detached */
   mm_exec_phase phase;
   bool foreign;       /* started by an earlier owner, not adopted */
@@ -90,9 +90,10 @@
 
 /* Ends a run: frees its capacity and notifies the owner.  */
 void mm_exec_finish_run (mm_exec_run *r, mm_end how, const char *why);
-void mm_exec_send_stop (mm_exec_run *r, bool fresh); /* unless one is open */
-void mm_exec_set_running (mm_exec_run *r); /* by the upstream's answer */
-void mm_exec_become_usable (mm_exec *x);   /* after an answer */
+void mm_exec_send_stop (mm_exec_run *r,
+                        bool new_connection); /* unless one is open */
+void mm_exec_set_running (mm_exec_run *r);    /* by the upstream's answer */
+void mm_exec_become_usable (mm_exec *x);      /* after an answer */
 
 /* Stops placing tasks on the upstream after a call that failed.  */
 void mm_exec_become_suspect (mm_exec *x, const char *what, mm_call_verdict v);
@@ -111,8 +112,8 @@
 
 /* mm_exec_call.c */
 mm_exec_call *mm_exec_call_open (mm_exec *x, mm_exec_run *r);
-/* Frees the call, unless @open: a late answer may still follow.  */
-void mm_exec_call_close (mm_exec_call *c, bool open);
+/* Frees the call, unless @overdue: a late answer may still follow.  */
+void mm_exec_call_close (mm_exec_call *c, bool overdue);
 /* Processes the final result of a call that was reported as unanswered.  */
 void mm_exec_call_late (mm_exec_call *c, const mm_call_result *res);
 mm_time_ms mm_exec_timeout_ms (const mm_exec *x); /* for the next call */
--- a/src/mm_explain.c
+++ b/src/mm_explain.c
@@ -218,13 +218,13 @@
   g_string_append_c (out, '\n');
 }
 
-/* Returns the job's last line of @event before line @upto.  Unless @field is
-   NULL, that field must have @value.  */
+/* Returns the job's last line of @event before line @end_line.  Unless @field
+   is NULL, that field must have @value.  */
 static const line *
-last_own (const mm_explain *x, guint upto, const char *event,
+last_own (const mm_explain *x, guint end_line, const char *event,
           const char *field, const char *value)
 {
-  for (guint i = upto; i-- > 0;)
+  for (guint i = end_line; i-- > 0;)
     {
       const line *l = x->lines->pdata[i];
       if (l->own && is_event (l, event)
@@ -265,12 +265,12 @@
 
 /* Appends why the outcome of the job is unknown.  */
 static void
-cause_of_unknown_outcome (const mm_explain *x, const scope *s, guint upto,
+cause_of_unknown_outcome (const mm_explain *x, const scope *s, guint end_line,
                           GString *out)
 {
-  const line *t = last_own (x, upto, "task_failed", "how", "unknown");
+  const line *t = last_own (x, end_line, "task_failed", "how", "unknown");
   const line *handed
-      = t ? last_own (x, upto, "task_handed", "task", text_of (t, "task"))
+      = t ? last_own (x, end_line, "task_handed", "task", text_of (t, "task"))
           : NULL;
   const line *peer = handed ? first_context (x, s, "peer_lost", "peer",
                                              text_of (handed, "owner"))
@@ -296,10 +296,10 @@
 }
 
 static void
-cause_of_failure (const mm_explain *x, const scope *s, guint upto,
+cause_of_failure (const mm_explain *x, const scope *s, guint end_line,
                   GString *out)
 {
-  const line *given_up = last_own (x, upto, "task_given_up", NULL, NULL);
+  const line *given_up = last_own (x, end_line, "task_given_up", NULL, NULL);
   if (given_up)
     {
       g_string_append_printf (
@@ -310,7 +310,7 @@
           text_of (given_up, "upstreams"));
       return;
     }
-  const line *t = last_own (x, upto, "task_failed", "how", "failed");
+  const line *t = last_own (x, end_line, "task_failed", "how", "failed");
   if (!t)
     {
       g_string_append (out, "failed; the logs have no line of a failed task.");
@@ -332,13 +332,13 @@
 }
 
 static void
-cause_of_success (const mm_explain *x, guint upto, GString *out)
+cause_of_success (const mm_explain *x, guint end_line, GString *out)
 {
-  const line *answered = x->lines->pdata[upto];
+  const line *answered = x->lines->pdata[end_line];
   g_string_append_printf (out, "completed after %lld ms",
                           number_of (answered, "took_ms"));
   guint repeated = 0;
-  for (guint i = 0; i < upto; i++)
+  for (guint i = 0; i < end_line; i++)
     {
       const line *l = x->lines->pdata[i];
       repeated += l->own && is_event (l, "task_failed");
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -80,7 +80,7 @@
   out[0].name = NULL;
   out[0].age_ms = 0;
   out[0].datacentre = f->datacentre;
-  out[0].room = mm_owner_report (f->owner, service);
+  out[0].capacity = mm_owner_report (f->owner, service);
   return 1
          + mm_mesh_peer_capacities (f->mesh, service, out + 1,
                                     MM_FLEET_MAX_OWNERS - 1);
@@ -95,14 +95,16 @@
   double known_places = 0, run_ms_sum = 0;
   for (size_t i = 0; i < n; i++)
     {
-      load.places += owners[i].room.places;
-      load.free += owners[i].room.free;
-      load.waiting += mm_capacity_waiting_ahead (&owners[i].room, priority);
+      load.places += owners[i].capacity.places;
+      load.free += owners[i].capacity.free;
+      load.waiting
+          += mm_capacity_waiting_ahead (&owners[i].capacity, priority);
       load.age_ms = MAX (load.age_ms, owners[i].age_ms);
-      if (owners[i].room.task_ms && owners[i].room.places)
+      if (owners[i].capacity.task_ms && owners[i].capacity.places)
         {
-          known_places += owners[i].room.places;
-          run_ms_sum += (double)owners[i].room.places * owners[i].room.task_ms;
+          known_places += owners[i].capacity.places;
+          run_ms_sum += (double)owners[i].capacity.places
+                        * owners[i].capacity.task_ms;
         }
     }
   if (MM_WITH_COST && known_places > 0)
@@ -174,12 +176,12 @@
       choices[i].near = i == 0            ? MM_NEAR_SELF
                         : same_datacentre ? MM_NEAR_DATACENTRE
                                           : MM_NEAR_FAR;
-      choices[i].returned_by
+      choices[i].returned_task
           = returned_by
             && strcmp (owners[i].name ? owners[i].name : "", returned_by) == 0;
-      choices[i].room = owners[i].room;
-      choices[i].room.waiting
-          = mm_capacity_waiting_ahead (&owners[i].room, t->priority);
+      choices[i].capacity = owners[i].capacity;
+      choices[i].capacity.waiting
+          = mm_capacity_waiting_ahead (&owners[i].capacity, t->priority);
     }
   int best = mm_dispatch_choose (choices, n);
   if (best < 0)
@@ -191,8 +193,8 @@
   mm_metrics_count (MM_CT_TASKS_HANDED);
   mm_log_event (MM_EV_TASK_HANDED, MM_TASK (&t->id),
                 MM_TEXT (best ? owners[best].name : "self"),
-                MM_INT (owners[best].room.free),
-                MM_INT (owners[best].room.waiting),
+                MM_INT (owners[best].capacity.free),
+                MM_INT (owners[best].capacity.waiting),
                 MM_INT (owners[best].age_ms), MM_INT (t->attempt));
   if (best == 0)
     ticket->work = mm_owner_submit (f->owner, t, on_done, ticket);
--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -91,7 +91,7 @@
   waiter *w = g_new (waiter, 1);
   *w = (waiter){ .answered = answered,
                  .ctx = ctx,
-                 .expires_ms = mm_clock_now_ms () + MM_KEPT_ACCEPT_MS };
+                 .expires_ms = mm_clock_now_ms () + MM_KEPT_STORE_TIMEOUT_MS };
   j->waiters = g_list_append (j->waiters, w);
 }
 
@@ -101,7 +101,7 @@
   job *j = p;
   answer_waiters (j, MM_KEPT_IN_DOUBT, G_MAXINT64);
   mm_kept_run_destroy (j->run);
-  mm_job_record_free (j->rec);
+  mm_job_record_destroy (j->rec);
   g_free (j);
 }
 
@@ -247,7 +247,7 @@
         g_warning ("kept job %s: invalid stored record: %s", r->key,
                    error ? error->message : "no value");
       g_clear_error (&error);
-      mm_job_record_free (rec);
+      mm_job_record_destroy (rec);
       return;
     }
   job *j = job_create (h, r->key, rec);
@@ -395,7 +395,7 @@
     add_waiter (j, answered, ctx);
   else if (!mm_job_log_in_contact (h->log))
     refuse (h, rec, "the store does not answer", 1, answered, ctx);
-  else if (!(admission = admit (h, rec)).take)
+  else if (!(admission = admit (h, rec)).accept)
     refuse (h, rec, "would come too late", admission.retry_after_s, answered,
             ctx);
   else
@@ -406,7 +406,7 @@
                       on_accept_stored, pending_write_create (j));
       return;
     }
-  mm_job_record_free (rec);
+  mm_job_record_destroy (rec);
 }
 
 static mm_job_phase
--- a/src/mm_home_directory.c
+++ b/src/mm_home_directory.c
@@ -82,11 +82,11 @@
 static void
 add_peer (mm_home_directory *h, const char *member)
 {
-  mm_peer_info p;
+  mm_mesh_peer_info p;
   if (strcmp (member, h->self) == 0 || !mm_members_parse_name (member, &p))
     return;
   mm_mesh_add_peer (h->mesh, &p);
-  mm_peer_info_clear (&p);
+  mm_mesh_peer_info_clear (&p);
   if (h->last_used_ms)
     mm_mesh_require_link (h->mesh, member);
 }
@@ -105,9 +105,9 @@
       for (uint32_t i = 0; i < h->n_partitions; i++)
         g_clear_pointer (&h->home[i], g_free);
       for (size_t i = 0; i < res->n_holders; i++)
-        if (res->holders[i].part < h->n_partitions)
+        if (res->holders[i].partition < h->n_partitions)
           {
-            char **home = &h->home[res->holders[i].part];
+            char **home = &h->home[res->holders[i].partition];
             g_free (*home);
             *home = g_strdup (res->holders[i].member);
           }
--- a/src/mm_http_client.c
+++ b/src/mm_http_client.c
@@ -53,7 +53,7 @@
 {
   call *c = w->data;
   c->overdue = true;
-  mm_http_result res = { .open = true, .sent = true, .body = "" };
+  mm_http_result res = { .overdue = true, .sent = true, .body = "" };
   res.error
       = g_error_new_literal (MM_ERROR, MM_ERROR_TIMEOUT, "no answer in time");
   c->done (&res, c->ctx);
@@ -63,7 +63,7 @@
 static void
 finish_call (call *c, CURLcode code)
 {
-  mm_http_result res = { .late = c->overdue };
+  mm_http_result res = { .was_overdue = c->overdue };
   ev_timer_stop (c->client->loop, &c->overdue_timer);
   curl_easy_getinfo (c->easy, CURLINFO_RESPONSE_CODE, &res.status);
   long connect_code = 0;
@@ -301,7 +301,7 @@
  * @c: the client.
  * @spec: what to send; copied.
  * @done: called once from the loop with the result and @ctx; twice when the
- *        answer is overdue and the call stays open (late_ms of @spec).
+ *        answer is overdue and the call stays open (keep_overdue_ms of @spec).
  * @ctx: context pointer for @done.
  */
 void
@@ -319,21 +319,21 @@
   new_call->ctx = ctx;
   new_call->cursor = make_cursor (new_call->body, len_bytes);
   new_call->easy = make_easy (spec->method, spec->url, &new_call->cursor,
-                              spec->timeout_ms + spec->late_ms,
+                              spec->timeout_ms + spec->keep_overdue_ms,
                               &new_call->headers, new_call->answer);
   if (c->member_header)
     new_call->headers
         = curl_slist_append (new_call->headers, c->member_header);
   if (spec->header)
     new_call->headers = curl_slist_append (new_call->headers, spec->header);
-  if (spec->fresh)
+  if (spec->new_connection)
     curl_easy_setopt (new_call->easy, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt (new_call->easy, CURLOPT_HTTPHEADER, new_call->headers);
   curl_easy_setopt (new_call->easy, CURLOPT_PRIVATE, new_call);
   ev_timer_init (&new_call->overdue_timer, overdue_cb,
                  (double)spec->timeout_ms / 1000., 0.);
   new_call->overdue_timer.data = new_call;
-  if (spec->late_ms > 0)
+  if (spec->keep_overdue_ms > 0)
     ev_timer_start (c->loop, &new_call->overdue_timer);
   c->in_flight++;
   curl_multi_add_handle (c->multi, new_call->easy);
--- a/src/mm_job_log.c
+++ b/src/mm_job_log.c
@@ -220,7 +220,7 @@
   GList *e = l->entries->head;
   for (guint i = 0; i < l->n_sending; i++, e = e->next)
     records[i] = ((entry *)e->data)->record;
-  mm_append a = { .part = l->partition,
+  mm_append a = { .partition = l->partition,
                   .epoch = l->epoch,
                   .seq = l->seq,
                   .records = records,
--- a/src/mm_job_record.c
+++ b/src/mm_job_record.c
@@ -28,7 +28,7 @@
 }
 
 mm_job_record *
-mm_job_record_new (mm_submission *s, const mm_route *route)
+mm_job_record_create (mm_submission *s, const mm_route *route)
 {
   mm_job_record *r = g_new0 (mm_job_record, 1);
   r->queue = g_strdup (route->name);
@@ -44,7 +44,7 @@
 }
 
 void
-mm_job_record_free (mm_job_record *r)
+mm_job_record_destroy (mm_job_record *r)
 {
   if (!r)
     return;
@@ -160,7 +160,7 @@
  * @len: number of bytes.
  * @error: MM_ERROR_DECODE.
  *
- * Return: the record, or NULL; free with mm_job_record_free().
+ * Return: the record, or NULL; free with mm_job_record_destroy().
  */
 mm_job_record *
 mm_job_record_unpack (const void *data, size_t len, GError **error)
@@ -177,7 +177,7 @@
     return r;
   g_set_error (error, MM_ERROR, MM_ERROR_DECODE,
                "kept job: %zu bytes are not a valid job record", len);
-  mm_job_record_free (r);
+  mm_job_record_destroy (r);
   return NULL;
 }
 
--- a/src/mm_job_record.h
+++ b/src/mm_job_record.h
@@ -40,9 +40,9 @@
   mm_task_progress *progress; /* of each task, NULL once the job has ended */
 } mm_job_record;
 
-mm_job_record *mm_job_record_new (mm_submission *s,
-                                  const mm_route *route); /* takes @s */
-void mm_job_record_free (mm_job_record *r);
+mm_job_record *mm_job_record_create (mm_submission *s,
+                                     const mm_route *route); /* takes @s */
+void mm_job_record_destroy (mm_job_record *r);
 /* The job has ended as @p: drops its submission and progress, as only the
    outcome is kept.  */
 void mm_job_record_set_outcome (mm_job_record *r, mm_job_phase p);
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -200,9 +200,9 @@
           .payload = step->payload ? step->payload : b->submission->payload,
           .label = step->label,
           .data_label = step->data_label,
-          .avoid = t->avoid_upstream,
-          .need = step->need,
-          .apart = action == MM_SUSPECT_ISOLATE,
+          .avoid_upstream = t->avoid_upstream,
+          .resources = step->resources,
+          .isolated = action == MM_SUSPECT_ISOLATE,
           .attempt = t->failures,
           .priority = b->priority,
           .estimate_ms = step->estimate_ms,
@@ -218,7 +218,7 @@
       = mm_fleet_submit (b->jobs->fleet, &r, t->returned_by, on_task_ended, t);
   t->undispatched = !t->ticket;
   b->n_undispatched += t->undispatched;
-  t->isolated = t->ticket && r.apart;
+  t->isolated = t->ticket && r.isolated;
   b->n_isolated += t->isolated;
   b->dispatched = b->dispatched || t->ticket;
 }
@@ -508,15 +508,15 @@
     slack = 0;
   uint32_t tasks = mm_submission_first_tasks (s);
   mm_admission admission = mm_admission_decide (&load, tasks, slack);
-  if (!refusal.why && !admission.take)
+  if (!refusal.why && !admission.accept)
     {
       refusal.why = "would come too late";
       refusal.retry_after_s = admission.retry_after_s;
     }
   if (refusal.why)
     {
-      mm_metrics_count (admission.take ? MM_CT_JOBS_REFUSED_KIND
-                                       : MM_CT_JOBS_REFUSED_LATE);
+      mm_metrics_count (admission.accept ? MM_CT_JOBS_REFUSED_KIND
+                                         : MM_CT_JOBS_REFUSED_LATE);
       mm_log_event (
           MM_EV_JOB_REFUSED, MM_TEXT (s->id), MM_TEXT (route->name),
           MM_INT (route->config_version), MM_INT (tasks), MM_INT (load.places),
--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -18,7 +18,8 @@
     {
       if (!*ack[i].owner)
         {
-          mm_owner_acknowledge_end (k->deps.owner, &ack[i].task, ack[i].mark);
+          mm_owner_acknowledge_end (k->deps.owner, &ack[i].task,
+                                    ack[i].run_hash);
           continue;
         }
       msgpack_sbuffer b;
@@ -46,7 +47,7 @@
 on_home_fenced (void *ctx, mm_home *h)
 {
   mm_kept *k = ctx;
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     if (k->home[i] == h)
       k->superseded[i] = true;
 }
@@ -74,7 +75,7 @@
 static void
 sync_homes (mm_kept *k)
 {
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     {
       if (k->home[i] && k->superseded[i])
         {
@@ -95,7 +96,7 @@
 static bool
 releasing_homes_idle (const mm_kept *k)
 {
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     {
       uint64_t epoch;
       if (k->home[i]
@@ -116,7 +117,7 @@
     mm_partitions_release (k->partitions);
   if (!k->leaving || (!idle && now - k->leaving_ms < MM_HANDOVER_MS))
     return;
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     close_home (k, i);
   mm_partitions_leave (k->partitions);
 }
@@ -160,7 +161,7 @@
 on_none_left (void *ctx, GHashTable *tasks)
 {
   mm_kept *k = ctx;
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     if (k->home[i])
       mm_home_clear_in_doubt (k->home[i], tasks);
 }
@@ -169,7 +170,7 @@
 tasks_in_doubt (const mm_kept *k)
 {
   GHashTable *tasks = mm_task_set_new ();
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     if (k->home[i])
       mm_home_in_doubt (k->home[i], tasks);
   return tasks;
@@ -228,14 +229,14 @@
   k->deps = *p;
   k->created_ms = mm_clock_now_ms ();
   k->deps.member = g_strdup (p->member);
-  k->home = g_new0 (mm_home *, p->parts);
-  k->superseded = g_new0 (bool, p->parts);
+  k->home = g_new0 (mm_home *, p->n_partitions);
+  k->superseded = g_new0 (bool, p->n_partitions);
   k->foreign_pending
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   k->partitions = mm_partitions_create (&p->store, MM_JOBS_GROUP,
-                                        k->deps.member, p->parts);
+                                        k->deps.member, p->n_partitions);
   k->directory = mm_home_directory_create (&p->store, p->mesh, k->deps.member,
-                                           p->parts, p->predecessors);
+                                           p->n_partitions, p->predecessors);
   mm_task_search_events ev
       = { .end = on_found_end, .none_left = on_none_left, .ctx = k };
   k->search = mm_task_search_create (p->mesh, p->owner, p->catalog, &ev);
@@ -251,7 +252,7 @@
   k->closed = true;
   mm_mesh_on_request (k->deps.mesh, NULL, NULL);
   mm_kept_retry_requests (k);
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     close_home (k, i);
   mm_task_search_destroy (k->search);
   mm_home_directory_destroy (k->directory);
@@ -271,7 +272,7 @@
   if (mm_partitions_has_left (k->partitions))
     return;
   sync_homes (k);
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     if (k->home[i])
       mm_home_tick (k->home[i], may_start (k, i));
   mm_kept_resolve_foreign (k, now);
@@ -298,7 +299,7 @@
 mm_kept_open_jobs (const mm_kept *k)
 {
   uint32_t n = 0;
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     if (k->home[i])
       n += mm_home_open_jobs (k->home[i]);
   return n;
--- a/src/mm_kept.h
+++ b/src/mm_kept.h
@@ -26,8 +26,8 @@
   mm_owner *owner;
   const mm_catalog *catalog;
   mm_predecessors *predecessors;
-  const char *member; /* member name of this instance in groups; copied */
-  uint32_t parts;     /* number of partitions of kept jobs */
+  const char *member;    /* member name of this instance in groups; copied */
+  uint32_t n_partitions; /* number of partitions of kept jobs */
 } mm_kept_deps;
 
 mm_kept *mm_kept_create (const mm_kept_deps *p);
--- a/src/mm_kept_peer.c
+++ b/src/mm_kept_peer.c
@@ -13,7 +13,7 @@
 pending_here (const mm_kept *k, const char *queue)
 {
   uint32_t n = 0;
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     if (k->home[i])
       n += mm_home_pending (k->home[i], queue);
   return n;
@@ -56,7 +56,7 @@
 other_homes (const mm_kept *k)
 {
   GList *names = NULL;
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     {
       const char *home
           = k->home[i] ? NULL : mm_home_directory_lookup (k->directory, i);
@@ -124,7 +124,7 @@
       rejection.status = MM_KEPT_BUSY;
     }
   g_clear_error (&error);
-  mm_job_record_free (rec);
+  mm_job_record_destroy (rec);
   answer_peer (reply, &rejection);
 }
 
--- a/src/mm_kept_request.c
+++ b/src/mm_kept_request.c
@@ -142,7 +142,7 @@
     data = g_bytes_get_data (r->record, &len);
   mm_time_ms timeout_ms
       = MM_KEPT_REQUEST_TIMEOUT_MS
-        + (r->verb == MM_KEPT_REQUEST_STATE ? 0 : MM_KEPT_ACCEPT_MS);
+        + (r->verb == MM_KEPT_REQUEST_STATE ? 0 : MM_KEPT_STORE_TIMEOUT_MS);
   mm_mesh_request (r->kept->deps.mesh, home, r->verb, data, len, timeout_ms,
                    on_peer_answered, r);
 }
@@ -202,10 +202,10 @@
 mm_kept_submit (mm_kept *k, mm_submission *s, const mm_route *route,
                 mm_kept_answered answered, void *ctx)
 {
-  mm_job_record *rec = mm_job_record_new (s, route);
+  mm_job_record *rec = mm_job_record_create (s, route);
   start_request (k, rec->s->id, MM_KEPT_REQUEST_SUBMIT,
                  mm_job_record_pack (rec), answered, ctx);
-  mm_job_record_free (rec);
+  mm_job_record_destroy (rec);
 }
 
 void
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_run.c
@@ -133,7 +133,7 @@
 add_ack (mm_kept_run *r, const mm_task_id *id, uint32_t run_hash,
          const char *owner)
 {
-  mm_end_ack ack = { .task = *id, .mark = run_hash };
+  mm_end_ack ack = { .task = *id, .run_hash = run_hash };
   g_strlcpy (ack.owner, owner ? owner : "", sizeof ack.owner);
   g_array_append_val (r->acks, ack);
 }
@@ -280,10 +280,10 @@
           .payload = step->payload ? step->payload : r->rec->s->payload,
           .label = step->label,
           .data_label = step->data_label,
-          .avoid = t->avoid_upstream,
-          .need = step->need,
+          .avoid_upstream = t->avoid_upstream,
+          .resources = step->resources,
           .kept = true,
-          .apart = action == MM_SUSPECT_ISOLATE,
+          .isolated = action == MM_SUSPECT_ISOLATE,
           .attempt = r->rec->progress[t - r->tasks].n_failures,
           .priority = r->rec->priority,
           .estimate_ms = step->estimate_ms,
@@ -296,7 +296,7 @@
     return; /* no owner is reachable: retried at the next tick */
   t->state = TASK_DISPATCHED;
   r->n_dispatched++;
-  t->isolated = req.apart;
+  t->isolated = req.isolated;
   r->n_isolated += t->isolated;
 }
 
@@ -379,14 +379,14 @@
     return;
   task *t = &r->tasks[number];
   r->started = true;
-  add_ack (r, &t->id, e->mark, owner);
+  add_ack (r, &t->id, e->run_hash, owner);
   if (e->how == MM_END_DONE)
     {
       r->n_in_doubt--;
       on_task_succeeded (t);
     }
   else if (e->how == MM_END_FAILED)
-    on_task_failed (t, e->mark, TASK_IN_DOUBT);
+    on_task_failed (t, e->run_hash, TASK_IN_DOUBT);
   else
     r->ev.progress (r->ev.ctx);
 }
--- a/src/mm_kept_run.h
+++ b/src/mm_kept_run.h
@@ -26,8 +26,8 @@
 typedef struct
 {
   mm_task_id task;
-  uint32_t mark;  /* mm_run_hash() */
-  char owner[96]; /* peer that reported the end, "": this instance */
+  uint32_t run_hash; /* mm_run_hash() */
+  char owner[96];    /* peer that reported the end, "": this instance */
 } mm_end_ack;
 
 /* @rec must outlive the run.  @taken_over: the job was started by an earlier
--- a/src/mm_kept_wire.c
+++ b/src/mm_kept_wire.c
@@ -121,9 +121,9 @@
   msgpack_packer_init (&pk, b, msgpack_sbuffer_write);
   msgpack_pack_array (&pk, RESULT_FIELDS);
   msgpack_pack_uint32 (&pk, c->present);
-  msgpack_pack_array (&pk, c->clear->len);
-  for (guint i = 0; i < c->clear->len; i++)
-    msgpack_pack_uint64 (&pk, g_array_index (c->clear, uint64_t, i));
+  msgpack_pack_array (&pk, c->clear_upstreams->len);
+  for (guint i = 0; i < c->clear_upstreams->len; i++)
+    msgpack_pack_uint64 (&pk, g_array_index (c->clear_upstreams, uint64_t, i));
   msgpack_pack_array (&pk, c->ends->len);
   for (guint i = 0; i < c->ends->len; i++)
     {
@@ -131,7 +131,7 @@
       msgpack_pack_array (&pk, END_FIELDS);
       mm_mp_pack_task (&pk, &e->task);
       msgpack_pack_int (&pk, e->how);
-      msgpack_pack_uint32 (&pk, e->mark);
+      msgpack_pack_uint32 (&pk, e->run_hash);
     }
 }
 
@@ -164,7 +164,7 @@
           || !mm_mp_read_task (row->via.array.ptr, &e.task)
           || !mm_mp_read_u32 (&row->via.array.ptr[3], &how)
           || how >= MM_END_COUNT
-          || !mm_mp_read_u32 (&row->via.array.ptr[4], &e.mark))
+          || !mm_mp_read_u32 (&row->via.array.ptr[4], &e.run_hash))
         return false;
       e.how = (mm_end)how;
       g_array_append_val (out, e);
@@ -180,7 +180,7 @@
       || !mm_mp_read_u32 (&o->via.array.ptr[0], &present))
     return false;
   out->present += present;
-  return read_hashes (&o->via.array.ptr[1], out->clear)
+  return read_hashes (&o->via.array.ptr[1], out->clear_upstreams)
          && read_ends (&o->via.array.ptr[2], out->ends);
 }
 
@@ -203,7 +203,7 @@
     {
       msgpack_pack_array (&pk, ACK_FIELDS);
       mm_mp_pack_task (&pk, &acks[i].task);
-      msgpack_pack_uint32 (&pk, acks[i].mark);
+      msgpack_pack_uint32 (&pk, acks[i].run_hash);
     }
 }
 
--- a/src/mm_list_log.c
+++ b/src/mm_list_log.c
@@ -43,17 +43,17 @@
 }
 
 void
-mm_list_log_append (mm_list_log *l, uint64_t upto, const char *name,
+mm_list_log_append (mm_list_log *l, uint64_t end_offset, const char *name,
                     const mm_upstream_info *info)
 {
   if (l->changes->len >= MM_LIST_LOG_MAX)
     {
-      l->first = g_array_index (l->changes, mm_list_change, 0).upto;
+      l->first = g_array_index (l->changes, mm_list_change, 0).end_offset;
       g_array_remove_index (l->changes, 0);
     }
   mm_list_change c = { .name = g_strdup (name),
                        .info = info ? mm_upstream_info_copy (info) : NULL,
-                       .upto = upto };
+                       .end_offset = end_offset };
   g_array_append_val (l->changes, c);
 }
 
@@ -68,7 +68,8 @@
 {
   guint i = l->changes->len;
   while (i > 0
-         && g_array_index (l->changes, mm_list_change, i - 1).upto > from)
+         && g_array_index (l->changes, mm_list_change, i - 1).end_offset
+                > from)
     i--;
   *n = l->changes->len - i;
   return &g_array_index (l->changes, mm_list_change, i);
--- a/src/mm_list_log.h
+++ b/src/mm_list_log.h
@@ -14,7 +14,7 @@
 {
   char *name;
   mm_upstream_info *info; /* NULL: the upstream is no longer listed */
-  uint64_t upto; /* the record of the change lies before this offset */
+  uint64_t end_offset; /* the record of the change lies before this offset */
 } mm_list_change;
 
 void mm_list_change_clear (gpointer change); /* frees its fields */
@@ -25,7 +25,7 @@
 void mm_list_log_reset (mm_list_log *l, uint64_t first);
 /* Adds a change, in the order of the stream.  @info is NULL when the upstream
    is no longer listed.  The oldest change is dropped when the log is full.  */
-void mm_list_log_append (mm_list_log *l, uint64_t upto, const char *name,
+void mm_list_log_append (mm_list_log *l, uint64_t end_offset, const char *name,
                          const mm_upstream_info *info);
 /* Returns the offset from which on the log has all changes.  */
 uint64_t mm_list_log_first_offset (const mm_list_log *l);
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -44,7 +44,7 @@
 }
 
 static mm_time_ms
-pause_ms (void *ctx)
+poll_interval_ms (void *ctx)
 {
   const mm_list_share *l = ctx;
   GList *peers = mm_mesh_linked (l->mesh);
@@ -123,12 +123,12 @@
 on_changes (void *ctx, bool all)
 {
   mm_list_share *l = ctx;
-  uint64_t upto = mm_stream_next_offset (l->stream);
+  uint64_t end_offset = mm_stream_next_offset (l->stream);
   for (guint i = 0; i < l->changes_read->len; i++)
     {
       const mm_list_change *c
           = &g_array_index (l->changes_read, mm_list_change, i);
-      mm_list_log_append (l->log, upto, c->name, c->info);
+      mm_list_log_append (l->log, end_offset, c->name, c->info);
     }
   g_array_set_size (l->changes_read, 0);
   if (!all)
@@ -224,9 +224,9 @@
   l->changes_read = g_array_new (FALSE, FALSE, sizeof (mm_list_change));
   g_array_set_clear_func (l->changes_read, mm_list_change_clear);
   mm_stream_events ev = { .item = on_item,
-                          .whole = on_full_read,
+                          .loaded = on_full_read,
                           .changes = on_changes,
-                          .pause_ms = pause_ms,
+                          .poll_interval_ms = poll_interval_ms,
                           .ctx = l };
   l->stream = mm_stream_create (port, MM_STREAM_UPSTREAMS, 0, &ev);
   mm_mesh_on_update (mesh, on_update, l);
--- a/src/mm_list_update.c
+++ b/src/mm_list_update.c
@@ -115,7 +115,7 @@
     return false;
   for (uint32_t i = 0; i < f[4].via.array.size; i++)
     {
-      mm_list_change c = { .upto = out->to };
+      mm_list_change c = { .end_offset = out->to };
       bool ok = read_change (&f[4].via.array.ptr[i], &c);
       g_array_append_val (out->decoded, c);
       if (!ok)
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -68,7 +68,7 @@
 
 /* A member name is INSTANCE@ADDRESS/DATACENTRE.  */
 bool
-mm_members_parse_name (const char *name, mm_peer_info *out)
+mm_members_parse_name (const char *name, mm_mesh_peer_info *out)
 {
   const char *at = strchr (name, NAME_SEPARATOR);
   const char *slash = at ? strchr (at, DATACENTRE_SEPARATOR) : NULL;
@@ -92,7 +92,7 @@
 on_hello (void *ctx, const char *name)
 {
   mm_members *m = ctx;
-  mm_peer_info p;
+  mm_mesh_peer_info p;
   if (strcmp (name, m->self) == 0 || !mm_members_parse_name (name, &p))
     return;
   mm_mesh_add_peer (m->mesh, &p);
@@ -102,7 +102,7 @@
       m->changed (m->changed_ctx, group);
       g_free (group);
     }
-  mm_peer_info_clear (&p);
+  mm_mesh_peer_info_clear (&p);
 }
 
 mm_members *
@@ -142,19 +142,20 @@
 static void
 publish (mm_members *m)
 {
-  GArray *peers = g_array_new (FALSE, FALSE, sizeof (mm_peer_info));
-  g_array_set_clear_func (peers, mm_peer_info_clear);
+  GArray *peers = g_array_new (FALSE, FALSE, sizeof (mm_mesh_peer_info));
+  g_array_set_clear_func (peers, mm_mesh_peer_info_clear);
   for (size_t i = 0; i < m->n; i++)
     for (char **member = m->dcs[i].member_names; member && *member; member++)
       {
-        mm_peer_info p;
+        mm_mesh_peer_info p;
         if (strcmp (*member, m->self) == 0
             || !mm_members_parse_name (*member, &p))
           continue;
         p.is_standby = strcmp (p.datacentre, m->dcs[i].name) != 0;
         g_array_append_val (peers, p);
       }
-  mm_mesh_set_peers (m->mesh, (mm_peer_info *)(void *)peers->data, peers->len);
+  mm_mesh_set_peers (m->mesh, (mm_mesh_peer_info *)(void *)peers->data,
+                     peers->len);
   g_array_free (peers, TRUE);
 }
 
--- a/src/mm_members.h
+++ b/src/mm_members.h
@@ -11,9 +11,9 @@
    centre, as it may be a member of another data centre's group too.  */
 char *mm_members_name (const char *instance, const char *mesh_addr,
                        const char *datacentre);
-/* Parses a member name; free @out with mm_peer_info_clear().  Returns false
-   when @name was not made by mm_members_name().  */
-bool mm_members_parse_name (const char *name, mm_peer_info *out);
+/* Parses a member name; free @out with mm_mesh_peer_info_clear().  Returns
+   false when @name was not made by mm_members_name().  */
+bool mm_members_parse_name (const char *name, mm_mesh_peer_info *out);
 /* Returns the name of a data centre's group.  */
 char *mm_members_group (const char *datacentre);
 
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -155,7 +155,7 @@
   for (GList *l = services; l && n < MM_MESH_MAX_SERVICES; l = l->next)
     {
       g_strlcpy (out[n].service, l->data, sizeof out[n].service);
-      out[n].room = mm_owner_report (o, l->data);
+      out[n].capacity = mm_owner_report (o, l->data);
       n++;
     }
   g_list_free (services);
@@ -336,9 +336,9 @@
 }
 
 void
-mm_peer_info_clear (gpointer info)
+mm_mesh_peer_info_clear (gpointer info)
 {
-  mm_peer_info *i = info;
+  mm_mesh_peer_info *i = info;
   g_free (i->name);
   g_free (i->addr);
   g_free (i->datacentre);
@@ -353,7 +353,7 @@
   g_hash_table_destroy (p->remote_tasks);
   mm_requests_destroy (p->requests);
   g_free (p->capacities);
-  mm_peer_info_clear (&p->info);
+  mm_mesh_peer_info_clear (&p->info);
   g_free (p);
 }
 
@@ -508,7 +508,7 @@
   mm_capacity_report r = { 0 };
   for (size_t i = 0; i < p->n_capacities; i++)
     if (strcmp (p->capacities[i].service, service) == 0)
-      r = p->capacities[i].room;
+      r = p->capacities[i].capacity;
   uint64_t unseen = p->last_number - p->seen_number;
   uint32_t used = (uint32_t)MIN (unseen, r.free);
   r.free -= used;
@@ -535,7 +535,7 @@
         continue;
       out[n].name = p->info.name;
       out[n].datacentre = p->info.datacentre;
-      out[n].room = capacity_of_peer (p, service);
+      out[n].capacity = capacity_of_peer (p, service);
       out[n].age_ms = now - p->report_ms;
       n++;
     }
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -19,9 +19,9 @@
   char *addr;       /* "ip:port" of its mesh socket */
   char *datacentre; /* its own data centre */
   bool is_standby;  /* standby: owns upstreams of another data centre */
-} mm_peer_info;
+} mm_mesh_peer_info;
 
-void mm_peer_info_clear (gpointer info); /* frees the strings */
+void mm_mesh_peer_info_clear (gpointer info); /* frees the strings */
 
 /* A connected instance and the capacity for a service in its last report.  */
 typedef struct
@@ -29,7 +29,7 @@
   const char *name;
   const char *datacentre;
   mm_capacity_report
-      room;          /* less the tasks dispatched to it since the report */
+      capacity;      /* less the tasks dispatched to it since the report */
   mm_time_ms age_ms; /* age of the report */
 } mm_mesh_peer_capacity;
 
@@ -48,8 +48,8 @@
 /* Exchanges lost upstreams with the peers; @s must outlive the mesh.  */
 void mm_mesh_set_suspects (mm_mesh *m, mm_suspects *s);
 void mm_mesh_set_leaving (mm_mesh *m); /* reports the shutdown to peers */
-void mm_mesh_add_peer (mm_mesh *m, const mm_peer_info *p); /* copied */
-void mm_mesh_set_peers (mm_mesh *m, const mm_peer_info *peers, size_t n);
+void mm_mesh_add_peer (mm_mesh *m, const mm_mesh_peer_info *p); /* copied */
+void mm_mesh_set_peers (mm_mesh *m, const mm_mesh_peer_info *peers, size_t n);
 size_t mm_mesh_peer_capacities (const mm_mesh *m, const char *service,
                                 mm_mesh_peer_capacity *out,
                                 size_t cap); /* of connected peers */
@@ -83,8 +83,10 @@
                      const char *except); /* NULL: to all */
 void mm_mesh_notify_peer (mm_mesh *m, const char *peer,
                           mm_mesh_build_update build, void *ctx);
-/* The peer knows the list up to @upto, whatever was sent to it before.  */
-void mm_mesh_set_known_upto (mm_mesh *m, const char *peer, uint64_t upto);
+/* The peer knows the list up to @known_upto, whatever was sent to it before.
+ */
+void mm_mesh_set_known_upto (mm_mesh *m, const char *peer,
+                             uint64_t known_upto);
 /* @queue_delay_ms: how much longer than usual the update took to arrive.  */
 typedef void (*mm_mesh_updated) (void *ctx, const char *peer, const void *data,
                                  size_t len, mm_time_ms queue_delay_ms);
--- a/src/mm_mesh_msg.c
+++ b/src/mm_mesh_msg.c
@@ -41,10 +41,10 @@
   mm_mp_pack_text (&pk, t->payload);
   mm_mp_pack_text (&pk, t->label);
   mm_mp_pack_text (&pk, t->data_label);
-  mm_mp_pack_text (&pk, t->avoid);
-  msgpack_pack_int64 (&pk, t->need.cpu_milli);
-  msgpack_pack_int64 (&pk, t->need.mem_mb);
-  msgpack_pack_int64 (&pk, t->need.gpus);
+  mm_mp_pack_text (&pk, t->avoid_upstream);
+  msgpack_pack_int64 (&pk, t->resources.cpu_milli);
+  msgpack_pack_int64 (&pk, t->resources.mem_mb);
+  msgpack_pack_int64 (&pk, t->resources.gpus);
   msgpack_pack_uint32 (&pk, t->priority);
   msgpack_pack_int64 (&pk, t->estimate_ms);
   msgpack_pack_int64 (&pk, t->due_within_ms);
@@ -53,7 +53,7 @@
   mm_mp_pack_text (&pk, t->running_at);
   msgpack_pack_uint32 (&pk, t->run);
   msgpack_pack_int64 (&pk, t->ran_ms);
-  mm_mp_pack_bool (&pk, t->apart);
+  mm_mp_pack_bool (&pk, t->isolated);
 }
 
 void
@@ -139,13 +139,14 @@
     {
       msgpack_pack_array (&pk, CAPACITY_FIELDS);
       mm_mp_pack_text (&pk, capacities[i].service);
-      msgpack_pack_uint32 (&pk, capacities[i].room.places);
-      msgpack_pack_uint32 (&pk, capacities[i].room.free);
-      msgpack_pack_uint32 (&pk, capacities[i].room.waiting);
-      msgpack_pack_uint32 (&pk, capacities[i].room.task_ms);
+      msgpack_pack_uint32 (&pk, capacities[i].capacity.places);
+      msgpack_pack_uint32 (&pk, capacities[i].capacity.free);
+      msgpack_pack_uint32 (&pk, capacities[i].capacity.waiting);
+      msgpack_pack_uint32 (&pk, capacities[i].capacity.task_ms);
       msgpack_pack_array (&pk, MM_PRIORITY_LEVELS);
       for (size_t k = 0; k < MM_PRIORITY_LEVELS; k++)
-        msgpack_pack_uint32 (&pk, capacities[i].room.waiting_by_priority[k]);
+        msgpack_pack_uint32 (&pk,
+                             capacities[i].capacity.waiting_by_priority[k]);
     }
 }
 
@@ -191,10 +192,10 @@
          && mm_mp_read_text (&f[6], false, (char **)&t->payload)
          && mm_mp_read_text (&f[7], true, (char **)&t->label)
          && mm_mp_read_text (&f[8], true, (char **)&t->data_label)
-         && mm_mp_read_text (&f[9], true, (char **)&t->avoid)
-         && mm_mp_read_i64 (&f[10], &t->need.cpu_milli)
-         && mm_mp_read_i64 (&f[11], &t->need.mem_mb)
-         && mm_mp_read_i64 (&f[12], &t->need.gpus)
+         && mm_mp_read_text (&f[9], true, (char **)&t->avoid_upstream)
+         && mm_mp_read_i64 (&f[10], &t->resources.cpu_milli)
+         && mm_mp_read_i64 (&f[11], &t->resources.mem_mb)
+         && mm_mp_read_i64 (&f[12], &t->resources.gpus)
          && mm_mp_read_u32 (&f[13], &t->priority)
          && mm_mp_read_i64 (&f[14], &t->estimate_ms)
          && mm_mp_read_i64 (&f[15], &t->due_within_ms)
@@ -203,8 +204,9 @@
          && mm_mp_read_text (&f[18], true, (char **)&t->running_at)
          && mm_mp_read_u32 (&f[19], &t->run)
          && mm_mp_read_i64 (&f[20], &t->ran_ms)
-         && mm_mp_read_bool (&f[21], &t->apart) && t->need.cpu_milli >= 0
-         && t->need.mem_mb >= 0 && t->need.gpus >= 0;
+         && mm_mp_read_bool (&f[21], &t->isolated)
+         && t->resources.cpu_milli >= 0 && t->resources.mem_mb >= 0
+         && t->resources.gpus >= 0;
 }
 
 static bool
@@ -252,15 +254,15 @@
 read_loss (const msgpack_object *f, mm_loss *l)
 {
   uint32_t verdict;
-  int64_t silent_for_ms;
+  int64_t unresponsive_for_ms;
   if (!mm_mp_read_text (&f[1], false, (char **)&l->upstream)
       || !mm_mp_read_text (&f[2], false, (char **)&l->addr)
       || !mm_mp_read_u32 (&f[3], &verdict) || verdict >= MM_LOSS_VERDICT_COUNT
-      || !mm_mp_read_i64 (&f[4], &silent_for_ms)
+      || !mm_mp_read_i64 (&f[4], &unresponsive_for_ms)
       || !read_task_hashes (&f[5], l))
     return false;
   l->verdict = (mm_loss_verdict)verdict;
-  l->unresponsive_since_ms = mm_clock_now_ms () - silent_for_ms;
+  l->unresponsive_since_ms = mm_clock_now_ms () - unresponsive_for_ms;
   return true;
 }
 
@@ -295,11 +297,11 @@
       const msgpack_object *r = row->via.array.ptr;
       mm_mesh_service_capacity *out = &m->capacities[m->n_capacities];
       if (!mm_mp_read_fixed (&r[0], out->service, sizeof out->service)
-          || !mm_mp_read_u32 (&r[1], &out->room.places)
-          || !mm_mp_read_u32 (&r[2], &out->room.free)
-          || !mm_mp_read_u32 (&r[3], &out->room.waiting)
-          || !mm_mp_read_u32 (&r[4], &out->room.task_ms)
-          || !read_priority_levels (&r[5], out->room.waiting_by_priority))
+          || !mm_mp_read_u32 (&r[1], &out->capacity.places)
+          || !mm_mp_read_u32 (&r[2], &out->capacity.free)
+          || !mm_mp_read_u32 (&r[3], &out->capacity.waiting)
+          || !mm_mp_read_u32 (&r[4], &out->capacity.task_ms)
+          || !read_priority_levels (&r[5], out->capacity.waiting_by_priority))
         return false;
       m->n_capacities++;
     }
@@ -370,7 +372,7 @@
   g_free ((char *)m->request.payload);
   g_free ((char *)m->request.label);
   g_free ((char *)m->request.data_label);
-  g_free ((char *)m->request.avoid);
+  g_free ((char *)m->request.avoid_upstream);
   g_free ((char *)m->request.running_at);
   g_free ((char *)m->result.upstream);
   g_free ((char *)m->result.why);
--- a/src/mm_mesh_msg.h
+++ b/src/mm_mesh_msg.h
@@ -5,12 +5,9 @@
      [HELLO, name]
          The first message: the sender's member name.
      [RUN, number, job, step, index, service, payload, label, data_label,
-      avoid, cpu_milli, mem_mb, gpus, priority, estimate_ms, due_within_ms,
-      start_within_ms, kept, running_at, run, ran_ms, apart]
-         A task to run.
-     [CANCEL, number]
-         The task is to be stopped.
-     [HEARTBEAT]
+      avoid_upstream, cpu_milli, mem_mb, gpus, priority, estimate_ms,
+   due_within_ms, start_within_ms, kept, running_at, run, ran_ms, isolated] A
+   task to run. [CANCEL, number] The task is to be stopped. [HEARTBEAT]
      [REQUEST, number, verb, bytes]
          A request about kept jobs; number 0: a notification.
      [RELEASED, group]
@@ -30,7 +27,7 @@
    In both directions:
      [UPDATE, sent_ms, bytes]
          A change of the upstream list; sent_ms is by the sender's clock.
-     [LOSS, upstream, addr, verdict, silent_for_ms, [task hash, ...]]
+     [LOSS, upstream, addr, verdict, unresponsive_for_ms, [task hash, ...]]
          An upstream was lost while it ran these tasks.  */
 #ifndef MM_MESH_MSG_H
 #define MM_MESH_MSG_H
@@ -61,7 +58,7 @@
 typedef struct
 {
   char service[64];
-  mm_capacity_report room;
+  mm_capacity_report capacity;
 } mm_mesh_service_capacity;
 
 typedef struct
--- a/src/mm_mesh_peers.c
+++ b/src/mm_mesh_peers.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 static bool
-is_listed (const char *name, const mm_peer_info *peers, size_t n)
+is_listed (const char *name, const mm_mesh_peer_info *peers, size_t n)
 {
   for (size_t i = 0; i < n; i++)
     if (strcmp (peers[i].name, name) == 0)
@@ -25,7 +25,7 @@
  * lags, and the tasks dispatched to the peer go on running.
  */
 void
-mm_mesh_set_peers (mm_mesh *m, const mm_peer_info *peers, size_t n)
+mm_mesh_set_peers (mm_mesh *m, const mm_mesh_peer_info *peers, size_t n)
 {
   GHashTableIter it;
   gpointer k, v;
@@ -43,7 +43,7 @@
 }
 
 void
-mm_mesh_add_peer (mm_mesh *m, const mm_peer_info *info)
+mm_mesh_add_peer (mm_mesh *m, const mm_mesh_peer_info *info)
 {
   mm_mesh_peer *p = g_hash_table_lookup (m->peers, info->name);
   if (p)
--- a/src/mm_mesh_priv.h
+++ b/src/mm_mesh_priv.h
@@ -11,7 +11,7 @@
 typedef struct
 {
   mm_mesh *mesh;
-  mm_peer_info info;
+  mm_mesh_peer_info info;
   mm_link *link;               /* NULL: none */
   bool listed;                 /* the member list names it as an owner */
   mm_time_ms known_ms;         /* when it was added */
--- a/src/mm_mesh_update.c
+++ b/src/mm_mesh_update.c
@@ -98,7 +98,7 @@
 typedef struct
 {
   const char *peer;
-  uint64_t upto;
+  uint64_t known_upto;
 } peer_offset;
 
 static void
@@ -106,13 +106,13 @@
 {
   const peer_offset *offset = ctx;
   if (strcmp (name, offset->peer) == 0)
-    *known_upto = offset->upto;
+    *known_upto = offset->known_upto;
 }
 
 void
-mm_mesh_set_known_upto (mm_mesh *m, const char *peer, uint64_t upto)
+mm_mesh_set_known_upto (mm_mesh *m, const char *peer, uint64_t known_upto)
 {
-  peer_offset offset = { .peer = peer, .upto = upto };
+  peer_offset offset = { .peer = peer, .known_upto = known_upto };
   for_each_link (m, set_known, &offset);
 }
 
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -124,7 +124,7 @@
     {
       mm_step *step = &s->steps[i];
       step->count = 1;
-      step->need.cpu_milli = MM_SLOT_CPU_MILLI;
+      step->resources.cpu_milli = MM_SLOT_CPU_MILLI;
       step->estimate_ms = job->tasks[i].run_ms;
       step->payload = upstream_payload (&job->tasks[i]);
       step->once = !job->tasks[i].idempotent;
--- a/src/mm_native_store.c
+++ b/src/mm_native_store.c
@@ -204,7 +204,7 @@
       const char *member = cJSON_GetStringValue (cJSON_GetArrayItem (row, 1));
       if (!cJSON_IsNumber (partition) || !member)
         continue;
-      mm_partition_holder h = { .part = (uint32_t)partition->valuedouble,
+      mm_partition_holder h = { .partition = (uint32_t)partition->valuedouble,
                                 .member = g_strdup (member) };
       g_array_append_val (holders, h);
     }
@@ -274,9 +274,10 @@
         }
       cJSON_AddItemToArray (list, row);
     }
-  mm_store_http_send (ctx, "POST",
-                      g_strdup_printf ("/v1/streams/jobs-%u/append", a->part),
-                      request, a->timeout_ms, on_append, &call);
+  mm_store_http_send (
+      ctx, "POST",
+      g_strdup_printf ("/v1/streams/jobs-%u/append", a->partition), request,
+      a->timeout_ms, on_append, &call);
 }
 
 static void
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -323,19 +323,19 @@
   n->list
       = mm_list_share_create (store, n->catalog, n->mesh, member, tick_now, n);
   n->upstreams = mm_list_share_stream (n->list);
-  mm_exec_view view = { .known_ms = list_known_ms, .ctx = n };
+  mm_exec_view view = { .list_current_ms = list_known_ms, .ctx = n };
   mm_owner_set_view (n->owner, &view);
   mm_datacentres_events ev
-      = { .quiet = handover_idle, .changed = tick_now, .ctx = n };
+      = { .idle = handover_idle, .changed = tick_now, .ctx = n };
   n->owned_datacentres
       = mm_datacentres_create (store, n->mesh, s->datacentres, s->datacentre,
                                member, (uint32_t)s->partitions, &ev);
-  mm_ownership_partitions shares = { .of = partition_state_of,
-                                     .retake = renew_fence,
-                                     .changes = partition_changes,
-                                     .any = owns_partitions,
+  mm_ownership_partitions partitions = { .state_of = partition_state_of,
+                                     .renew_fence = renew_fence,
+                                     .change_count = partition_changes,
+                                     .owns_any = owns_partitions,
                                      .ctx = n };
-  n->ownership = mm_ownership_create (n->catalog, n->owner, &shares);
+  n->ownership = mm_ownership_create (n->catalog, n->owner, &partitions);
   n->predecessors = mm_predecessors_create (store, member);
   mm_mesh_on_released (n->mesh, on_group_changed, n);
   mm_kept_deps kept = { .store = *store,
@@ -345,7 +345,7 @@
                         .catalog = n->catalog,
                         .predecessors = n->predecessors,
                         .member = member,
-                        .parts = (uint32_t)s->partitions };
+                        .n_partitions = (uint32_t)s->partitions };
   n->kept = mm_kept_create (&kept);
   n->members = mm_members_create (store, n->mesh, s->datacentres,
                                   s->datacentre, member, n->predecessors);
@@ -502,11 +502,11 @@
   mm_metrics_set (MM_GG_JOBS_OPEN, mm_jobs_count (n->jobs));
   mm_metrics_set (MM_GG_KEPT_OPEN, mm_kept_open_jobs (n->kept));
   mm_metrics_set (MM_GG_UPSTREAMS_OWNED, g.upstreams);
-  mm_metrics_set (MM_GG_PLACES, g.room.places);
-  mm_metrics_set (MM_GG_PLACES_FREE, g.room.free);
-  mm_metrics_set (MM_GG_TASKS_WAITING, g.room.waiting);
+  mm_metrics_set (MM_GG_PLACES, g.capacity.places);
+  mm_metrics_set (MM_GG_PLACES_FREE, g.capacity.free);
+  mm_metrics_set (MM_GG_TASKS_WAITING, g.capacity.waiting);
   mm_metrics_set (MM_GG_RUNS, g.runs);
-  mm_metrics_set (MM_GG_RUNS_UNSURE, g.unsure);
+  mm_metrics_set (MM_GG_RUNS_UNSURE, g.in_doubt);
   mm_metrics_set (MM_GG_CONFIG_VERSION,
                   n->routes ? (int64_t)n->routes->version : 0);
   mm_metrics_set (MM_GG_GENERATION,
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -22,7 +22,7 @@
   g_free ((char *)w->request.payload);
   g_free ((char *)w->request.label);
   g_free ((char *)w->request.data_label);
-  g_free ((char *)w->request.avoid);
+  g_free ((char *)w->request.avoid_upstream);
   g_free ((char *)w->request.running_at);
   g_free (w->orphaned_on);
   g_free (w);
@@ -77,17 +77,17 @@
 update_breaker (mm_owned_upstream *owned, const char *name, bool ok,
                 mm_time_ms now)
 {
-  bool was_on_trial = owned->trust.on_trial;
-  mm_time_ms excluded_until_ms = owned->trust.excluded_until_ms;
-  mm_breaker_record (&owned->trust, ok, now);
-  if (was_on_trial && !owned->trust.on_trial)
+  bool was_on_trial = owned->breaker.on_trial;
+  mm_time_ms excluded_until_ms = owned->breaker.excluded_until_ms;
+  mm_breaker_record (&owned->breaker, ok, now);
+  if (was_on_trial && !owned->breaker.on_trial)
     mm_log_event (MM_EV_UPSTREAM_TRUSTED, MM_TEXT (name));
-  if (owned->trust.excluded_until_ms == excluded_until_ms || ok)
+  if (owned->breaker.excluded_until_ms == excluded_until_ms || ok)
     return;
   mm_metrics_count (MM_CT_EXCLUSIONS);
   mm_log_event (MM_EV_UPSTREAM_EXCLUDED, MM_TEXT (name),
-                MM_INT (owned->trust.failures_in_row),
-                MM_INT (owned->trust.excluded_until_ms - now));
+                MM_INT (owned->breaker.consecutive_failures),
+                MM_INT (owned->breaker.excluded_until_ms - now));
 }
 
 static void
@@ -264,13 +264,13 @@
     mm_owner_remove_upstream (o, u->name);
   owned = g_new0 (mm_owned_upstream, 1);
   owned->owner = o;
-  mm_exec_events ev = { .ended = on_ended,
-                        .room = on_capacity_freed,
-                        .unhealthy = on_unhealthy,
-                        .found = on_found,
+  mm_exec_events ev = { .run_ended = on_ended,
+                        .capacity_freed = on_capacity_freed,
+                        .upstream_unhealthy = on_unhealthy,
+                        .foreign_run_found = on_found,
                         .fenced = on_fenced,
-                        .lost = mm_owner_on_upstream_lost,
-                        .back = mm_owner_on_upstream_back,
+                        .upstream_lost = mm_owner_on_upstream_lost,
+                        .upstream_back = mm_owner_on_upstream_back,
                         .ctx = owned };
   owned->exec = mm_exec_create (u, fence, &o->port, &o->common, &ev);
   g_hash_table_insert (o->owned_upstreams, g_strdup (u->name), owned);
@@ -365,8 +365,9 @@
 candidate (mm_owned_upstream *owned, const mm_work *w, mm_time_ms now)
 {
   const mm_upstream_info *u = mm_exec_info (owned->exec);
-  mm_placement_candidate c = { .room = mm_exec_free_capacity (owned->exec),
-                               .slowness = mm_exec_slowness (owned->exec) };
+  mm_placement_candidate c
+      = { .free_capacity = mm_exec_free_capacity (owned->exec),
+          .slowness = mm_exec_slowness (owned->exec) };
   size_t runs = mm_exec_count_runs (owned->exec);
   c.contention = mm_owner_contention (owned, w);
   c.near_data = w->request.data_label && has_label (u, w->request.data_label);
@@ -376,9 +377,10 @@
         && mm_exec_usable (owned->exec) && mm_owner_suspect_allowed (owned, w)
         && strcmp (u->service, w->request.service) == 0
         && has_label (u, w->request.label)
-        && (!w->request.avoid || strcmp (u->name, w->request.avoid) != 0)
+        && (!w->request.avoid_upstream
+            || strcmp (u->name, w->request.avoid_upstream) != 0)
         && (u->slots == 0 || runs < (size_t)u->slots)
-        && mm_breaker_allows (&owned->trust, runs, now);
+        && mm_breaker_allows (&owned->breaker, runs, now);
   return c;
 }
 
@@ -401,7 +403,7 @@
       candidates[i] = v;
       c[i++] = candidate (v, w, now);
     }
-  int best = mm_placement_choose (c, n, &w->request.need);
+  int best = mm_placement_choose (c, n, &w->request.resources);
   if (best >= 0)
     {
       w->running_on = candidates[best];
@@ -505,7 +507,7 @@
   w->request.payload = g_strdup (t->payload);
   w->request.label = g_strdup (t->label);
   w->request.data_label = g_strdup (t->data_label);
-  w->request.avoid = g_strdup (t->avoid);
+  w->request.avoid_upstream = g_strdup (t->avoid_upstream);
   w->request.running_at = g_strdup (t->running_at);
   w->accepted_ms = mm_clock_now_ms ();
   w->start_by_ms = w->accepted_ms + t->start_within_ms;
@@ -513,7 +515,7 @@
   w->arrival = ++o->last_arrival;
   w->done = done;
   w->ctx = ctx;
-  update_average (&o->average_cpu_milli, (double)t->need.cpu_milli);
+  update_average (&o->average_cpu_milli, (double)t->resources.cpu_milli);
   update_average (&o->average_run_ms, (double)t->estimate_ms);
   if (t->running_at)
     {
@@ -561,7 +563,7 @@
   size_t n;
   const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
   for (size_t i = n; i-- > 0;)
-    if (now - h[i].since_ms >= MM_UNACKED_END_TTL_MS)
+    if (now - h[i].first_seen_ms >= MM_UNACKED_END_TTL_MS)
       mm_exec_ack_end (x, i);
 }
 
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -52,9 +52,9 @@
 typedef struct
 {
   uint32_t upstreams;
-  uint32_t runs;           /* runs that use capacity */
-  uint32_t unsure;         /* of these, starts that have no answer yet */
-  mm_capacity_report room; /* sums of places, free and waiting */
+  uint32_t runs;               /* runs that use capacity */
+  uint32_t in_doubt;           /* of these, starts that have no answer yet */
+  mm_capacity_report capacity; /* sums of places, free and waiting */
 } mm_owner_gauges;
 
 /* A run that another owner started and left at an upstream.  */
--- a/src/mm_owner_kept.c
+++ b/src/mm_owner_kept.c
@@ -42,7 +42,7 @@
       mm_found_end e
           = { .task = h[i].task,
               .how = h[i].how,
-              .mark = mm_run_hash (mm_exec_info (x)->name, h[i].run) };
+              .run_hash = mm_run_hash (mm_exec_info (x)->name, h[i].run) };
       if (g_hash_table_contains (tasks, &e.task))
         g_array_append_val (ends, e);
     }
@@ -73,7 +73,7 @@
       if (!o->confirmed || !mm_exec_runs_confirmed (x))
         continue;
       uint64_t hash = mm_upstream_hash (mm_exec_info (x)->name);
-      g_array_append_val (out->clear, hash);
+      g_array_append_val (out->clear_upstreams, hash);
       add_held (x, tasks, out->ends);
     }
 }
--- a/src/mm_owner_priv.h
+++ b/src/mm_owner_priv.h
@@ -10,7 +10,7 @@
 {
   mm_owner *owner;
   mm_exec *exec;
-  mm_breaker trust;
+  mm_breaker breaker;
   bool frozen;         /* a handover to another owner is under way */
   bool gone;           /* no longer owned, and its session is closed */
   uint32_t n_suspects; /* suspected poison tasks that run there */
--- a/src/mm_owner_report.c
+++ b/src/mm_owner_report.c
@@ -42,7 +42,7 @@
       if (strcmp (u->service, service) != 0
           || !mm_owner_ends_before_handover (owned, o->average_run_ms, now)
           || !mm_exec_in_service (owned->exec)
-          || !mm_breaker_allows (&owned->trust, 0, now))
+          || !mm_breaker_allows (&owned->breaker, 0, now))
         continue;
       int64_t cpu = average_cpu_milli (o, u);
       r.places += (uint32_t)(u->capacity.cpu_milli / cpu);
@@ -83,16 +83,16 @@
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
       g.runs += (uint32_t)mm_exec_count_runs (((mm_owned_upstream *)v)->exec);
-      g.unsure
+      g.in_doubt
           += (uint32_t)mm_exec_count_in_doubt (((mm_owned_upstream *)v)->exec);
     }
   GList *services = mm_owner_services (o);
   for (GList *l = services; l; l = l->next)
     {
       mm_capacity_report r = mm_owner_report (o, l->data);
-      g.room.places += r.places;
-      g.room.free += r.free;
-      g.room.waiting += r.waiting;
+      g.capacity.places += r.places;
+      g.capacity.free += r.free;
+      g.capacity.waiting += r.waiting;
     }
   g_list_free (services);
   return g;
--- a/src/mm_owner_suspects.c
+++ b/src/mm_owner_suspects.c
@@ -16,7 +16,7 @@
 void
 mm_owner_count_suspect (mm_owned_upstream *owned, const mm_work *w, int by)
 {
-  if (w->request.apart)
+  if (w->request.isolated)
     owned->n_suspects = (uint32_t)((int)owned->n_suspects + by);
 }
 
@@ -25,7 +25,7 @@
 bool
 mm_owner_suspect_allowed (const mm_owned_upstream *owned, const mm_work *w)
 {
-  return !w->request.apart || owned->n_suspects == 0;
+  return !w->request.isolated || owned->n_suspects == 0;
 }
 
 /* A suspect prefers the upstream with the fewest runs, and other tasks prefer
@@ -34,7 +34,7 @@
 mm_owner_contention (const mm_owned_upstream *owned, const mm_work *w)
 {
   uint32_t others
-      = w->request.apart ? (uint32_t)mm_exec_count_runs (owned->exec) : 0;
+      = w->request.isolated ? (uint32_t)mm_exec_count_runs (owned->exec) : 0;
   return owned->n_suspects * G_MAXUINT16 + MIN (others, G_MAXUINT16 - 1);
 }
 
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -55,7 +55,7 @@
 state_of (const mm_ownership *w, const mm_upstream_info *u, uint64_t *fence)
 {
   *fence = 0;
-  return w->partitions.of (w->partitions.ctx, u, fence);
+  return w->partitions.state_of (w->partitions.ctx, u, fence);
 }
 
 /* Closes the sessions of upstreams whose partitions are assigned elsewhere and
@@ -87,7 +87,7 @@
     return;
   if (mm_owner_fenced (w->owner, u->name))
     {
-      w->partitions.retake (w->partitions.ctx, u);
+      w->partitions.renew_fence (w->partitions.ctx, u);
       state_of (w, u, &fence);
     }
   mm_owner_add_upstream (w->owner, u, fence);
@@ -107,13 +107,13 @@
 {
   mm_time_ms now = mm_clock_now_ms ();
   uint64_t catalog_now = mm_catalog_changes (w->catalog);
-  uint64_t partitions_now = w->partitions.changes (w->partitions.ctx);
+  uint64_t partitions_now = w->partitions.change_count (w->partitions.ctx);
   bool changed = catalog_now != w->catalog_changes
                  || partitions_now != w->partition_changes;
   if (!changed && now - w->reconciled_ms < MM_RECONCILE_MS)
     return;
   release_sessions (w);
-  if (!list_fresh && w->partitions.any (w->partitions.ctx))
+  if (!list_fresh && w->partitions.owns_any (w->partitions.ctx))
     return; /* a stale list may name upstreams that are draining */
   w->catalog_changes = catalog_now;
   w->partition_changes = partitions_now;
--- a/src/mm_ownership.h
+++ b/src/mm_ownership.h
@@ -19,14 +19,14 @@
 {
   /* Returns the state of the upstream's partition and sets @fence to its
      fencing token.  */
-  mm_partition_state (*of) (void *ctx, const mm_upstream_info *u,
-                            uint64_t *fence);
+  mm_partition_state (*state_of) (void *ctx, const mm_upstream_info *u,
+                                  uint64_t *fence);
   /* Renews the fencing token of that partition.  */
-  void (*retake) (void *ctx, const mm_upstream_info *u);
+  void (*renew_fence) (void *ctx, const mm_upstream_info *u);
   /* Returns a number that rises with each change of a state or token.  */
-  uint64_t (*changes) (void *ctx);
+  uint64_t (*change_count) (void *ctx);
   /* Returns whether this instance owns any partition.  */
-  bool (*any) (void *ctx);
+  bool (*owns_any) (void *ctx);
   void *ctx;
 } mm_ownership_partitions;
 
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -89,8 +89,8 @@
 static bool
 is_assigned_in (const mm_join_result *res, uint32_t index)
 {
-  for (size_t i = 0; i < res->n_parts; i++)
-    if (res->parts[i] == index)
+  for (size_t i = 0; i < res->n_partitions; i++)
+    if (res->partitions[i] == index)
       return true;
   return false;
 }
@@ -125,8 +125,8 @@
 static void
 notify_released (const mm_partitions *set)
 {
-  if (set->ev.handed && !set->closed)
-    set->ev.handed (set->ev.ctx, set->group);
+  if (set->ev.released && !set->closed)
+    set->ev.released (set->ev.ctx, set->group);
 }
 
 static void
--- a/src/mm_partitions.h
+++ b/src/mm_partitions.h
@@ -25,7 +25,7 @@
 {
   /* The store has confirmed the release of partitions: other members can get
      them now.  */
-  void (*handed) (void *ctx, const char *group);
+  void (*released) (void *ctx, const char *group);
   /* The store has reassigned the partitions.  */
   void (*changed) (void *ctx);
   void *ctx;
--- a/src/mm_placement.c
+++ b/src/mm_placement.c
@@ -24,16 +24,17 @@
   double step_b = floor (b->slowness / MM_PLACEMENT_SPEED_STEP);
   if (MM_WITH_SPEED && step_a != step_b)
     return step_a < step_b;
-  return MM_WITH_TIGHT_FIT && a->room.cpu_milli < b->room.cpu_milli;
+  return MM_WITH_TIGHT_FIT
+         && a->free_capacity.cpu_milli < b->free_capacity.cpu_milli;
 }
 
 int
 mm_placement_choose (const mm_placement_candidate *c, size_t n,
-                     const mm_resources *need)
+                     const mm_resources *required)
 {
   int best = -1;
   for (size_t i = 0; i < n; i++)
-    if (c[i].allowed && mm_resources_fit (need, &c[i].room)
+    if (c[i].allowed && mm_resources_fit (required, &c[i].free_capacity)
         && (best < 0 || is_better (&c[i], &c[best])))
       best = (int)i;
   return best;
--- a/src/mm_placement.h
+++ b/src/mm_placement.h
@@ -7,7 +7,7 @@
 /* An upstream to which a task may be sent.  */
 typedef struct
 {
-  mm_resources room; /* free capacity */
+  mm_resources free_capacity; /* free capacity */
   bool allowed; /* usable, circuit breaker closed, right service and label */
   double slowness;     /* observed run time / estimate, 1: as estimated */
   uint32_t contention; /* weight of the runs beside it: less is better */
@@ -16,6 +16,6 @@
 
 /* Index of the best candidate, -1 when none fits.  */
 int mm_placement_choose (const mm_placement_candidate *c, size_t n,
-                         const mm_resources *need);
+                         const mm_resources *required);
 
 #endif /* MM_PLACEMENT_H */
--- a/src/mm_platform.c
+++ b/src/mm_platform.c
@@ -33,7 +33,7 @@
 typedef struct
 {
   int64_t offset;
-  mm_time_ms at_ms;
+  mm_time_ms written_ms;
   char *data;
 } log_record;
 
@@ -203,7 +203,7 @@
 {
   log_record *r;
   while ((r = g_queue_peek_head (&s->records))
-         && now - r->at_ms > p->settings.retention_ms)
+         && now - r->written_ms > p->settings.retention_ms)
     {
       free_record (g_queue_pop_head (&s->records));
       s->first++;
@@ -247,7 +247,7 @@
   apply_retention (p, s, now);
   log_record *r = g_new0 (log_record, 1);
   r->offset = s->head++;
-  r->at_ms = now;
+  r->written_ms = now;
   r->data = g_strndup (body, len);
   g_queue_push_tail (&s->records, r);
   mm_counters_add (p->counters, "log_appends", 1);
--- a/src/mm_pool.c
+++ b/src/mm_pool.c
@@ -118,7 +118,7 @@
       m->boot_ms = boot_ms;
       m->state = MM_UPSTREAM_LIVE;
       m->state_seq = 0;
-      m->failures_in_row = m->ejections = 0;
+      m->consecutive_failures = m->ejections = 0;
     }
   return i;
 }
@@ -315,7 +315,7 @@
   m->ejected_until_ms = now + span;
   g_warning ("upstream %s ejected for %" G_GINT64_FORMAT " ms after %u "
              "failures in a row",
-             m->name, span, m->failures_in_row);
+             m->name, span, m->consecutive_failures);
 }
 
 /**
@@ -390,7 +390,7 @@
   switch (o)
     {
     case MM_OUTCOME_OK:
-      m->failures_in_row = 0;
+      m->consecutive_failures = 0;
       m->ejections = 0;
       if (m->state == MM_UPSTREAM_ON_TRIAL)
         m->state = MM_UPSTREAM_LIVE;
@@ -406,9 +406,10 @@
     case MM_OUTCOME_LOST:
       break;
     }
-  m->failures_in_row++;
+  m->consecutive_failures++;
   if (m->state != MM_UPSTREAM_ON_TRIAL
-      && !(m->state == MM_UPSTREAM_LIVE && m->failures_in_row >= eject_after))
+      && !(m->state == MM_UPSTREAM_LIVE
+           && m->consecutive_failures >= eject_after))
     return false;
   eject (m, now, eject_ms);
   return true;
--- a/src/mm_pool.h
+++ b/src/mm_pool.h
@@ -30,8 +30,8 @@
   uint32_t slots;     /* tasks that it runs at once */
   uint32_t in_flight; /* tasks sent and not answered */
   mm_upstream_state state;
-  uint32_t failures_in_row; /* since the last task that was done */
-  uint32_t ejections;       /* in a row, each longer than the one before */
+  uint32_t consecutive_failures; /* since the last task that was done */
+  uint32_t ejections; /* in a row, each longer than the one before */
   mm_time_ms ejected_until_ms;
   int64_t state_seq;      /* the upstream's mode_seq of the state */
   int64_t boot_ms;        /* identifies its incarnation, 0 when not known */
--- a/src/mm_predecessors.c
+++ b/src/mm_predecessors.c
@@ -48,11 +48,11 @@
   p->self = g_strdup (self);
   p->leaving_members
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  mm_peer_info own;
+  mm_mesh_peer_info own;
   if (mm_members_parse_name (self, &own))
     {
       p->addr = g_strdup (own.addr);
-      mm_peer_info_clear (&own);
+      mm_mesh_peer_info_clear (&own);
     }
   return p;
 }
@@ -79,11 +79,11 @@
 static bool
 is_previous_incarnation (const mm_predecessors *p, const char *member)
 {
-  mm_peer_info info;
+  mm_mesh_peer_info info;
   if (strcmp (member, p->self) == 0 || !mm_members_parse_name (member, &info))
     return false;
   bool same_addr = g_strcmp0 (info.addr, p->addr) == 0;
-  mm_peer_info_clear (&info);
+  mm_mesh_peer_info_clear (&info);
   return same_addr;
 }
 
--- a/src/mm_read_barrier.c
+++ b/src/mm_read_barrier.c
@@ -94,7 +94,7 @@
   *r = (request){ .job_id = g_strdup (job_id),
                   .answered = answered,
                   .ctx = ctx,
-                  .expires_ms = now + MM_KEPT_ACCEPT_MS };
+                  .expires_ms = now + MM_KEPT_STORE_TIMEOUT_MS };
   g_queue_push_tail (barrier->requests, r);
   store_record (barrier, now);
 }
--- a/src/mm_run_json.c
+++ b/src/mm_run_json.c
@@ -102,11 +102,11 @@
 mm_run_json_read_work (const char *payload, mm_run_work *out)
 {
   cJSON *o = cJSON_Parse (payload);
-  *out = (mm_run_work){ .need = { .cpu_milli = MM_SLOT_CPU_MILLI } };
+  *out = (mm_run_work){ .resources = { .cpu_milli = MM_SLOT_CPU_MILLI } };
   int64_t cpu;
   if (read_i64 (o, "cpu_milli", &cpu) && cpu > 0)
-    out->need.cpu_milli = cpu;
-  read_i64 (o, "mem_mb", &out->need.mem_mb);
+    out->resources.cpu_milli = cpu;
+  read_i64 (o, "mem_mb", &out->resources.mem_mb);
   read_i64 (o, "run_ms", &out->run_ms);
   cJSON_Delete (o);
 }
--- a/src/mm_run_json.h
+++ b/src/mm_run_json.h
@@ -11,7 +11,7 @@
    payload; the dispatcher passes payloads on unread.  */
 typedef struct
 {
-  mm_resources need;
+  mm_resources resources;
   mm_time_ms run_ms;
 } mm_run_work;
 
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -28,9 +28,9 @@
   int64_t lose_starts;
   int64_t lose_stops;
   int64_t lose_holds;
-  int64_t late_ms;
-  bool silent;
-  bool mute;
+  int64_t late_start_ms;
+  bool unresponsive;
+  bool loses_answers;
 } call_faults;
 
 /* A hold that is answered when a run ends, or at the given time.  */
@@ -65,8 +65,8 @@
   size_t n_logged; /* number of ended runs in the log */
   mm_run_mode mode;
   call_faults faults;
-  GList *holds; /* waiting_hold */
-  GList *late;  /* late_start */
+  GList *holds;       /* waiting_hold */
+  GList *late_starts; /* late_start */
   mm_run_server_poison poison;
   mm_time_ms crash_at_ms;  /* 0: no crash is due */
   GArray *past_capacities; /* past_capacity */
@@ -125,7 +125,7 @@
     return;
   ev_timer_stop (s->loop, &s->tick);
   g_list_free_full (s->holds, g_free);
-  g_list_free_full (s->late, late_free);
+  g_list_free_full (s->late_starts, late_free);
   mm_run_table_destroy (s->table);
   g_array_free (s->past_capacities, TRUE);
   if (s->log_fd >= 0)
@@ -216,7 +216,7 @@
   uint32_t over_before = mm_run_table_counts (s->table).over_capacity;
   mm_time_ms now = mm_clock_now_ms ();
   mm_call_verdict v
-      = mm_run_table_start (s->table, &o, &work.need, work.run_ms, now);
+      = mm_run_table_start (s->table, &o, &work.resources, work.run_ms, now);
   log_ends (s);
   if (mm_run_table_counts (s->table).starts == starts_before)
     return v;
@@ -243,18 +243,18 @@
 {
   if (lose_call (&s->faults.lose_starts))
     {
-      if (s->faults.late_ms)
+      if (s->faults.late_start_ms)
         {
           late_start *l = g_new0 (late_start, 1);
           l->order = cJSON_Duplicate (in, true);
-          l->start_ms = mm_clock_now_ms () + s->faults.late_ms;
-          s->late = g_list_prepend (s->late, l);
+          l->start_ms = mm_clock_now_ms () + s->faults.late_start_ms;
+          s->late_starts = g_list_prepend (s->late_starts, l);
         }
       leave_unanswered (req);
       return;
     }
   mm_call_verdict v = start_run (s, in);
-  if (s->faults.mute)
+  if (s->faults.loses_answers)
     leave_unanswered (req);
   else
     reply_verdict (s, req, v);
@@ -274,7 +274,7 @@
       = mm_run_json_read_order (in, &o, &task)
             ? mm_run_table_stop (s->table, &o, mm_clock_now_ms ())
             : MM_CALL_BAD;
-  if (s->faults.mute)
+  if (s->faults.loses_answers)
     leave_unanswered (req);
   else
     reply_verdict (s, req, v);
@@ -301,7 +301,7 @@
   mm_call_verdict v = mm_run_json_read_hold (in, &h)
                           ? mm_run_table_hold (s->table, &h, now)
                           : MM_CALL_BAD;
-  if (s->faults.mute)
+  if (s->faults.loses_answers)
     leave_unanswered (req);
   else if (v != MM_CALL_OK)
     reply_verdict (s, req, v);
@@ -339,10 +339,10 @@
   read_number (in, "lose_starts", &f->lose_starts);
   read_number (in, "lose_stops", &f->lose_stops);
   read_number (in, "lose_holds", &f->lose_holds);
-  read_number (in, "late_ms", &f->late_ms);
+  read_number (in, "late_ms", &f->late_start_ms);
   read_number (in, "slow_percent", &s->mode.slow_percent);
-  read_bool (in, "silent", &f->silent);
-  read_bool (in, "mute", &f->mute);
+  read_bool (in, "silent", &f->unresponsive);
+  read_bool (in, "mute", &f->loses_answers);
   read_bool (in, "fails", &s->mode.fails);
   read_bool (in, "hangs", &s->mode.hangs);
   read_bool (in, "refuses", &s->mode.refuses);
@@ -441,7 +441,7 @@
     on_run_log (s, req);
   else if (strcmp (path, "/v1/capacity") == 0)
     on_capacity (s, req, in);
-  else if (s->faults.silent)
+  else if (s->faults.unresponsive)
     leave_unanswered (req);
   else if (addresses_other_incarnation (s, req))
     {
@@ -464,13 +464,13 @@
 run_late_starts (mm_run_server *s, mm_time_ms now)
 {
   GList *next;
-  for (GList *l = s->late; l; l = next)
+  for (GList *l = s->late_starts; l; l = next)
     {
       next = l->next;
       late_start *late = l->data;
       if (now < late->start_ms)
         continue;
-      s->late = g_list_delete_link (s->late, l);
+      s->late_starts = g_list_delete_link (s->late_starts, l);
       start_run (s, late->order);
       late_free (late);
     }
@@ -499,7 +499,7 @@
       if (!ended && now < h->answer_by_ms)
         continue;
       s->holds = g_list_delete_link (s->holds, l);
-      if (s->faults.silent || s->faults.mute)
+      if (s->faults.unresponsive || s->faults.loses_answers)
         leave_unanswered (h->req);
       else
         reply_lists (s, h->req);
--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -7,7 +7,7 @@
 {
   mm_task_id task;
   uint32_t number;
-  mm_resources need;
+  mm_resources resources;
   mm_time_ms started_ms;
   mm_time_ms ends_ms;
   mm_end how; /* end that is listed at ends_ms */
@@ -141,18 +141,18 @@
 {
   mm_resources free = t->capacity;
   for (guint i = 0; i < t->runs->len; i++)
-    mm_resources_sub (&free, &run_at (t, i)->need);
+    mm_resources_sub (&free, &run_at (t, i)->resources);
   return free;
 }
 
 static void
-add_run (mm_run_table *t, const mm_order *o, const mm_resources *need,
+add_run (mm_run_table *t, const mm_order *o, const mm_resources *required,
          mm_time_ms run_ms, mm_time_ms now_ms)
 {
   int64_t percent = t->mode.slow_percent ? t->mode.slow_percent : 100;
   table_run r = { .task = *o->task,
                   .number = o->run,
-                  .need = *need,
+                  .resources = *required,
                   .started_ms = now_ms,
                   .ends_ms = now_ms + run_ms * percent / 100,
                   .how = MM_END_DONE };
@@ -165,7 +165,7 @@
     r.ends_ms = G_MAXINT64;
   mm_resources free = free_capacity (t);
   t->counts.starts++;
-  t->counts.over_capacity += !mm_resources_fit (need, &free);
+  t->counts.over_capacity += !mm_resources_fit (required, &free);
   g_array_append_val (t->runs, r);
 }
 
@@ -183,13 +183,13 @@
  * mm_run_table_start() - carries out an order to start a run.
  * @t: the table.
  * @o: the order.
- * @need: the resources that the task uses.
+ * @required: the resources that the task uses.
  * @run_ms: the run time of the task.
  * @now_ms: the time on the upstream's clock.
  */
 mm_call_verdict
 mm_run_table_start (mm_run_table *t, const mm_order *o,
-                    const mm_resources *need, mm_time_ms run_ms,
+                    const mm_resources *required, mm_time_ms run_ms,
                     mm_time_ms now_ms)
 {
   mm_run_table_step (t, now_ms);
@@ -205,10 +205,10 @@
   if (t->mode.refuses)
     return MM_CALL_REFUSED;
   mm_resources free = free_capacity (t);
-  if (t->enforce_capacity && !mm_resources_fit (need, &free))
-    return MM_CALL_NO_ROOM;
+  if (t->enforce_capacity && !mm_resources_fit (required, &free))
+    return MM_CALL_NO_CAPACITY;
   extend_lease (t, o->deadline_ms, now_ms);
-  add_run (t, o, need, run_ms, now_ms);
+  add_run (t, o, required, run_ms, now_ms);
   return MM_CALL_OK;
 }
 
--- a/src/mm_run_table.h
+++ b/src/mm_run_table.h
@@ -45,7 +45,7 @@
 /* Runs go on, also when they exceed a smaller capacity.  */
 void mm_run_table_set_capacity (mm_run_table *t, const mm_resources *capacity);
 mm_call_verdict mm_run_table_start (mm_run_table *t, const mm_order *o,
-                                    const mm_resources *need,
+                                    const mm_resources *required,
                                     mm_time_ms run_ms, mm_time_ms now_ms);
 mm_call_verdict mm_run_table_stop (mm_run_table *t, const mm_order *o,
                                    mm_time_ms now_ms);
--- a/src/mm_search_result.c
+++ b/src/mm_search_result.c
@@ -23,7 +23,7 @@
 mm_search_result_init (void)
 {
   return (mm_search_result){
-    .clear = g_array_new (FALSE, FALSE, sizeof (uint64_t)),
+    .clear_upstreams = g_array_new (FALSE, FALSE, sizeof (uint64_t)),
     .ends = g_array_new (FALSE, FALSE, sizeof (mm_found_end))
   };
 }
@@ -31,6 +31,6 @@
 void
 mm_search_result_clear (mm_search_result *result)
 {
-  g_array_free (result->clear, TRUE);
+  g_array_free (result->clear_upstreams, TRUE);
   g_array_free (result->ends, TRUE);
 }
--- a/src/mm_search_result.h
+++ b/src/mm_search_result.h
@@ -9,7 +9,7 @@
 {
   mm_task_id task;
   mm_end how;
-  uint32_t mark; /* mm_run_hash() of the run */
+  uint32_t run_hash; /* mm_run_hash() of the run */
 } mm_found_end;
 
 /* Identifies one run among the runs of a task.  */
@@ -20,7 +20,7 @@
 {
   /* Upstreams on which none of the tasks runs, as uint64_t hashes
      (mm_upstream_hash()).  */
-  GArray *clear;
+  GArray *clear_upstreams;
   GArray *ends;     /* mm_found_end: ends that are not acknowledged yet */
   uint32_t present; /* number of the tasks that are queued or running */
 } mm_search_result;
--- a/src/mm_steps.c
+++ b/src/mm_steps.c
@@ -87,8 +87,9 @@
 ready (const mm_steps *t, uint32_t step)
 {
   const mm_step *s = &t->submission->steps[step];
-  for (uint32_t k = 0; k < s->n_after; k++)
-    if (t->steps[s->after[k]].done < t->submission->steps[s->after[k]].count)
+  for (uint32_t k = 0; k < s->n_dependencies; k++)
+    if (t->steps[s->depends_on[k]].done
+        < t->submission->steps[s->depends_on[k]].count)
       return false;
   return true;
 }
--- a/src/mm_store.h
+++ b/src/mm_store.h
@@ -44,14 +44,14 @@
   bool ok;
   const char *why;
   uint64_t generation;
-  const uint32_t *parts; /* partitions assigned to this member */
-  size_t n_parts;
+  const uint32_t *partitions; /* partitions assigned to this member */
+  size_t n_partitions;
 } mm_join_result;
 
 /* A partition of a group and the member that holds it.  */
 typedef struct
 {
-  uint32_t part;
+  uint32_t partition;
   const char *member;
 } mm_partition_holder;
 
@@ -93,7 +93,7 @@
    An append without records announces the epoch.  */
 typedef struct
 {
-  uint32_t part;
+  uint32_t partition;
   uint64_t epoch;
   uint64_t seq;
   const mm_record *records;
--- a/src/mm_store_http.c
+++ b/src/mm_store_http.c
@@ -134,15 +134,15 @@
 
 void
 mm_store_answer_join (mm_store_call *call, const mm_http_result *res,
-                      mm_join_result *r, GArray *parts)
+                      mm_join_result *r, GArray *partitions)
 {
   mm_metrics_add (MM_CT_BYTES_JOIN, res->body_bytes);
   char *why = failure_reason (r->ok, res);
   r->why = why;
-  r->parts = (const uint32_t *)(void *)parts->data;
-  r->n_parts = parts->len;
+  r->partitions = (const uint32_t *)(void *)partitions->data;
+  r->n_partitions = partitions->len;
   call->join_answered (r, call->ctx);
-  g_array_free (parts, TRUE);
+  g_array_free (partitions, TRUE);
   g_free (why);
   g_free (call);
 }
--- a/src/mm_store_http.h
+++ b/src/mm_store_http.h
@@ -42,12 +42,12 @@
 GArray *mm_store_records_new (void);               /* of mm_record */
 GArray *mm_store_holders_new (void);               /* of mm_partition_holder */
 /* Pass a result on to the caller, with the reason if @r is not ok, and free
-   @call.  They take ownership of their arrays: @items, @parts (uint32_t),
+   @call.  They take ownership of their arrays: @items, @partitions (uint32_t),
    @holders (NULL: the call failed), @records.  */
 void mm_store_answer_stream (mm_store_call *call, const mm_http_result *res,
                              mm_stream_result *r, GArray *items);
 void mm_store_answer_join (mm_store_call *call, const mm_http_result *res,
-                           mm_join_result *r, GArray *parts);
+                           mm_join_result *r, GArray *partitions);
 void mm_store_answer_members (mm_store_call *call, const mm_http_result *res,
                               GArray *holders);
 void mm_store_answer_append (mm_store_call *call, const mm_http_result *res,
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -117,14 +117,14 @@
   s->current = s->current || after_pause;
 }
 
-/* Schedules the next read: pause_ms() after the time as of which all records
-   are known.  */
+/* Schedules the next read: poll_interval_ms() after the time as of which all
+   records are known.  */
 static void
 schedule_next_read (mm_stream *s)
 {
   s->due_ms = s->known_as_of_ms;
-  if (s->ev.pause_ms)
-    s->due_ms += s->ev.pause_ms (s->ev.ctx);
+  if (s->ev.poll_interval_ms)
+    s->due_ms += s->ev.poll_interval_ms (s->ev.ctx);
 }
 
 /* Handles an answer with changes; there may be more changes to read.  */
@@ -164,8 +164,8 @@
     return;
   s->tailing = true;
   reached_end (s, s->first_page_ms, s->sent_after_pause);
-  if (s->ev.whole)
-    s->ev.whole (s->ev.ctx, s->keys);
+  if (s->ev.loaded)
+    s->ev.loaded (s->ev.ctx, s->keys);
   schedule_next_read (s);
 }
 
--- a/src/mm_stream.h
+++ b/src/mm_stream.h
@@ -12,13 +12,13 @@
   void (*item) (void *ctx, const mm_stream_item *item);
   /* All newest records were read; other keys no longer exist.  May be
      NULL.  */
-  void (*whole) (void *ctx, GHashTable *keys);
+  void (*loaded) (void *ctx, GHashTable *keys);
   /* Changes were read, and item() was called for each; @all: up to the end of
      the stream.  May be NULL.  */
   void (*changes) (void *ctx, bool all);
   /* Returns the time from sending a read to sending the next.  NULL: the next
      read is sent at once and waits at the store.  */
-  mm_time_ms (*pause_ms) (void *ctx);
+  mm_time_ms (*poll_interval_ms) (void *ctx);
   void *ctx;
 } mm_stream_events;
 
--- a/src/mm_submission.c
+++ b/src/mm_submission.c
@@ -10,7 +10,7 @@
     return;
   for (uint32_t i = 0; i < s->n_steps; i++)
     {
-      g_free (s->steps[i].after);
+      g_free (s->steps[i].depends_on);
       g_free (s->steps[i].label);
       g_free (s->steps[i].data_label);
       g_free (s->steps[i].payload);
@@ -34,7 +34,7 @@
 {
   uint32_t n = 0;
   for (uint32_t i = 0; i < s->n_steps; i++)
-    if (s->steps[i].n_after == 0)
+    if (s->steps[i].n_dependencies == 0)
       n += s->steps[i].count;
   return n;
 }
@@ -53,7 +53,7 @@
         return "gangs are not served";
       if (step->until_cancelled)
         return "tasks without an end are not served";
-      if (step->fills)
+      if (step->fills_unused_capacity)
         return "tasks that fill unused capacity are not served";
       if (step->max_per_upstream)
         return "limits of tasks per upstream are not served";
@@ -70,8 +70,8 @@
   for (uint32_t i = 0; i < s->n_steps; i++)
     {
       mm_time_ms start_ms = 0;
-      for (uint32_t j = 0; j < s->steps[i].n_after; j++)
-        start_ms = MAX (start_ms, ends_ms[s->steps[i].after[j]]);
+      for (uint32_t j = 0; j < s->steps[i].n_dependencies; j++)
+        start_ms = MAX (start_ms, ends_ms[s->steps[i].depends_on[j]]);
       ends_ms[i] = start_ms + s->steps[i].estimate_ms;
       longest_ms = MAX (longest_ms, ends_ms[i]);
     }
--- a/src/mm_submission.h
+++ b/src/mm_submission.h
@@ -8,18 +8,19 @@
 typedef struct
 {
   uint32_t count;         /* number of tasks */
-  mm_resources need;      /* resources of each task */
+  mm_resources resources; /* resources of each task */
   mm_time_ms estimate_ms; /* declared run time of each task */
-  uint32_t *after; /* indexes of earlier steps that must be done before */
-  uint32_t n_after;
+  uint32_t *depends_on; /* indexes of earlier steps that must be done before */
+  uint32_t n_dependencies;
   char *payload;        /* overrides the payload of the job; or NULL */
   bool once;            /* a task that may have run is not run again */
   char *label;          /* label that an upstream must carry; or NULL */
   char *data_label;     /* label of upstreams near the step's data; or NULL */
   bool gang;            /* all tasks start together, or none does */
   bool until_cancelled; /* tasks run until they are cancelled */
-  bool fills; /* tasks use only capacity that other tasks leave unused */
-  uint32_t max_per_upstream; /* most tasks on one upstream; 0: no limit */
+  bool fills_unused_capacity; /* tasks use only capacity that other tasks leave
+                                 unused */
+  uint32_t max_per_upstream;  /* most tasks on one upstream; 0: no limit */
 } mm_step;
 
 typedef struct
--- a/src/mm_submission_codec.c
+++ b/src/mm_submission_codec.c
@@ -20,17 +20,17 @@
 {
   msgpack_pack_array (pk, STEP_FIELDS);
   msgpack_pack_uint32 (pk, s->count);
-  msgpack_pack_int64 (pk, s->need.cpu_milli);
-  msgpack_pack_int64 (pk, s->need.mem_mb);
-  msgpack_pack_int64 (pk, s->need.gpus);
+  msgpack_pack_int64 (pk, s->resources.cpu_milli);
+  msgpack_pack_int64 (pk, s->resources.mem_mb);
+  msgpack_pack_int64 (pk, s->resources.gpus);
   msgpack_pack_int64 (pk, s->estimate_ms);
   mm_mp_pack_text (pk, s->payload);
   mm_mp_pack_bool (pk, s->once);
   mm_mp_pack_text (pk, s->label);
   mm_mp_pack_text (pk, s->data_label);
-  msgpack_pack_array (pk, s->n_after);
-  for (uint32_t i = 0; i < s->n_after; i++)
-    msgpack_pack_uint32 (pk, s->after[i]);
+  msgpack_pack_array (pk, s->n_dependencies);
+  for (uint32_t i = 0; i < s->n_dependencies; i++)
+    msgpack_pack_uint32 (pk, s->depends_on[i]);
 }
 
 void
@@ -49,13 +49,13 @@
 {
   if (!mm_mp_is_array (o, 0))
     return false;
-  s->after = g_new0 (uint32_t, o->via.array.size + 1);
+  s->depends_on = g_new0 (uint32_t, o->via.array.size + 1);
   for (uint32_t i = 0; i < o->via.array.size; i++)
     {
-      if (!mm_mp_read_u32 (&o->via.array.ptr[i], &s->after[i])
-          || s->after[i] >= step_no)
+      if (!mm_mp_read_u32 (&o->via.array.ptr[i], &s->depends_on[i])
+          || s->depends_on[i] >= step_no)
         return false;
-      s->n_after++;
+      s->n_dependencies++;
     }
   return true;
 }
@@ -67,9 +67,9 @@
     return false;
   const msgpack_object *f = o->via.array.ptr;
   return mm_mp_read_u32 (&f[0], &s->count) && s->count <= MM_MAX_JOB_TASKS
-         && mm_mp_read_i64 (&f[1], &s->need.cpu_milli)
-         && mm_mp_read_i64 (&f[2], &s->need.mem_mb)
-         && mm_mp_read_i64 (&f[3], &s->need.gpus)
+         && mm_mp_read_i64 (&f[1], &s->resources.cpu_milli)
+         && mm_mp_read_i64 (&f[2], &s->resources.mem_mb)
+         && mm_mp_read_i64 (&f[3], &s->resources.gpus)
          && mm_mp_read_i64 (&f[4], &s->estimate_ms)
          && mm_mp_read_text (&f[5], true, &s->payload)
          && mm_mp_read_bool (&f[6], &s->once)
--- a/src/mm_suspects.c
+++ b/src/mm_suspects.c
@@ -200,10 +200,10 @@
   loss *l = find_loss (s, from->upstream);
   if (!l && (from->n_tasks == 0 || from->verdict == MM_LOSS_ALIVE))
     return; /* no task is suspect */
-  bool fresh = !l;
+  bool is_new = !l;
   if (!l)
     l = add_loss (s, from);
-  bool newer = fresh || is_newer (l, from);
+  bool newer = is_new || is_newer (l, from);
   if (newer && l->verdict == MM_LOSS_ALIVE)
     {
       g_array_set_size (l->tasks, 0);
@@ -299,9 +299,9 @@
 }
 
 bool
-mm_suspect_may_run (mm_suspect_action a, uint32_t apart)
+mm_suspect_may_run (mm_suspect_action a, uint32_t n_isolated)
 {
-  return a == MM_SUSPECT_RUN || (a == MM_SUSPECT_ISOLATE && apart == 0);
+  return a == MM_SUSPECT_RUN || (a == MM_SUSPECT_ISOLATE && n_isolated == 0);
 }
 
 uint32_t
--- a/src/mm_suspects.h
+++ b/src/mm_suspects.h
@@ -56,10 +56,10 @@
 void mm_suspects_listed (mm_suspects *s, const mm_upstream_info *u);
 mm_suspect_action mm_suspects_decide (const mm_suspects *s,
                                       const mm_task_id *task);
-/* Returns whether a task of a job may start while @apart suspect tasks of that
-   job run.  Only one runs at a time: the first poison task that is found ends
-   the job, so that the others crash no more upstreams.  */
-bool mm_suspect_may_run (mm_suspect_action a, uint32_t apart);
+/* Returns whether a task of a job may start while @n_isolated suspect tasks of
+   that job run.  Only one runs at a time: the first poison task that is found
+   ends the job, so that the others crash no more upstreams.  */
+bool mm_suspect_may_run (mm_suspect_action a, uint32_t n_isolated);
 /* Number of upstreams that crashed while they ran the task.  */
 uint32_t mm_suspects_count_crashes (const mm_suspects *s,
                                     const mm_task_id *task);
--- a/src/mm_task.c
+++ b/src/mm_task.c
@@ -5,26 +5,27 @@
 #include <xxhash.h>
 
 bool
-mm_resources_fit (const mm_resources *need, const mm_resources *capacity)
+mm_resources_fit (const mm_resources *required, const mm_resources *capacity)
 {
-  return need->cpu_milli <= capacity->cpu_milli
-         && need->mem_mb <= capacity->mem_mb && need->gpus <= capacity->gpus;
+  return required->cpu_milli <= capacity->cpu_milli
+         && required->mem_mb <= capacity->mem_mb
+         && required->gpus <= capacity->gpus;
 }
 
 void
-mm_resources_add (mm_resources *sum, const mm_resources *need)
+mm_resources_add (mm_resources *sum, const mm_resources *required)
 {
-  sum->cpu_milli += need->cpu_milli;
-  sum->mem_mb += need->mem_mb;
-  sum->gpus += need->gpus;
+  sum->cpu_milli += required->cpu_milli;
+  sum->mem_mb += required->mem_mb;
+  sum->gpus += required->gpus;
 }
 
 void
-mm_resources_sub (mm_resources *sum, const mm_resources *need)
+mm_resources_sub (mm_resources *sum, const mm_resources *required)
 {
-  sum->cpu_milli -= need->cpu_milli;
-  sum->mem_mb -= need->mem_mb;
-  sum->gpus -= need->gpus;
+  sum->cpu_milli -= required->cpu_milli;
+  sum->mem_mb -= required->mem_mb;
+  sum->gpus -= required->gpus;
 }
 
 guint
--- a/src/mm_task.h
+++ b/src/mm_task.h
@@ -12,12 +12,13 @@
   int64_t gpus;
 } mm_resources;
 
-/* Returns whether @need fits into @capacity.  */
-bool mm_resources_fit (const mm_resources *need, const mm_resources *capacity);
+/* Returns whether @required fits into @capacity.  */
+bool mm_resources_fit (const mm_resources *required,
+                       const mm_resources *capacity);
 void mm_resources_add (mm_resources *sum,
-                       const mm_resources *need); /* sum += need */
+                       const mm_resources *required); /* sum += required */
 void mm_resources_sub (mm_resources *sum,
-                       const mm_resources *need); /* sum -= need */
+                       const mm_resources *required); /* sum -= required */
 
 #define MM_JOB_ID_MAX 40 /* maximum length of a job id, in bytes */
 
@@ -52,14 +53,14 @@
 typedef struct
 {
   mm_task_id id;
-  const char *service;    /* service of the upstreams that may run it */
-  const char *payload;    /* opaque to the dispatcher */
-  const char *label;      /* label that an upstream must have, or NULL */
-  const char *data_label; /* label of upstreams near its data, or NULL */
-  const char *avoid;      /* name of an upstream not to use, or NULL */
-  mm_resources need;
+  const char *service;        /* service of the upstreams that may run it */
+  const char *payload;        /* opaque to the dispatcher */
+  const char *label;          /* label that an upstream must have, or NULL */
+  const char *data_label;     /* label of upstreams near its data, or NULL */
+  const char *avoid_upstream; /* name of an upstream not to use, or NULL */
+  mm_resources resources;
   bool kept;                /* of a kept job: its home acknowledges its end */
-  bool apart;               /* isolated: may crash its upstream */
+  bool isolated;            /* isolated: may crash its upstream */
   uint32_t attempt;         /* earlier failed attempts */
   uint32_t priority;        /* 0 is the highest */
   mm_time_ms estimate_ms;   /* declared run time, not binding */
--- a/src/mm_task_search.c
+++ b/src/mm_task_search.c
@@ -73,10 +73,11 @@
 add_result (mm_task_search *s, const mm_search_result *c, const char *owner)
 {
   s->n_present += c->present;
-  for (guint i = 0; i < c->clear->len; i++)
+  for (guint i = 0; i < c->clear_upstreams->len; i++)
     g_hash_table_add (
         s->clear_upstreams,
-        g_memdup2 (&g_array_index (c->clear, uint64_t, i), sizeof (uint64_t)));
+        g_memdup2 (&g_array_index (c->clear_upstreams, uint64_t, i),
+                   sizeof (uint64_t)));
   for (guint i = 0; i < c->ends->len; i++)
     s->ev.end (s->ev.ctx, &g_array_index (c->ends, mm_found_end, i), owner);
 }
--- a/tests/fake_upstreams.c
+++ b/tests/fake_upstreams.c
@@ -217,7 +217,7 @@
             (long long)run_ms);
   mm_task_request t = { .service = "svc",
                         .payload = payload,
-                        .need = { .cpu_milli = cpu_milli, .mem_mb = 1 },
+                        .resources = { .cpu_milli = cpu_milli, .mem_mb = 1 },
                         .estimate_ms = run_ms,
                         .start_within_ms = 5000 };
   g_strlcpy (t.id.job, job, sizeof t.id.job);
@@ -241,10 +241,10 @@
 {
   long long cpu = 0, run_ms = 0;
   sscanf (o->payload, "%lld %lld", &cpu, &run_ms);
-  mm_resources need = { .cpu_milli = cpu };
+  mm_resources required = { .cpu_milli = cpu };
   bool ran = mm_run_table_is_running (x->table, o->task);
   mm_call_verdict v
-      = mm_run_table_start (x->table, o, &need, run_ms, x->all->now_ms);
+      = mm_run_table_start (x->table, o, &required, run_ms, x->all->now_ms);
   if (!ran && v == MM_CALL_OK)
     count_double_runs (x, o->task);
   return v;
@@ -320,10 +320,11 @@
   if (kind == CALL_START && consume_loss (&m->lose_starts))
     {
       c->lost = true;
-      c->arrives_ms = m->late_ms ? f->now_ms + m->late_ms : -1;
+      c->arrives_ms = m->late_start_ms ? f->now_ms + m->late_start_ms : -1;
     }
   if ((kind == CALL_STOP && consume_loss (&m->lose_stops))
-      || (kind == CALL_HOLD && consume_loss (&m->lose_holds)) || m->silent)
+      || (kind == CALL_HOLD && consume_loss (&m->lose_holds))
+      || m->unresponsive)
     {
       c->lost = true;
       c->arrives_ms = -1;
@@ -336,7 +337,7 @@
       c->answer_ms = f->now_ms + LINK_MS;
     }
   f->counts.calls++;
-  c->lost = c->lost || m->mute;
+  c->lost = c->lost || m->loses_answers;
   f->calls = g_list_append (f->calls, c);
   return c;
 }
@@ -404,7 +405,7 @@
 {
   mm_hold_result r = { .call = c->result };
   mm_run_table_list (c->to->table, &r, c->to->all->now_ms);
-  size_t max_ends = c->to->mode.page;
+  size_t max_ends = c->to->mode.max_ends_per_answer;
   if (max_ends && r.n_ended >= max_ends)
     {
       r.n_ended = max_ends;
@@ -433,15 +434,16 @@
 {
   mm_call_result saved_result = c->result;
   bool first = !c->overdue;
-  c->result = (mm_call_result){
-    .verdict = MM_CALL_NO_ANSWER, .clock_ms = -1, .open = first, .late = !first
-  };
+  c->result = (mm_call_result){ .verdict = MM_CALL_NO_ANSWER,
+                                .clock_ms = -1,
+                                .overdue = first,
+                                .was_overdue = !first };
   deliver_answer (c);
   if (!first)
     return;
   /* A late answer is still delivered for MM_CALL_LATE_MS.  */
   c->result = saved_result;
-  c->result.late = true;
+  c->result.was_overdue = true;
   c->overdue = true;
   c->answered = false;
   c->timeout_ms += MM_CALL_LATE_MS;
--- a/tests/fake_upstreams.h
+++ b/tests/fake_upstreams.h
@@ -20,18 +20,19 @@
   uint32_t lose_starts; /* number of next starts that get no answer */
   uint32_t lose_stops;  /* number of next stops that are lost */
   uint32_t lose_holds;  /* number of next holds that are lost */
-  mm_time_ms late_ms;   /* lost starts are carried out after this, 0: never */
+  mm_time_ms
+      late_start_ms; /* lost starts are carried out after this, 0: never */
   mm_time_ms
       delivery_delay_ms; /* added to the delivery time, as on a full link */
   mm_time_ms
-      start_answer_delay_ms; /* added to the time of answers to starts */
-  bool refuses_connections;  /* calls fail at once: its process is dead */
-  bool silent;               /* no call arrives, none is answered */
-  bool mute;                 /* all calls arrive, none is answered */
-  bool fails_tasks;          /* each task fails after 5 ms */
-  bool unhealthy;            /* refuses starts */
-  bool hangs;                /* tasks never end */
-  size_t page;               /* maximum ends in one answer, 0: no limit */
+      start_answer_delay_ms;  /* added to the time of answers to starts */
+  bool refuses_connections;   /* calls fail at once: its process is dead */
+  bool unresponsive;          /* no call arrives, none is answered */
+  bool loses_answers;         /* all calls arrive, none is answered */
+  bool fails_tasks;           /* each task fails after 5 ms */
+  bool unhealthy;             /* refuses starts */
+  bool hangs;                 /* tasks never end */
+  size_t max_ends_per_answer; /* maximum ends in one answer, 0: no limit */
 } fake_mode;
 
 fakes *fakes_create (void); /* replaces the source of mm_clock_now_ms() */
--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -443,7 +443,7 @@
   if (random_below (fx, 600) == 0)
     {
       m->lose_starts = 1;
-      m->late_ms = random_below (fx, 2) ? 1 + random_below (fx, 900) : 0;
+      m->late_start_ms = random_below (fx, 2) ? 1 + random_below (fx, 900) : 0;
     }
   if (random_below (fx, 600) == 0)
     m->lose_holds = 1;
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -19,7 +19,7 @@
 {
   mm_load load = { .places = 100, .free = 8, .mean_task_ms = 200 };
   mm_admission a = mm_admission_decide (&load, 8, 0);
-  ck_assert (a.take);
+  ck_assert (a.accept);
   ck_assert_int_eq (a.wait_ms, 0);
 }
 END_TEST
@@ -31,11 +31,11 @@
   mm_load load
       = { .places = 100, .free = 0, .waiting = 92, .mean_task_ms = 200 };
   mm_admission tight = mm_admission_decide (&load, 8, 66);
-  ck_assert (!tight.take);
+  ck_assert (!tight.accept);
   ck_assert_int_eq (tight.wait_ms, 200);
   ck_assert_uint_ge (tight.retry_after_s, 1);
   mm_admission relaxed = mm_admission_decide (&load, 8, 500);
-  ck_assert (relaxed.take);
+  ck_assert (relaxed.accept);
 }
 END_TEST
 
@@ -45,10 +45,10 @@
 {
   mm_load load = { .mean_task_ms = 200 };
   mm_admission a = mm_admission_decide (&load, 1, MM_NO_OWNER_WAIT_MS - 1);
-  ck_assert (!a.take);
+  ck_assert (!a.accept);
   ck_assert_uint_ge (a.retry_after_s, 1);
   a = mm_admission_decide (&load, 1, MM_NO_OWNER_WAIT_MS);
-  ck_assert (a.take);
+  ck_assert (a.accept);
 }
 END_TEST
 
@@ -84,10 +84,10 @@
                        .waiting = (uint32_t)waiting,
                        .mean_task_ms = TASK_MS };
       mm_admission a = mm_admission_decide (&load, PER_MS, 105);
-      taken += a.take;
-      refused += !a.take;
-      late += a.take && waiting * TASK_MS / PLACES > 115;
-      waiting += a.take ? PER_MS : 0;
+      taken += a.accept;
+      refused += !a.accept;
+      late += a.accept && waiting * TASK_MS / PLACES > 115;
+      waiting += a.accept ? PER_MS : 0;
       double start = MIN (waiting, PLACES - busy);
       waiting -= start;
       busy += start;
@@ -141,9 +141,9 @@
           if (!resent)
             {
               sent++;
-              in_time += a.take && waiting * TASK_MS / PLACES <= SLACK_MS;
+              in_time += a.accept && waiting * TASK_MS / PLACES <= SLACK_MS;
             }
-          waiting += a.take;
+          waiting += a.accept;
         }
       double start = MIN (waiting, PLACES - busy);
       waiting -= start;
@@ -197,8 +197,8 @@
                      .mean_task_ms = 200 };
   mm_load other = urgent;
   other.waiting = mm_capacity_waiting_ahead (&r, 2);
-  ck_assert (mm_admission_decide (&urgent, 8, 80).take);
-  ck_assert (!mm_admission_decide (&other, 8, 80).take);
+  ck_assert (mm_admission_decide (&urgent, 8, 80).accept);
+  ck_assert (!mm_admission_decide (&other, 8, 80).accept);
   ck_assert_uint_eq (mm_capacity_waiting_ahead (&r, MM_PRIORITY_LEVELS + 5),
                      60);
 }
@@ -209,7 +209,7 @@
 {
   return (mm_dispatch_candidate){
     .near = near,
-    .room = { .places = places, .free = free, .waiting = waiting }
+    .capacity = { .places = places, .free = free, .waiting = waiting }
   };
 }
 
@@ -228,7 +228,7 @@
       = { owner (MM_NEAR_SELF, 10, 3, 0), owner (MM_NEAR_FAR, 10, 1, 0),
           owner (MM_NEAR_DATACENTRE, 10, 0, 0) };
   ck_assert_int_eq (mm_dispatch_choose (c, 3), 0);
-  c[0].returned_by = true;
+  c[0].returned_task = true;
   ck_assert_int_eq (mm_dispatch_choose (c, 3), 1);
   ck_assert_int_eq (mm_dispatch_choose (c, 1), 0);
 }
@@ -247,36 +247,37 @@
 static mm_placement_candidate
 upstream (int64_t free_milli, double slowness)
 {
-  return (mm_placement_candidate){ .room = { .cpu_milli = free_milli },
+  return (mm_placement_candidate){ .free_capacity
+                                   = { .cpu_milli = free_milli },
                                    .allowed = true,
                                    .slowness = slowness };
 }
 
 START_TEST (task_is_placed_on_a_fast_upstream_and_fits_tightly)
 {
-  mm_resources need = { .cpu_milli = 14000 };
+  mm_resources required = { .cpu_milli = 14000 };
   mm_placement_candidate c[] = { upstream (32000, 1.1), upstream (15000, 1.05),
                                  upstream (14000, 1.6), upstream (9000, 0.5) };
-  ck_assert_int_eq (mm_placement_choose (c, 4, &need), 1);
+  ck_assert_int_eq (mm_placement_choose (c, 4, &required), 1);
   c[1].allowed = false;
-  ck_assert_int_eq (mm_placement_choose (c, 4, &need), 0);
+  ck_assert_int_eq (mm_placement_choose (c, 4, &required), 0);
   c[0].allowed = false;
-  ck_assert_int_eq (mm_placement_choose (c, 4, &need), 2);
+  ck_assert_int_eq (mm_placement_choose (c, 4, &required), 2);
   c[2].allowed = false;
-  ck_assert_int_eq (mm_placement_choose (c, 4, &need), -1);
+  ck_assert_int_eq (mm_placement_choose (c, 4, &required), -1);
 }
 END_TEST
 
 START_TEST (memory_and_gpus_limit_placement_too)
 {
-  mm_resources need = { .cpu_milli = 1, .mem_mb = 100, .gpus = 1 };
+  mm_resources required = { .cpu_milli = 1, .mem_mb = 100, .gpus = 1 };
   mm_placement_candidate c = upstream (32000, 1);
-  c.room.mem_mb = 100;
-  ck_assert_int_eq (mm_placement_choose (&c, 1, &need), -1);
-  c.room.gpus = 1;
-  ck_assert_int_eq (mm_placement_choose (&c, 1, &need), 0);
-  c.room.mem_mb = 99;
-  ck_assert_int_eq (mm_placement_choose (&c, 1, &need), -1);
+  c.free_capacity.mem_mb = 100;
+  ck_assert_int_eq (mm_placement_choose (&c, 1, &required), -1);
+  c.free_capacity.gpus = 1;
+  ck_assert_int_eq (mm_placement_choose (&c, 1, &required), 0);
+  c.free_capacity.mem_mb = 99;
+  ck_assert_int_eq (mm_placement_choose (&c, 1, &required), -1);
 }
 END_TEST
 
@@ -332,8 +333,14 @@
   uint32_t after0[] = { 0 }, after01[] = { 0, 1 };
   mm_step steps[] = {
     { .count = 3, .estimate_ms = 100 },
-    { .count = 1, .estimate_ms = 50, .after = after0, .n_after = 1 },
-    { .count = 1, .estimate_ms = 10, .after = after01, .n_after = 2 },
+    { .count = 1,
+      .estimate_ms = 50,
+      .depends_on = after0,
+      .n_dependencies = 1 },
+    { .count = 1,
+      .estimate_ms = 10,
+      .depends_on = after01,
+      .n_dependencies = 2 },
     { .count = 1, .estimate_ms = 120 },
   };
   mm_submission s = { .best_effort = true, .steps = steps, .n_steps = 4 };
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -304,8 +304,8 @@
   long status = submit_kept (0, "meanwhile", 2, 100, true);
   gint64 took_ms = (g_get_monotonic_time () - sent_us) / 1000;
   ck_assert (status == 503 || status == 502);
-  ck_assert_int_lt (took_ms,
-                    MM_KEPT_ACCEPT_MS + MM_KEPT_REQUEST_TIMEOUT_MS + 500);
+  ck_assert_int_lt (took_ms, MM_KEPT_STORE_TIMEOUT_MS
+                                 + MM_KEPT_REQUEST_TIMEOUT_MS + 500);
   sleep_ms (1500);
   h_set_platform_faults ("{\"down\":false}");
   ck_assert (wait_state (1, "before", "completed", 15000));
@@ -563,8 +563,8 @@
       s->steps[i].count = 2;
       s->steps[i].estimate_ms = 100;
     }
-  s->steps[1].after = g_new0 (uint32_t, 1);
-  s->steps[1].n_after = 1;
+  s->steps[1].depends_on = g_new0 (uint32_t, 1);
+  s->steps[1].n_dependencies = 1;
   return s;
 }
 
@@ -693,13 +693,13 @@
   slow_store s = { 0 };
   mm_home *h = open_home (&s, l.fleet);
   caller_counts c = { 0 }, first = { 0 }, second = { 0 };
-  mm_home_submit (h, mm_job_record_new (two_steps ("j"), &queue), on_answered,
-                  &c);
+  mm_home_submit (h, mm_job_record_create (two_steps ("j"), &queue),
+                  on_answered, &c);
   ck_assert_int_eq (c.ok, 0);
   answer_append (&s, MM_APPEND_OK, 0);
   ck_assert_int_eq (c.ok, 1);
   mm_home_cancel (h, "j", on_answered, &first);
-  now_ms += MM_KEPT_ACCEPT_MS;
+  now_ms += MM_KEPT_STORE_TIMEOUT_MS;
   mm_home_tick (h, true);
   ck_assert_int_eq (first.in_doubt, 1);
   mm_home_cancel (h, "j", on_answered, &second);
@@ -722,9 +722,9 @@
 START_TEST (later_steps_are_in_doubt_too_after_a_takeover)
 {
   home_fixture l = home_fixture_create ();
-  mm_job_record *rec = mm_job_record_new (two_steps ("j"), &queue);
+  mm_job_record *rec = mm_job_record_create (two_steps ("j"), &queue);
   GBytes *bytes = mm_job_record_pack (rec);
-  mm_job_record_free (rec);
+  mm_job_record_destroy (rec);
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, l.fleet);
@@ -732,7 +732,8 @@
   GHashTable *in_doubt = mm_task_set_new ();
   mm_home_in_doubt (h, in_doubt);
   ck_assert_uint_eq (g_hash_table_size (in_doubt), 4);
-  mm_found_end e = { .task = { .job = "j" }, .how = MM_END_DONE, .mark = 1 };
+  mm_found_end e
+      = { .task = { .job = "j" }, .how = MM_END_DONE, .run_hash = 1 };
   mm_home_record_end (h, &e, NULL);
   e.task.index = 1;
   mm_home_record_end (h, &e, NULL);
@@ -758,9 +759,9 @@
   home_fixture l = home_fixture_create ();
   mm_submission *once = two_steps ("j");
   once->steps[0].once = once->steps[1].once = true;
-  mm_job_record *rec = mm_job_record_new (once, &queue);
+  mm_job_record *rec = mm_job_record_create (once, &queue);
   GBytes *bytes = mm_job_record_pack (rec);
-  mm_job_record_free (rec);
+  mm_job_record_destroy (rec);
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, l.fleet);
@@ -787,9 +788,9 @@
   home_fixture l = home_fixture_create ();
   mm_submission *empty = two_steps ("j");
   empty->steps[0].count = empty->steps[1].count = 0;
-  mm_job_record *rec = mm_job_record_new (empty, &queue);
+  mm_job_record *rec = mm_job_record_create (empty, &queue);
   GBytes *bytes = mm_job_record_pack (rec);
-  mm_job_record_free (rec);
+  mm_job_record_destroy (rec);
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, l.fleet);
@@ -810,9 +811,9 @@
 START_TEST (task_is_not_searched_for_before_its_lease_lapses)
 {
   home_fixture l = home_fixture_create ();
-  mm_job_record *rec = mm_job_record_new (two_steps ("j"), &queue);
+  mm_job_record *rec = mm_job_record_create (two_steps ("j"), &queue);
   GBytes *bytes = mm_job_record_pack (rec);
-  mm_job_record_free (rec);
+  mm_job_record_destroy (rec);
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, l.fleet);
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -39,7 +39,7 @@
   mm_mesh *mesh[INSTANCES];
   mm_catalog *catalog[INSTANCES];
   mm_list_share *list_share[INSTANCES];
-  mm_peer_info info[INSTANCES];
+  mm_mesh_peer_info info[INSTANCES];
 } fixture;
 
 typedef struct
@@ -239,7 +239,7 @@
     add_instance (fx, i, &callers[i]);
   for (int i = 0; i < INSTANCES; i++)
     {
-      mm_peer_info others[INSTANCES];
+      mm_mesh_peer_info others[INSTANCES];
       size_t n = 0;
       for (int k = 0; k < INSTANCES; k++)
         if (k != i)
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -46,7 +46,7 @@
   uint64_t generation;
   mm_time_ms ttl_ms;
   mm_join_result result;
-  uint32_t parts[PARTITIONS];
+  uint32_t partitions[PARTITIONS];
   mm_join_answered done;
   void *ctx;
 } store_call;
@@ -74,9 +74,9 @@
     {
       const char *owner = mm_group_table_holder (g, i);
       if (owner && strcmp (owner, c->member) == 0)
-        c->parts[c->result.n_parts++] = i;
+        c->partitions[c->result.n_partitions++] = i;
     }
-  c->result.parts = c->parts;
+  c->result.partitions = c->partitions;
 }
 
 static void
@@ -319,7 +319,7 @@
 {
   fixture *f = fixture_create ();
   fixture_join (f, 0);
-  mm_partitions_events ev = { .handed = notify_all, .ctx = f };
+  mm_partitions_events ev = { .released = notify_all, .ctx = f };
   mm_partitions_set_events (f->partitions[0], &ev);
   fixture_run (f, 500);
   fixture_join (f, 1);
@@ -632,8 +632,8 @@
   mm_store_port port = { .newest = key_newest, .tail = key_tail, .ctx = &k };
   r.pause_ms = 100;
   mm_stream_events ev = { .item = on_item,
-                          .whole = on_full_read,
-                          .pause_ms = reader_pause_ms,
+                          .loaded = on_full_read,
+                          .poll_interval_ms = reader_pause_ms,
                           .ctx = &r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   for (int i = 0; i < 10; i++)
@@ -664,7 +664,7 @@
   key_store k = { .keys = { "a", "b" }, .n_keys = 2, .end = 7 };
   reader r = { 0 };
   mm_store_port port = { .newest = key_newest, .tail = key_tail, .ctx = &k };
-  mm_stream_events ev = { .item = on_item, .whole = on_full_read, .ctx = &r };
+  mm_stream_events ev = { .item = on_item, .loaded = on_full_read, .ctx = &r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   ck_assert (!mm_stream_is_current (s));
   for (int i = 0; i < 10; i++)
@@ -698,8 +698,8 @@
   reader r = { .pause_ms = 800 };
   mm_store_port port = { .newest = key_newest, .tail = key_tail, .ctx = &k };
   mm_stream_events ev = { .item = on_item,
-                          .whole = on_full_read,
-                          .pause_ms = reader_pause_ms,
+                          .loaded = on_full_read,
+                          .poll_interval_ms = reader_pause_ms,
                           .ctx = &r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   mm_stream_pause (s);
@@ -794,8 +794,8 @@
                          .link_mbps = 2 };
   r->pause_ms = pause_ms;
   mm_stream_events ev = { .item = on_item,
-                          .whole = on_full_read,
-                          .pause_ms = reader_pause_ms,
+                          .loaded = on_full_read,
+                          .poll_interval_ms = reader_pause_ms,
                           .ctx = r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   for (int i = 0; i < 100 && !k->tail_calls; i++)
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -22,7 +22,7 @@
   ev_timer tick;
   mm_owner *owner[INSTANCES];
   mm_mesh *mesh[INSTANCES];
-  mm_peer_info info[INSTANCES];
+  mm_mesh_peer_info info[INSTANCES];
 } fixture;
 
 static const char *
@@ -58,7 +58,7 @@
 static void
 set_peers (fixture *f, int i)
 {
-  mm_peer_info others[INSTANCES];
+  mm_mesh_peer_info others[INSTANCES];
   size_t n = 0;
   for (int k = 0; k < INSTANCES; k++)
     if (k != i)
@@ -108,7 +108,7 @@
     {
       mm_mesh_destroy (f->mesh[i]);
       mm_owner_destroy (f->owner[i]);
-      mm_peer_info_clear (&f->info[i]);
+      mm_mesh_peer_info_clear (&f->info[i]);
     }
   ev_loop_destroy (f->loop);
   g_free (f);
@@ -279,9 +279,10 @@
                         .running_at = "up",
                         .run = 3,
                         .ran_ms = 40 };
-  mm_mesh_service_capacity room = {
+  mm_mesh_service_capacity capacity = {
     .service = "s",
-    .room = { .places = 9, .waiting = 3, .waiting_by_priority = { 1, 0, 2 } }
+    .capacity
+    = { .places = 9, .waiting = 3, .waiting_by_priority = { 1, 0, 2 } }
   };
   mm_work_result result = { .how = MM_END_DONE, .run = 3 };
   msgpack_sbuffer b;
@@ -290,7 +291,7 @@
   mm_mesh_pack_cancel (&b, 7);
   mm_mesh_pack_heartbeat (&b);
   mm_mesh_pack_ended (&b, 7, &result);
-  mm_mesh_pack_report (&b, 7, "node", true, &room, 1);
+  mm_mesh_pack_report (&b, 7, "node", true, &capacity, 1);
   mm_mesh_pack_hello (&b, "node");
   mm_mesh_pack_request (&b, 7, 1, "x", 1);
   mm_mesh_pack_answer (&b, 7, "x", 1);
@@ -333,10 +334,10 @@
                    && m.loss.unresponsive_since_ms
                           >= loss.unresponsive_since_ms);
       if (kind == MM_MESH_REPORT)
-        ck_assert (m.leaving
-                   && mm_capacity_waiting_ahead (&m.capacities[0].room, 1) == 1
-                   && mm_capacity_waiting_ahead (&m.capacities[0].room, 2)
-                          == 3);
+        ck_assert (
+            m.leaving
+            && mm_capacity_waiting_ahead (&m.capacities[0].capacity, 1) == 1
+            && mm_capacity_waiting_ahead (&m.capacities[0].capacity, 2) == 3);
       mm_mesh_msg_clear (&m);
     }
   msgpack_unpacked_destroy (&o);
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -40,7 +40,7 @@
   fake *a = fixture_add (&fx, "a");
   fixture_run (&fx, 10);
   fake_mode_of (a)->lose_starts = 1;
-  fake_mode_of (a)->late_ms = 2500;
+  fake_mode_of (a)->late_start_ms = 2500;
   outcome r[9];
   submit (&fx, &r[0], "late", 0, 300);
   fixture_run (&fx, 20);
@@ -68,7 +68,7 @@
   fake *a = fixture_add (&fx, "a");
   fixture_run (&fx, 10);
   fake_mode_of (a)->lose_starts = 1;
-  fake_mode_of (a)->late_ms = MM_RTO_MIN_MS / 2; /* before the stop */
+  fake_mode_of (a)->late_start_ms = MM_RTO_MIN_MS / 2; /* before the stop */
   outcome r;
   submit (&fx, &r, "ran", 0, 3000);
   fixture_run (&fx, 600);
@@ -86,7 +86,7 @@
   fake *a = fixture_add (&fx, "a");
   fixture_run (&fx, 10);
   fake_mode_of (a)->lose_starts = 1;
-  fake_mode_of (a)->late_ms = MM_RTO_MIN_MS * 2;
+  fake_mode_of (a)->late_start_ms = MM_RTO_MIN_MS * 2;
   outcome r;
   submit (&fx, &r, "once", 0, 300);
   fixture_run (&fx, 600);
@@ -136,7 +136,7 @@
           for (int i = 0; i < UPSTREAMS; i++)
             {
               fake_mode *m = fake_mode_of (x[i]);
-              m->late_ms = 2500;
+              m->late_start_ms = 2500;
               m->lose_starts = g_rand_double (rnd) < 0.3;
               m->lose_stops = g_rand_double (rnd) < 0.3;
               m->lose_holds = g_rand_double (rnd) < 0.3;
@@ -205,7 +205,7 @@
   fixture_add (&fx, "b");
   fixture_run (&fx, 10);
   fake_mode_of (a)->lose_starts = 1;
-  fake_mode_of (a)->late_ms = 900;
+  fake_mode_of (a)->late_start_ms = 900;
   fake_mode_of (a)->lose_stops = 100;
   fake_mode_of (a)->lose_holds = 100;
   mm_task_request t = fakes_task ("late", 0, UPSTREAM_CPU_MILLI, 300);
@@ -230,7 +230,7 @@
   fake *a = fixture_add (&fx, "a");
   fixture_run (&fx, 10);
   outcome r;
-  fake_mode_of (a)->mute = true;
+  fake_mode_of (a)->loses_answers = true;
   submit (&fx, &r, "mute", 0, 8000);
   fixture_run (&fx, 2500);
   ck_assert_uint_eq (r.answers, 1);
@@ -252,7 +252,7 @@
   submit (&fx, &r, "cut", 0, 3000);
   fixture_run (&fx, 100);
   ck_assert_uint_eq (fake_running (a), 1);
-  fake_mode_of (a)->silent = true;
+  fake_mode_of (a)->unresponsive = true;
   mm_time_ms cut_ms = fakes_now (fx.upstreams);
   fixture_run (&fx, 2000);
   ck_assert_uint_eq (r.answers, 1);
@@ -274,7 +274,7 @@
   outcome r;
   submit (&fx, &r, "mute", 0, 8000);
   fixture_run (&fx, 100);
-  fake_mode_of (a)->mute = true;
+  fake_mode_of (a)->loses_answers = true;
   fixture_run (&fx, 2500);
   ck_assert_int_eq (r.how, MM_END_LOST);
   ck_assert_uint_eq (r.answers, 1);
@@ -588,7 +588,7 @@
         {
         case 0:
           m->lose_starts = 2;
-          m->late_ms = g_rand_int_range (rnd, 0, 4000);
+          m->late_start_ms = g_rand_int_range (rnd, 0, 4000);
           break;
         case 1:
           m->lose_stops = 2;
@@ -597,10 +597,10 @@
           m->lose_holds = 2;
           break;
         case 3:
-          m->silent = !m->silent;
+          m->unresponsive = !m->unresponsive;
           break;
         case 4:
-          m->mute = !m->mute;
+          m->loses_answers = !m->loses_answers;
           break;
         case 5:
           m->fails_tasks = !m->fails_tasks;
@@ -812,7 +812,7 @@
   fixture_run (&fx, 10);
   submit_kept (&fx, &r, "frozen", 0, 300);
   fixture_run (&fx, 100);
-  fake_mode_of (a)->silent = true;
+  fake_mode_of (a)->unresponsive = true;
   fixture_run (&fx, 2000);
   ck_assert_uint_eq (r.answers, 1);
   ck_assert_int_eq (r.how, MM_END_UNKNOWN);
@@ -836,11 +836,12 @@
                          6); /* begins a new session */
   mm_owner_set_confirmed (fx.owner, true);
   mm_search_result found = search_for (&fx, "kept", 0);
-  ck_assert_uint_eq (found.clear->len, 0); /* runs are not listed yet */
+  ck_assert_uint_eq (found.clear_upstreams->len,
+                     0); /* runs are not listed yet */
   mm_search_result_clear (&found);
   fixture_run (&fx, 100);
   found = search_for (&fx, "kept", 0);
-  ck_assert_uint_eq (found.clear->len, 1);
+  ck_assert_uint_eq (found.clear_upstreams->len, 1);
   ck_assert_uint_eq (found.ends->len, 1);
   ck_assert_int_eq (g_array_index (found.ends, mm_found_end, 0).how,
                     MM_END_DONE);
@@ -899,7 +900,7 @@
   mm_owner_set_confirmed (fx.owner, false);
   found = search_for (&fx, "kept", 7);
   ck_assert_uint_eq (found.present, 0);
-  ck_assert_uint_eq (found.clear->len, 0);
+  ck_assert_uint_eq (found.clear_upstreams->len, 0);
   mm_search_result_clear (&found);
   fixture_destroy (&fx);
 }
@@ -913,7 +914,7 @@
   fixture fx = fixture_create ();
   fake *a = fixture_add (&fx, "a");
   outcome r[4];
-  fake_mode_of (a)->page = 2;
+  fake_mode_of (a)->max_ends_per_answer = 2;
   fixture_run (&fx, 10);
   for (uint32_t i = 0; i < 2; i++)
     submit_kept (&fx, &r[i], "first", i, 100);
--- a/tests/test_ownership_changes.c
+++ b/tests/test_ownership_changes.c
@@ -111,10 +111,10 @@
   mm_exec_port port = fakes_port (fx->fake_upstreams);
   fx->owner = mm_owner_create (&port);
   fx->catalog = mm_catalog_create ();
-  mm_ownership_partitions partitions = { .of = partition_state,
-                                         .retake = partition_renew_fence,
-                                         .changes = partition_changes,
-                                         .any = owns_any_partition,
+  mm_ownership_partitions partitions = { .state_of = partition_state,
+                                         .renew_fence = partition_renew_fence,
+                                         .change_count = partition_changes,
+                                         .owns_any = owns_any_partition,
                                          .ctx = fx };
   fx->ownership = mm_ownership_create (fx->catalog, fx->owner, &partitions);
   fx->list_fresh = true;
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -22,10 +22,10 @@
   ck_assert_str_eq (s->payload, "text");
   ck_assert (s->best_effort);
   ck_assert_uint_eq (s->n_steps, 2);
-  ck_assert_int_eq (s->steps[0].need.cpu_milli, 500);
-  ck_assert_int_eq (s->steps[0].need.mem_mb, 256);
+  ck_assert_int_eq (s->steps[0].resources.cpu_milli, 500);
+  ck_assert_int_eq (s->steps[0].resources.mem_mb, 256);
   ck_assert_int_eq (s->steps[0].estimate_ms, 900);
-  ck_assert_uint_eq (s->steps[1].n_after, 1);
+  ck_assert_uint_eq (s->steps[1].n_dependencies, 1);
   ck_assert_str_eq (s->steps[1].label, "a");
   ck_assert_str_eq (s->steps[0].data_label, "r1-3");
   ck_assert_ptr_null (s->steps[1].data_label);
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -243,27 +243,28 @@
 
 typedef struct
 {
-  fakes *f;
-  mm_owner *o;
-  mm_suspects *s;
+  fakes *upstreams;
+  mm_owner *owner;
+  mm_suspects *suspects;
 } fixture;
 
 static fixture
 fixture_create (void)
 {
-  fixture fx = { .f = fakes_create (), .s = mm_suspects_create () };
-  mm_exec_port port = fakes_port (fx.f);
-  fx.o = mm_owner_create (&port);
-  mm_owner_set_suspects (fx.o, fx.s);
+  fixture fx
+      = { .upstreams = fakes_create (), .suspects = mm_suspects_create () };
+  mm_exec_port port = fakes_port (fx.upstreams);
+  fx.owner = mm_owner_create (&port);
+  mm_owner_set_suspects (fx.owner, fx.suspects);
   return fx;
 }
 
 static void
 fixture_destroy (fixture *fx)
 {
-  mm_owner_destroy (fx->o);
-  mm_suspects_destroy (fx->s);
-  fakes_destroy (fx->f);
+  mm_owner_destroy (fx->owner);
+  mm_suspects_destroy (fx->suspects);
+  fakes_destroy (fx->upstreams);
 }
 
 static void
@@ -273,12 +274,12 @@
 }
 
 static mm_task_id
-start_task (fixture *fx, const char *job, bool apart, mm_end *how)
+start_task (fixture *fx, const char *job, bool isolated, mm_end *how)
 {
   mm_task_request t = fakes_task (job, 0, TASK_CPU_MILLI, 3000);
-  t.apart = apart;
+  t.isolated = isolated;
   *how = MM_END_COUNT;
-  mm_owner_submit (fx->o, &t, on_done, how);
+  mm_owner_submit (fx->owner, &t, on_done, how);
   return t.id;
 }
 
@@ -291,21 +292,22 @@
   for (int i = 0; i < 6; i++)
     {
       g_snprintf (name, sizeof name, "up%d", i);
-      fake *x = fakes_add (fx.f, name, UPSTREAM_CPU_MILLI);
-      mm_owner_add_upstream (fx.o, fake_info (x), 5);
-      fakes_run (fx.f, fx.o, 10);
+      fake *x = fakes_add (fx.upstreams, name, UPSTREAM_CPU_MILLI);
+      mm_owner_add_upstream (fx.owner, fake_info (x), 5);
+      fakes_run (fx.upstreams, fx.owner, 10);
       mm_end how;
       mm_task_id id = start_task (&fx, "innocent", i > 0, &how);
-      fakes_run (fx.f, fx.o, 100);
+      fakes_run (fx.upstreams, fx.owner, 100);
       ck_assert_uint_eq (fake_running (x), 1);
-      fake_mode_of (x)->silent = true;
-      fakes_run (fx.f, fx.o, 1800);
+      fake_mode_of (x)->unresponsive = true;
+      fakes_run (fx.upstreams, fx.owner, 1800);
       ck_assert_int_eq (how, MM_END_LOST);
-      ck_assert_int_eq (mm_suspects_decide (fx.s, &id), MM_SUSPECT_ISOLATE);
-      fake_mode_of (x)->silent = false;
-      fakes_run (fx.f, fx.o, 1000);
-      ck_assert_int_eq (mm_suspects_decide (fx.s, &id), MM_SUSPECT_RUN);
-      mm_owner_remove_upstream (fx.o, name);
+      ck_assert_int_eq (mm_suspects_decide (fx.suspects, &id),
+                        MM_SUSPECT_ISOLATE);
+      fake_mode_of (x)->unresponsive = false;
+      fakes_run (fx.upstreams, fx.owner, 1000);
+      ck_assert_int_eq (mm_suspects_decide (fx.suspects, &id), MM_SUSPECT_RUN);
+      mm_owner_remove_upstream (fx.owner, name);
     }
   fixture_destroy (&fx);
 }
@@ -316,27 +318,27 @@
 START_TEST (restarted_upstream_has_crashed_unless_it_was_draining)
 {
   fixture fx = fixture_create ();
-  fake *a = fakes_add (fx.f, "a", UPSTREAM_CPU_MILLI),
-       *b = fakes_add (fx.f, "b", UPSTREAM_CPU_MILLI);
+  fake *a = fakes_add (fx.upstreams, "a", UPSTREAM_CPU_MILLI),
+       *b = fakes_add (fx.upstreams, "b", UPSTREAM_CPU_MILLI);
   mm_end how;
-  mm_owner_add_upstream (fx.o, fake_info (a), 5);
-  fakes_run (fx.f, fx.o, 10);
+  mm_owner_add_upstream (fx.owner, fake_info (a), 5);
+  fakes_run (fx.upstreams, fx.owner, 10);
   mm_task_id id = start_task (&fx, "crash", false, &how);
-  fakes_run (fx.f, fx.o, 100);
+  fakes_run (fx.upstreams, fx.owner, 100);
   fake_restart (a);
-  fakes_run (fx.f, fx.o, 500);
+  fakes_run (fx.upstreams, fx.owner, 500);
   ck_assert_int_eq (how, MM_END_LOST);
-  ck_assert_uint_eq (mm_suspects_count_crashes (fx.s, &id), 1);
-  mm_owner_add_upstream (fx.o, fake_info (b), 5);
-  fakes_run (fx.f, fx.o, 10);
+  ck_assert_uint_eq (mm_suspects_count_crashes (fx.suspects, &id), 1);
+  mm_owner_add_upstream (fx.owner, fake_info (b), 5);
+  fakes_run (fx.upstreams, fx.owner, 10);
   start_task (&fx, "crash", true, &how);
-  fakes_run (fx.f, fx.o, 100);
+  fakes_run (fx.upstreams, fx.owner, 100);
   fake_set_draining (b, true);
-  mm_owner_update_upstream (fx.o, fake_info (b));
+  mm_owner_update_upstream (fx.owner, fake_info (b));
   fake_restart (b);
-  fakes_run (fx.f, fx.o, 500);
+  fakes_run (fx.upstreams, fx.owner, 500);
   ck_assert_int_eq (how, MM_END_LOST);
-  ck_assert_uint_eq (mm_suspects_count_crashes (fx.s, &id), 1);
+  ck_assert_uint_eq (mm_suspects_count_crashes (fx.suspects, &id), 1);
   fixture_destroy (&fx);
 }
 END_TEST
@@ -350,21 +352,21 @@
   static const char *const names[] = { "a", "b", "c" };
   for (int i = 0; i < 3; i++)
     {
-      x[i] = fakes_add (fx.f, names[i], UPSTREAM_CPU_MILLI);
-      mm_owner_add_upstream (fx.o, fake_info (x[i]), 5);
+      x[i] = fakes_add (fx.upstreams, names[i], UPSTREAM_CPU_MILLI);
+      mm_owner_add_upstream (fx.owner, fake_info (x[i]), 5);
     }
-  fakes_run (fx.f, fx.o, 10);
+  fakes_run (fx.upstreams, fx.owner, 10);
   mm_end how[4];
   start_task (&fx, "first", false, &how[0]);
   start_task (&fx, "suspect", true, &how[1]);
-  fakes_run (fx.f, fx.o, 10);
+  fakes_run (fx.upstreams, fx.owner, 10);
   size_t most = 0;
   for (int i = 0; i < 3; i++)
     most = MAX (most, fake_running (x[i]));
   ck_assert_uint_eq (most, 1);
   start_task (&fx, "another", true, &how[2]);
   start_task (&fx, "second", false, &how[3]);
-  fakes_run (fx.f, fx.o, 10);
+  fakes_run (fx.upstreams, fx.owner, 10);
   uint32_t alone = 0;
   for (int i = 0; i < 3; i++)
     alone += fake_running (x[i]) == 1;
