--- a/src/config.h
+++ b/src/config.h
@@ -160,8 +160,9 @@
 /* How long the circuit breaker stays open the first time.  */
 #define MM_BREAKER_OPEN_MS 1000
 #define MM_BREAKER_MAX_DOUBLINGS 3u /* longest: 8 times the first */
-#define MM_SLOWNESS_GAIN 0.2 /* weight of one run in an upstream's slowness   \
-                              */
+#define MM_SLOWNESS_GAIN                                                      \
+  0.2 /* weight of one run in an upstream's slowness                          \
+       */
 /* Weight of one task in the average task size.  */
 #define MM_AVERAGE_GAIN 0.05
 /* Upstreams whose speeds differ by less count as equally fast, as run time
--- a/src/mm_accepted_jobs.h
+++ b/src/mm_accepted_jobs.h
@@ -9,6 +9,7 @@
 typedef struct mm_accepted_jobs mm_accepted_jobs;
 mm_accepted_jobs *mm_accepted_jobs_create (void);
 void mm_accepted_jobs_destroy (mm_accepted_jobs *k);
+/* @fingerprint: mm_pool_list_fingerprint() when the job was accepted.  */
 void mm_accepted_jobs_add (mm_accepted_jobs *k, const char *job_id,
                            uint64_t fingerprint,
                            mm_time_ms now); /* replaces an older entry */
--- a/src/mm_admission.h
+++ b/src/mm_admission.h
@@ -23,6 +23,8 @@
   uint32_t retry_after_s; /* when a refused caller should retry */
 } mm_admission;
 
+/* The objective of a job is @stretch * @chain_ms + @slo_ms.  @chain_ms:
+   declared run time of its longest chain of steps.  */
 /* How long a job can wait and still meet its objective.  */
 mm_time_ms mm_admission_slack_ms (double stretch, mm_time_ms slo_ms,
                                   mm_time_ms chain_ms);
@@ -36,6 +38,8 @@
 /* Like mm_admission_limit_ms(), for an objective that is already computed. */
 mm_time_ms mm_admission_limit_of_objective_ms (mm_time_ms objective_ms,
                                                mm_time_ms chain_ms);
+/* Accepts or refuses a job of which @tasks tasks are ready to start.
+   @slack_ms: from mm_admission_slack_ms().  */
 mm_admission mm_admission_decide (const mm_load *load, uint32_t tasks,
                                   mm_time_ms slack_ms);
 
--- a/src/mm_breaker.h
+++ b/src/mm_breaker.h
@@ -14,6 +14,7 @@
   bool on_trial;                 /* half-open: one task at a time */
 } mm_breaker;
 
+/* Records whether a run at the upstream succeeded (@ok).  */
 void mm_breaker_record (mm_breaker *t, bool ok, mm_time_ms now_ms);
 /* Returns whether another task may start while @running tasks run there.  */
 bool mm_breaker_allows (mm_breaker *t, size_t running, mm_time_ms now_ms);
--- a/src/mm_contact.c
+++ b/src/mm_contact.c
@@ -133,7 +133,7 @@
  * @c: the contact.
  * @n_peers: number of live peers in the member list.
  * @now: mm_clock_now_ms().
- * @peer: with MM_STANDING_CUT, set to a peer in contact; may be NULL.
+ * @peer: with MM_STANDING_DISCONNECTED, set to a peer in contact; may be NULL.
  *
  * Return: what this instance may do, see mm_standing.
  */
@@ -159,7 +159,7 @@
         {
           if (peer)
             *peer = name;
-          return MM_STANDING_CUT;
+          return MM_STANDING_DISCONNECTED;
         }
     }
   if (answers)
--- a/src/mm_contact.h
+++ b/src/mm_contact.h
@@ -8,10 +8,14 @@
 
 typedef enum
 {
-  MM_STANDING_CONTACT, /* the platform answers, or failed only just now */
-  MM_STANDING_OUTAGE,  /* no peer that answers reaches it: no owner changes */
-  MM_STANDING_CUT,     /* a peer reaches it: this instance may be replaced */
-  MM_STANDING_ALONE    /* neither the platform nor any known peer answers */
+  /* The platform answers, or failed only just now.  */
+  MM_STANDING_CONTACT,
+  /* No peer that answers reaches the platform: no owner changes.  */
+  MM_STANDING_OUTAGE,
+  /* A peer reaches the platform: this instance may be replaced.  */
+  MM_STANDING_DISCONNECTED,
+  /* Neither the platform nor any known peer answers.  */
+  MM_STANDING_ALONE
 } mm_standing;
 
 typedef struct mm_contact mm_contact;
@@ -19,14 +23,24 @@
 void mm_contact_destroy (mm_contact *c);
 void mm_contact_record (mm_contact *c, bool ok,
                         mm_time_ms now); /* a call ended */
+/* Returns whether the last call failed and the last success was more than
+   MM_CONTACT_LOST_MS ago.  */
 bool mm_contact_lost (const mm_contact *c, mm_time_ms now);
+/* Returns whether the member list may lack live members: without contact, and
+   for MM_LIST_GRACE_MS after it.  */
 bool mm_contact_list_incomplete (const mm_contact *c, mm_time_ms now);
+/* Returns the HTTP status that answers a peer's ping: 200 in contact, 503 when
+   contact is lost, 204 when neither is known yet.  */
 unsigned mm_contact_ping_status (const mm_contact *c, mm_time_ms now);
 void mm_contact_record_vote (mm_contact *c, const char *peer, bool in_contact,
                              mm_time_ms now); /* a peer answered a ping */
+/* Returns what this instance may do.  With MM_STANDING_DISCONNECTED sets @peer
+   to a peer in contact; @peer may be NULL.  @n_peers: live peers in the member
+   list.  */
 mm_standing mm_contact_standing (const mm_contact *c, uint32_t n_peers,
                                  mm_time_ms now, const char **peer);
-int64_t mm_contact_last_outage_wall_ms (const mm_contact *c); /* 0: none */
+/* Wall-clock time of the last call that failed without contact, 0: none.  */
+int64_t mm_contact_last_outage_wall_ms (const mm_contact *c);
 const char *mm_standing_name (mm_standing s);
 
 #endif /* MM_CONTACT_H */
--- a/src/mm_datacentres.c
+++ b/src/mm_datacentres.c
@@ -34,7 +34,7 @@
   uint32_t n_partitions;
   mm_datacentres_events ev;
   membership *memberships;
-  size_t n;
+  size_t n_memberships;
   uint64_t changes; /* without those that the memberships count themselves */
   bool leaving;
   mm_time_ms checked_ms;     /* when standby was last checked */
@@ -78,9 +78,9 @@
   dcs->member = g_strdup (member);
   dcs->n_partitions = n_partitions;
   dcs->ev = *ev;
-  dcs->n = g_strv_length ((char **)datacentres);
-  dcs->memberships = g_new0 (membership, dcs->n + 1);
-  for (size_t i = 0; i < dcs->n; i++)
+  dcs->n_memberships = g_strv_length ((char **)datacentres);
+  dcs->memberships = g_new0 (membership, dcs->n_memberships + 1);
+  for (size_t i = 0; i < dcs->n_memberships; i++)
     {
       membership *m = &dcs->memberships[i];
       m->datacentre = g_strdup (datacentres[i]);
@@ -97,7 +97,7 @@
 {
   if (!dcs)
     return;
-  for (size_t i = 0; i < dcs->n; i++)
+  for (size_t i = 0; i < dcs->n_memberships; i++)
     {
       mm_partitions_destroy (dcs->memberships[i].partitions);
       g_free (dcs->memberships[i].datacentre);
@@ -213,7 +213,7 @@
       = MM_WITH_STANDBY && now - dcs->checked_ms >= MM_STANDBY_CHECK_MS;
   if (check_standby)
     dcs->checked_ms = now;
-  for (size_t i = 0; i < dcs->n; i++)
+  for (size_t i = 0; i < dcs->n_memberships; i++)
     {
       membership *m = &dcs->memberships[i];
       if (dcs->leaving)
@@ -228,7 +228,7 @@
 static membership *
 membership_of (const mm_datacentres *dcs, const mm_upstream_info *u)
 {
-  for (size_t i = 0; i < dcs->n; i++)
+  for (size_t i = 0; i < dcs->n_memberships; i++)
     if (strcmp (dcs->memberships[i].datacentre, u->datacentre) == 0)
       return dcs->memberships[i].partitions ? &dcs->memberships[i] : NULL;
   return NULL;
@@ -268,7 +268,7 @@
 void
 mm_datacentres_poll_now (mm_datacentres *dcs, const char *group)
 {
-  for (size_t i = 0; i < dcs->n; i++)
+  for (size_t i = 0; i < dcs->n_memberships; i++)
     if (dcs->memberships[i].partitions
         && strcmp (dcs->memberships[i].group, group) == 0)
       mm_partitions_poll_now (dcs->memberships[i].partitions);
@@ -277,7 +277,7 @@
 bool
 mm_datacentres_has_left (const mm_datacentres *dcs)
 {
-  for (size_t i = 0; i < dcs->n; i++)
+  for (size_t i = 0; i < dcs->n_memberships; i++)
     if (dcs->memberships[i].partitions
         && !mm_partitions_has_left (dcs->memberships[i].partitions))
       return false;
@@ -287,7 +287,7 @@
 bool
 mm_datacentres_owns_any (const mm_datacentres *dcs)
 {
-  for (size_t i = 0; i < dcs->n; i++)
+  for (size_t i = 0; i < dcs->n_memberships; i++)
     if (dcs->memberships[i].partitions
         && mm_partitions_owns_any (dcs->memberships[i].partitions))
       return true;
@@ -298,7 +298,7 @@
 mm_datacentres_confirmed (const mm_datacentres *dcs)
 {
   mm_time_ms oldest_ms = mm_clock_now_ms () - MM_GROUP_CONFIRMED_MS;
-  for (size_t i = 0; i < dcs->n; i++)
+  for (size_t i = 0; i < dcs->n_memberships; i++)
     if (dcs->memberships[i].partitions
         && mm_partitions_confirmed_ms (dcs->memberships[i].partitions)
                < oldest_ms)
@@ -310,7 +310,7 @@
 mm_datacentres_changes (const mm_datacentres *dcs)
 {
   uint64_t sum = dcs->changes;
-  for (size_t i = 0; i < dcs->n; i++)
+  for (size_t i = 0; i < dcs->n_memberships; i++)
     if (dcs->memberships[i].partitions)
       sum += mm_partitions_changes (dcs->memberships[i].partitions);
   return sum;
@@ -320,7 +320,7 @@
 mm_datacentres_generation (const mm_datacentres *dcs)
 {
   uint64_t sum = 0;
-  for (size_t i = 0; i < dcs->n; i++)
+  for (size_t i = 0; i < dcs->n_memberships; i++)
     if (dcs->memberships[i].partitions)
       sum += mm_partitions_generation (dcs->memberships[i].partitions);
   return sum;
--- a/src/mm_datacentres.h
+++ b/src/mm_datacentres.h
@@ -23,6 +23,8 @@
   void *ctx;
 } mm_datacentres_events;
 
+/* @datacentres: all data centres, NULL-terminated; @own: that of this
+   instance; @member: its member name; @n_partitions: of each group.  */
 mm_datacentres *mm_datacentres_create (const mm_store_port *port,
                                        mm_mesh *mesh, char *const *datacentres,
                                        const char *own, const char *member,
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -104,7 +104,7 @@
   const char *contact_peer = NULL;
   if (hops >= MM_FORWARD_MAX_HOPS || !*e->settings.platform_url)
     return NULL;
-  if (current_standing (e, &contact_peer) == MM_STANDING_CUT
+  if (current_standing (e, &contact_peer) == MM_STANDING_DISCONNECTED
       && is_routable (e, contact_peer))
     return contact_peer;
   if (mm_shard_owned (s) && !e->shutting_down)
@@ -311,7 +311,7 @@
       else if (mm_shard_has_waiting (s))
         mm_shard_redirect_waiting (s, NULL);
       break;
-    case MM_STANDING_CUT:
+    case MM_STANDING_DISCONNECTED:
       mm_shard_redirect_waiting (s, peer);
       break;
     case MM_STANDING_ALONE:
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -165,6 +165,7 @@
                          const mm_exec_port *port, mm_exec_common *common,
                          const mm_exec_events *events);
 void mm_exec_destroy (mm_exec *x); /* stops all notifications */
+/* Applies a changed list entry of the upstream.  */
 void mm_exec_update (mm_exec *x, const mm_upstream_info *u);
 void mm_exec_tick (mm_exec *x);         /* call each MM_EXEC_TICK_MS */
 bool mm_exec_usable (const mm_exec *x); /* may be sent a start */
@@ -172,7 +173,9 @@
 bool mm_exec_in_service (const mm_exec *x);
 bool mm_exec_fenced (const mm_exec *x); /* another instance owns it */
 bool mm_exec_idle (const mm_exec *x);   /* has no runs */
-mm_resources mm_exec_free_capacity (const mm_exec *x); /* free capacity */
+/* The listed capacity without what runs, unanswered start orders and runs that
+   are being stopped use; negative when they use more than that.  */
+mm_resources mm_exec_free_capacity (const mm_exec *x);
 size_t mm_exec_count_runs (const mm_exec *x); /* runs that use its capacity */
 GList *mm_exec_tasks (const mm_exec *x); /* of mm_task_id; g_list_free() */
 /* When a hold last failed, 0: the last one was answered.  */
@@ -197,7 +200,8 @@
 double mm_exec_slowness (const mm_exec *x); /* run time / estimate */
 /* Ends that are not acknowledged yet.  */
 const mm_unacked_end *mm_exec_unacked_ends (const mm_exec *x, size_t *n);
-void mm_exec_ack_end (mm_exec *x, size_t i); /* acknowledges it */
+/* Acknowledges the end at index @i of mm_exec_unacked_ends().  */
+void mm_exec_ack_end (mm_exec *x, size_t i);
 /* Ends of this job's runs no longer wait for its home's acknowledgement.  */
 void mm_exec_forget_job (mm_exec *x, const char *job_id);
 bool mm_exec_runs_confirmed (const mm_exec *x); /* the runs there are known */
--- a/src/mm_exec_priv.h
+++ b/src/mm_exec_priv.h
@@ -117,6 +117,8 @@
 /* Processes the final result of a call that was reported as unanswered.  */
 void mm_exec_call_late (mm_exec_call *c, const mm_call_result *res);
 mm_time_ms mm_exec_timeout_ms (const mm_exec *x); /* for the next call */
+/* Updates the timeout of the next calls from the time that this call took, or
+   from the lack of an answer.  */
 void mm_exec_record_time (mm_exec *x, const mm_exec_call *c,
                           mm_call_verdict v);
 void mm_exec_update_clock (mm_exec *x, const mm_call_result *res);
--- a/src/mm_fleet.h
+++ b/src/mm_fleet.h
@@ -27,7 +27,9 @@
    priority.  */
 mm_load mm_fleet_load (const mm_fleet *f, const char *service,
                        uint32_t priority);
-/* Returns NULL when no owner has capacity.  */
+/* Dispatches a task to an owner.  @returned_by: the owner that has just
+   returned the task without running it, "" for this instance, or NULL.
+   Returns NULL when no owner has capacity.  */
 mm_ticket *mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
                             const char *returned_by, mm_work_done done,
                             void *ctx);
--- a/src/mm_group_table.c
+++ b/src/mm_group_table.c
@@ -34,12 +34,12 @@
 }
 
 mm_group_table *
-mm_group_table_create (uint32_t count)
+mm_group_table_create (uint32_t n_partitions)
 {
   mm_group_table *g = g_new0 (mm_group_table, 1);
   g->members = g_ptr_array_new_with_free_func (member_free);
-  g->partitions = g_new0 (partition, count);
-  g->n_partitions = count;
+  g->partitions = g_new0 (partition, n_partitions);
+  g->n_partitions = n_partitions;
   return g;
 }
 
--- a/src/mm_group_table.h
+++ b/src/mm_group_table.h
@@ -12,7 +12,7 @@
 
 typedef struct mm_group_table mm_group_table;
 
-mm_group_table *mm_group_table_create (uint32_t count);
+mm_group_table *mm_group_table_create (uint32_t n_partitions);
 void mm_group_table_destroy (mm_group_table *g);
 /* Adds a member or renews its membership for @ttl_ms; @generation is the
    newest that the member has seen.  Return: the generation now.  */
--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -329,7 +329,9 @@
   j->stored = true;
   mm_metrics_count (MM_CT_KEPT_ACCEPTED);
   mm_log_event (MM_EV_KEPT_ACCEPTED, MM_TEXT (j->id), MM_TEXT (j->rec->queue),
-                MM_INT (j->rec->s ? mm_submission_tasks (j->rec->s) : 0),
+                MM_INT (j->rec->submission
+                            ? mm_submission_tasks (j->rec->submission)
+                            : 0),
                 MM_INT (j->home->partition),
                 MM_INT (mm_clock_now_ms () - j->received_ms));
   answer_waiters (j, MM_KEPT_OK, G_MAXINT64);
@@ -345,7 +347,7 @@
   mm_kept_answer a
       = { .status = MM_KEPT_BUSY, .retry_after_s = retry_after_s };
   mm_metrics_count (MM_CT_KEPT_REFUSED);
-  mm_log_event (MM_EV_KEPT_REFUSED, MM_TEXT (rec->s->id),
+  mm_log_event (MM_EV_KEPT_REFUSED, MM_TEXT (rec->submission->id),
                 MM_INT (h->partition), MM_TEXT (why));
   answered (ctx, &a);
 }
@@ -357,9 +359,9 @@
 admit (const mm_home *h, const mm_job_record *rec)
 {
   mm_load load = mm_fleet_load (h->fleet, rec->service, rec->priority);
-  mm_time_ms chain_ms = mm_submission_chain_ms (rec->s);
+  mm_time_ms chain_ms = mm_submission_chain_ms (rec->submission);
   return mm_admission_decide (
-      &load, mm_submission_first_tasks (rec->s),
+      &load, mm_submission_first_tasks (rec->submission),
       mm_admission_limit_of_objective_ms (rec->objective_ms, chain_ms));
 }
 
@@ -379,7 +381,7 @@
 mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_answered answered,
                 void *ctx)
 {
-  job *j = g_hash_table_lookup (h->jobs, rec->s->id);
+  job *j = g_hash_table_lookup (h->jobs, rec->submission->id);
   mm_admission admission;
   if (!h->loaded)
     {
@@ -400,7 +402,7 @@
             ctx);
   else
     {
-      j = job_create (h, rec->s->id, rec);
+      j = job_create (h, rec->submission->id, rec);
       add_waiter (j, answered, ctx);
       mm_job_log_put (h->log, j->id, mm_job_record_pack (rec),
                       on_accept_stored, pending_write_create (j));
--- a/src/mm_home.h
+++ b/src/mm_home.h
@@ -20,6 +20,8 @@
   void *ctx;
 } mm_home_events;
 
+/* @epoch: the generation at which this instance was assigned the partition;
+   the store refuses records of homes with a lower one.  */
 mm_home *mm_home_create (const mm_store_port *store, mm_fleet *fleet,
                          uint32_t partition, uint64_t epoch,
                          const mm_home_events *ev);
@@ -40,6 +42,7 @@
                      void *ctx);
 /* Number of accepted jobs of a queue that have not started.  */
 uint32_t mm_home_pending (const mm_home *h, const char *queue);
+/* Call each MM_EXEC_TICK_MS.  @may_start: tasks may be dispatched.  */
 void mm_home_tick (mm_home *h, bool may_start);
 bool mm_home_idle (const mm_home *h); /* nothing runs or waits to be stored */
 uint32_t mm_home_open_jobs (const mm_home *h);
--- a/src/mm_job_record.c
+++ b/src/mm_job_record.c
@@ -38,7 +38,7 @@
   r->objective_ms
       = (mm_time_ms)(route->stretch * (double)mm_submission_chain_ms (s))
         + route->slo_ms;
-  r->s = s;
+  r->submission = s;
   r->progress = g_new0 (mm_task_progress, mm_submission_tasks (s) + 1);
   return r;
 }
@@ -50,7 +50,7 @@
     return;
   g_free (r->queue);
   g_free (r->service);
-  mm_submission_free (r->s);
+  mm_submission_free (r->submission);
   g_free (r->progress);
   g_free (r);
 }
@@ -59,14 +59,14 @@
 mm_job_record_set_outcome (mm_job_record *r, mm_job_phase p)
 {
   r->phase = p;
-  g_clear_pointer (&r->s, mm_submission_free);
+  g_clear_pointer (&r->submission, mm_submission_free);
   g_clear_pointer (&r->progress, g_free);
 }
 
 static void
 pack_progress (msgpack_packer *pk, const mm_job_record *r)
 {
-  uint32_t n = r->s ? mm_submission_tasks (r->s) : 0;
+  uint32_t n = r->submission ? mm_submission_tasks (r->submission) : 0;
   msgpack_pack_array (pk, n);
   for (uint32_t i = 0; i < n; i++)
     {
@@ -93,8 +93,8 @@
   msgpack_pack_uint32 (&pk, r->priority);
   msgpack_pack_uint32 (&pk, r->attempts);
   msgpack_pack_int64 (&pk, r->objective_ms);
-  if (r->s)
-    mm_submission_pack (&pk, r->s);
+  if (r->submission)
+    mm_submission_pack (&pk, r->submission);
   else
     msgpack_pack_nil (&pk);
   pack_progress (&pk, r);
@@ -124,10 +124,10 @@
 {
   if (mm_job_phase_ended (r->phase))
     return f[6].type == MSGPACK_OBJECT_NIL;
-  r->s = mm_submission_unpack (&f[6]);
-  if (!r->s)
+  r->submission = mm_submission_unpack (&f[6]);
+  if (!r->submission)
     return false;
-  uint32_t n = mm_submission_tasks (r->s);
+  uint32_t n = mm_submission_tasks (r->submission);
   if (!mm_mp_is_array (&f[7], 0) || f[7].via.array.size != n)
     return false;
   r->progress = g_new0 (mm_task_progress, (size_t)n + 1);
--- a/src/mm_job_record.h
+++ b/src/mm_job_record.h
@@ -36,7 +36,7 @@
   uint32_t priority;
   uint32_t attempts;          /* failed runs of one task that fail the job */
   mm_time_ms objective_ms;    /* intended duration of the whole job */
-  mm_submission *s;           /* NULL once the job has ended */
+  mm_submission *submission;  /* NULL once the job has ended */
   mm_task_progress *progress; /* of each task, NULL once the job has ended */
 } mm_job_record;
 
--- a/src/mm_kept_peer.c
+++ b/src/mm_kept_peer.c
@@ -111,7 +111,9 @@
   GError *error = NULL;
   mm_kept_answer rejection = { .status = MM_KEPT_MOVING };
   mm_job_record *rec = mm_job_record_unpack (data, len, &error);
-  mm_home *h = rec && rec->s ? mm_kept_home_of (k, rec->s->id) : NULL;
+  mm_home *h = rec && rec->submission
+                   ? mm_kept_home_of (k, rec->submission->id)
+                   : NULL;
   if (h)
     {
       mm_home_submit (h, rec, answer_peer, reply);
--- a/src/mm_kept_request.c
+++ b/src/mm_kept_request.c
@@ -203,7 +203,7 @@
                 mm_kept_answered answered, void *ctx)
 {
   mm_job_record *rec = mm_job_record_create (s, route);
-  start_request (k, rec->s->id, MM_KEPT_REQUEST_SUBMIT,
+  start_request (k, rec->submission->id, MM_KEPT_REQUEST_SUBMIT,
                  mm_job_record_pack (rec), answered, ctx);
   mm_job_record_destroy (rec);
 }
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_run.c
@@ -76,12 +76,12 @@
   r->fleet = fleet;
   r->rec = rec;
   r->ev = *ev;
-  r->steps = mm_steps_create (rec->s);
-  r->n_tasks = mm_submission_tasks (rec->s);
+  r->steps = mm_steps_create (rec->submission);
+  r->n_tasks = mm_submission_tasks (rec->submission);
   r->tasks = g_new0 (task, (size_t)r->n_tasks + 1);
   r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_ack));
   r->latest_start_ms = mm_clock_now_ms () + rec->objective_ms
-                       - mm_submission_chain_ms (rec->s);
+                       - mm_submission_chain_ms (rec->submission);
   r->started = taken_over && rec->phase == MM_JOB_RUNNING;
   for (uint32_t i = 0; i < r->n_tasks; i++)
     {
@@ -159,7 +159,7 @@
 static bool
 runs_once (const task *t)
 {
-  return t->run->rec->s->steps[t->id.step].once;
+  return t->run->rec->submission->steps[t->id.step].once;
 }
 
 /* A run has failed; @next_state: the task's state if the job goes on.  */
@@ -273,11 +273,12 @@
 dispatch (task *t, mm_suspect_action action, mm_time_ms now)
 {
   mm_kept_run *r = t->run;
-  const mm_step *step = &r->rec->s->steps[t->id.step];
+  const mm_step *step = &r->rec->submission->steps[t->id.step];
   mm_task_request req
       = { .id = t->id,
           .service = r->rec->service,
-          .payload = step->payload ? step->payload : r->rec->s->payload,
+          .payload
+          = step->payload ? step->payload : r->rec->submission->payload,
           .label = step->label,
           .data_label = step->data_label,
           .avoid_upstream = t->avoid_upstream,
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -26,9 +26,9 @@
   mm_mesh *mesh;
   mm_predecessors *predecessors; /* not owned */
   char *self;
-  char *own; /* own data centre */
-  datacentre *dcs;
-  size_t n;
+  char *own_datacentre;
+  datacentre *datacentres;
+  size_t n_datacentres;
   size_t next;       /* index of the data centre to poll next */
   mm_time_ms due_ms; /* when the next poll is due */
   mm_members_changed changed;
@@ -54,15 +54,15 @@
 {
   if (--m->refs > 0)
     return;
-  for (size_t i = 0; i < m->n; i++)
+  for (size_t i = 0; i < m->n_datacentres; i++)
     {
-      g_free (m->dcs[i].name);
-      g_free (m->dcs[i].group);
-      g_strfreev (m->dcs[i].member_names);
+      g_free (m->datacentres[i].name);
+      g_free (m->datacentres[i].group);
+      g_strfreev (m->datacentres[i].member_names);
     }
-  g_free (m->dcs);
+  g_free (m->datacentres);
   g_free (m->self);
-  g_free (m->own);
+  g_free (m->own_datacentre);
   g_free (m);
 }
 
@@ -116,15 +116,15 @@
   m->mesh = mesh;
   m->predecessors = predecessors;
   m->self = g_strdup (self);
-  m->own = g_strdup (own);
+  m->own_datacentre = g_strdup (own);
   mm_mesh_on_hello (mesh, on_hello, m);
-  m->n = g_strv_length ((char **)datacentres);
-  m->dcs = g_new0 (datacentre, m->n + 1);
-  for (size_t i = 0; i < m->n; i++)
+  m->n_datacentres = g_strv_length ((char **)datacentres);
+  m->datacentres = g_new0 (datacentre, m->n_datacentres + 1);
+  for (size_t i = 0; i < m->n_datacentres; i++)
     {
-      m->dcs[i].members = m;
-      m->dcs[i].name = g_strdup (datacentres[i]);
-      m->dcs[i].group = mm_members_group (datacentres[i]);
+      m->datacentres[i].members = m;
+      m->datacentres[i].name = g_strdup (datacentres[i]);
+      m->datacentres[i].group = mm_members_group (datacentres[i]);
     }
   return m;
 }
@@ -144,14 +144,15 @@
 {
   GArray *peers = g_array_new (FALSE, FALSE, sizeof (mm_mesh_peer_info));
   g_array_set_clear_func (peers, mm_mesh_peer_info_clear);
-  for (size_t i = 0; i < m->n; i++)
-    for (char **member = m->dcs[i].member_names; member && *member; member++)
+  for (size_t i = 0; i < m->n_datacentres; i++)
+    for (char **member = m->datacentres[i].member_names; member && *member;
+         member++)
       {
         mm_mesh_peer_info p;
         if (strcmp (*member, m->self) == 0
             || !mm_members_parse_name (*member, &p))
           continue;
-        p.is_standby = strcmp (p.datacentre, m->dcs[i].name) != 0;
+        p.is_standby = strcmp (p.datacentre, m->datacentres[i].name) != 0;
         g_array_append_val (peers, p);
       }
   mm_mesh_set_peers (m->mesh, (mm_mesh_peer_info *)(void *)peers->data,
@@ -202,9 +203,9 @@
 bool
 mm_members_loaded (const mm_members *m)
 {
-  for (size_t i = 0; i < m->n; i++)
-    if (strcmp (m->dcs[i].name, m->own) == 0)
-      return m->dcs[i].member_names != NULL;
+  for (size_t i = 0; i < m->n_datacentres; i++)
+    if (strcmp (m->datacentres[i].name, m->own_datacentre) == 0)
+      return m->datacentres[i].member_names != NULL;
   return true;
 }
 
@@ -225,10 +226,11 @@
   m->due_ms = now
               + (m->n_polls < MM_MEMBERS_FIRST_POLLS ? MM_MEMBERS_FIRST_POLL_MS
                                                      : MM_MEMBERS_POLL_MS);
-  size_t n_far = first ? m->n : MIN (m->n, MM_MEMBERS_FAR_PER_POLL);
+  size_t n_far = first ? m->n_datacentres
+                       : MIN (m->n_datacentres, MM_MEMBERS_FAR_PER_POLL);
   for (size_t i = 0; i < n_far; i++, m->next++)
-    request_members (&m->dcs[m->next % m->n]);
-  for (size_t i = 0; i < m->n; i++)
-    if (strcmp (m->dcs[i].name, m->own) == 0)
-      request_members (&m->dcs[i]);
+    request_members (&m->datacentres[m->next % m->n_datacentres]);
+  for (size_t i = 0; i < m->n_datacentres; i++)
+    if (strcmp (m->datacentres[i].name, m->own_datacentre) == 0)
+      request_members (&m->datacentres[i]);
 }
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -48,7 +48,10 @@
 /* Exchanges lost upstreams with the peers; @s must outlive the mesh.  */
 void mm_mesh_set_suspects (mm_mesh *m, mm_suspects *s);
 void mm_mesh_set_leaving (mm_mesh *m); /* reports the shutdown to peers */
-void mm_mesh_add_peer (mm_mesh *m, const mm_mesh_peer_info *p); /* copied */
+/* Adds an instance, or records that it is a standby; @p is copied.  */
+void mm_mesh_add_peer (mm_mesh *m, const mm_mesh_peer_info *p);
+/* Sets the list of the other instances.  One that is not listed any more is
+   kept while it is connected.  */
 void mm_mesh_set_peers (mm_mesh *m, const mm_mesh_peer_info *peers, size_t n);
 size_t mm_mesh_peer_capacities (const mm_mesh *m, const char *service,
                                 mm_mesh_peer_capacity *out,
--- a/src/mm_metrics.c
+++ b/src/mm_metrics.c
@@ -176,7 +176,7 @@
 typedef struct
 {
   uint64_t in_bucket[N_BOUNDS + 1]; /* the last one: above all bounds */
-  uint64_t n;                       /* number of observations */
+  uint64_t n_observations;          /* number of observations */
   int64_t sum_ms;                   /* of all observations */
 } histogram;
 
@@ -216,14 +216,14 @@
   while (i < N_BOUNDS && ms > bounds_ms[i])
     i++;
   h->in_bucket[i]++;
-  h->n++;
+  h->n_observations++;
   h->sum_ms += ms;
 }
 
 uint64_t
 mm_metrics_observed (mm_histogram_id id)
 {
-  return histograms[id].n;
+  return histograms[id].n_observations;
 }
 
 /* Appends the help and type lines, once before all series of a name.  @before
@@ -269,10 +269,10 @@
     }
   g_string_append_printf (
       s, "%s_bucket{le=\"+Inf\"} %" G_GUINT64_FORMAT "\n%s_sum ", row->name,
-      h->n, row->name);
+      h->n_observations, row->name);
   append_seconds (s, h->sum_ms);
   g_string_append_printf (s, "\n%s_count %" G_GUINT64_FORMAT "\n", row->name,
-                          h->n);
+                          h->n_observations);
 }
 
 /**
--- a/src/mm_native.h
+++ b/src/mm_native.h
@@ -18,6 +18,8 @@
 
 /* ---- mm_native_front: callers' jobs ---- */
 void mm_native_front_request (mm_http_request *req, void *ctx /* mm_front */);
+/* Returns the job in a JSON body, or NULL with @error set.  Sets
+   @caller_timeout_ms to the earliest deadline of the job's tasks.  */
 mm_submission *mm_native_submission_parse (const char *body, size_t len,
                                            mm_time_ms *caller_timeout_ms,
                                            GError **error);
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -274,8 +274,9 @@
   cJSON *o = cJSON_ParseWithLength (body, len);
   const char *queue_name
       = cJSON_GetStringValue (cJSON_GetObjectItemCaseSensitive (o, "queue"));
-  const mm_route *found = !queue_name && routes->n ? &routes->routes[0] : NULL;
-  for (size_t i = 0; queue_name && i < routes->n; i++)
+  const mm_route *found
+      = !queue_name && routes->n_routes ? &routes->routes[0] : NULL;
+  for (size_t i = 0; queue_name && i < routes->n_routes; i++)
     if (strcmp (routes->routes[i].name, queue_name) == 0)
       found = &routes->routes[i];
   cJSON_Delete (o);
--- a/src/mm_native_store.c
+++ b/src/mm_native_store.c
@@ -54,7 +54,7 @@
   const cJSON *q;
   cJSON_ArrayForEach (q, list)
     {
-      mm_route *m = &r->routes[r->n++];
+      mm_route *m = &r->routes[r->n_routes++];
       m->name = string_field (q, "name");
       m->host = string_field (q, "host");
       m->prefix = string_field (q, "prefix");
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -127,7 +127,7 @@
   mm_routes_unref (n->routes);
   n->routes = mm_routes_ref (item->routes);
   mm_log_event (MM_EV_CONFIG_APPLIED, MM_INT (n->routes->version),
-                MM_INT (n->routes->n));
+                MM_INT (n->routes->n_routes));
 }
 
 static bool
@@ -331,10 +331,10 @@
       = mm_datacentres_create (store, n->mesh, s->datacentres, s->datacentre,
                                member, (uint32_t)s->partitions, &ev);
   mm_ownership_partitions partitions = { .state_of = partition_state_of,
-                                     .renew_fence = renew_fence,
-                                     .change_count = partition_changes,
-                                     .owns_any = owns_partitions,
-                                     .ctx = n };
+                                         .renew_fence = renew_fence,
+                                         .change_count = partition_changes,
+                                         .owns_any = owns_partitions,
+                                         .ctx = n };
   n->ownership = mm_ownership_create (n->catalog, n->owner, &partitions);
   n->predecessors = mm_predecessors_create (store, member);
   mm_mesh_on_released (n->mesh, on_group_changed, n);
@@ -420,7 +420,7 @@
 {
   if (n->leaving_ms || !n->routes)
     return false;
-  for (size_t i = 0; i < n->routes->n; i++)
+  for (size_t i = 0; i < n->routes->n_routes; i++)
     if (mm_fleet_load (n->fleet, n->routes->routes[i].service, 0).places > 0)
       return true;
   return false;
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -104,6 +104,8 @@
 /* Returns whether the upstream can be released: it is frozen and nothing runs
    there, or it is not owned.  */
 bool mm_owner_idle (const mm_owner *o, const char *upstream);
+/* Queues a task until there is free capacity; @t is copied.  Returns a handle
+   that is valid until @done.  */
 mm_work *mm_owner_submit (mm_owner *o, const mm_task_request *t,
                           mm_work_done done, void *ctx);
 void mm_owner_cancel (mm_owner *o, mm_work *w); /* @done is not called */
@@ -137,6 +139,8 @@
 void mm_owner_transfer (mm_owner *o, mm_work *w, void *transfer);
 void mm_owner_transferred_end (void *work, const mm_work_result *r);
 void mm_owner_tick (mm_owner *o); /* call each MM_EXEC_TICK_MS */
+/* Capacity and load of a service here, in tasks of the average size of those
+   submitted recently.  */
 mm_capacity_report mm_owner_report (const mm_owner *o, const char *service);
 mm_owner_gauges mm_owner_measure (const mm_owner *o);
 /* Distinct services of the owned upstreams; free the list, not the names.  */
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -33,7 +33,7 @@
   char *group;
   char *member;
   partition *partitions;
-  uint32_t n;
+  uint32_t n_partitions;
   uint64_t listed_generation;    /* generation in the last answer */
   uint64_t confirmed_generation; /* generation that the next join confirms */
   mm_time_ms releasing_since_ms; /* 0: no partition is being released */
@@ -71,7 +71,7 @@
   set->port = *port;
   set->group = g_strdup (group);
   set->member = g_strdup (member);
-  set->n = n_partitions;
+  set->n_partitions = n_partitions;
   set->partitions = g_new0 (partition, n_partitions);
   set->created_ms = mm_clock_now_ms ();
   return set;
@@ -100,7 +100,7 @@
 {
   uint32_t n_owned = 0, n_releasing = 0;
   set->changes++;
-  for (uint32_t i = 0; i < set->n; i++)
+  for (uint32_t i = 0; i < set->n_partitions; i++)
     {
       partition *p = &set->partitions[i];
       bool is_assigned = is_assigned_in (res, i);
@@ -209,7 +209,7 @@
   set->quitting = true;
   set->changes++;
   set->due_ms = 0;
-  memset (set->partitions, 0, set->n * sizeof *set->partitions);
+  memset (set->partitions, 0, set->n_partitions * sizeof *set->partitions);
 }
 
 void
@@ -233,7 +233,8 @@
 static partition *
 partition_of (const mm_partitions *set, const char *upstream)
 {
-  return &set->partitions[XXH3_64bits (upstream, strlen (upstream)) % set->n];
+  return &set->partitions[XXH3_64bits (upstream, strlen (upstream))
+                          % set->n_partitions];
 }
 
 static mm_partition_state
@@ -289,7 +290,7 @@
 void
 mm_partitions_release (mm_partitions *set)
 {
-  for (uint32_t i = 0; i < set->n; i++)
+  for (uint32_t i = 0; i < set->n_partitions; i++)
     if (set->partitions[i].is_releasing)
       set->partitions[i] = (partition){ 0 };
   set->releasing_since_ms = 0;
@@ -308,7 +309,7 @@
 bool
 mm_partitions_owns_any (const mm_partitions *set)
 {
-  for (uint32_t i = 0; i < set->n; i++)
+  for (uint32_t i = 0; i < set->n_partitions; i++)
     if (set->partitions[i].fence)
       return true;
   return false;
--- a/src/mm_peer.c
+++ b/src/mm_peer.c
@@ -58,7 +58,7 @@
   mm_peer_answer_cb done;
   void *ctx;
   ev_timer timer;
-  peer_link *l;
+  peer_link *link;
   uint64_t req_id;
 } pending_request;
 
@@ -122,7 +122,7 @@
 static void
 answer_pending (pending_request *p, const mm_peer_answer *a)
 {
-  ev_timer_stop (p->l->peer->loop, &p->timer);
+  ev_timer_stop (p->link->peer->loop, &p->timer);
   p->done (a, p->ctx);
   g_free (p);
 }
@@ -437,7 +437,7 @@
 timeout_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   pending_request *p = w->data;
-  g_hash_table_remove (p->l->pending, &p->req_id);
+  g_hash_table_remove (p->link->pending, &p->req_id);
   fail_pending (p, MM_ERROR_TIMEOUT, "no answer in time");
 }
 
@@ -459,7 +459,7 @@
   pending_request *request = g_new0 (pending_request, 1);
   request->done = done;
   request->ctx = ctx;
-  request->l = l;
+  request->link = l;
   request->req_id = p->next_req_id;
   ev_timer_init (&request->timer, timeout_cb, (double)timeout_ms / 1000.0, 0.);
   request->timer.data = request;
--- a/src/mm_predecessors.c
+++ b/src/mm_predecessors.c
@@ -24,7 +24,7 @@
 
 typedef struct
 {
-  mm_predecessors *p;
+  mm_predecessors *predecessors;
   char *key;
 } leave_call;
 
@@ -70,8 +70,8 @@
 on_left (const mm_join_result *res, void *ctx)
 {
   leave_call *call = ctx;
-  g_hash_table_remove (call->p->leaving_members, call->key);
-  predecessors_unref (call->p);
+  g_hash_table_remove (call->predecessors->leaving_members, call->key);
+  predecessors_unref (call->predecessors);
   g_free (call->key);
   g_free (call);
 }
@@ -99,7 +99,7 @@
   mm_log_event (MM_EV_PREDECESSOR, MM_TEXT (group), MM_TEXT (member));
   g_hash_table_add (p->leaving_members, g_strdup (key));
   leave_call *call = g_new (leave_call, 1);
-  *call = (leave_call){ .p = p, .key = key };
+  *call = (leave_call){ .predecessors = p, .key = key };
   p->refs++;
   p->port.leave (p->port.ctx, group, member, MM_STORE_TIMEOUT_MS, on_left,
                  call);
--- a/src/mm_queue_delay.h
+++ b/src/mm_queue_delay.h
@@ -19,6 +19,9 @@
   mm_time_ms min_ms[2]; /* minimum of the current, of the previous window */
 } mm_queue_delay;
 
+/* Records a message that was sent at @sent_ms by the sender's clock and
+   received at @now_ms by this instance's.  Returns how much longer it took
+   than the fastest recent one.  */
 mm_time_ms mm_queue_delay_record_ms (mm_queue_delay *t, mm_time_ms sent_ms,
                                      mm_time_ms now_ms);
 
--- a/src/mm_routes.c
+++ b/src/mm_routes.c
@@ -23,7 +23,7 @@
 {
   if (!r || --r->refs > 0)
     return;
-  for (size_t i = 0; i < r->n; i++)
+  for (size_t i = 0; i < r->n_routes; i++)
     {
       g_free (r->routes[i].name);
       g_free (r->routes[i].host);
@@ -49,7 +49,7 @@
 {
   const mm_route *best = NULL;
   size_t best_len = 0;
-  for (size_t i = 0; i < r->n; i++)
+  for (size_t i = 0; i < r->n_routes; i++)
     {
       const mm_route *c = &r->routes[i];
       size_t len = strlen (c->prefix);
--- a/src/mm_routes.h
+++ b/src/mm_routes.h
@@ -27,7 +27,7 @@
   int refs;
   uint64_t version;
   mm_route *routes;
-  size_t n;
+  size_t n_routes;
 } mm_routes;
 
 mm_routes *mm_routes_new (void);
--- a/src/mm_rto.h
+++ b/src/mm_rto.h
@@ -21,6 +21,7 @@
   uint32_t doublings; /* consecutive calls without an answer */
 } mm_rto;
 
+/* Record how long an answer took, or that a call got no answer.  */
 void mm_rto_answered (mm_rto *r, mm_time_ms took_ms);
 void mm_rto_unanswered (mm_rto *r);
 void mm_rto_late (mm_rto *r, mm_time_ms took_ms); /* late answer */
@@ -36,8 +37,11 @@
   mm_time_ms raised_ms;      /* when min_timeout_ms was last set */
 } mm_rto_floor;
 
+/* Records a late answer; raises the lower bound for MM_RTO_FLOOR_TTL_MS when
+   another upstream's answer was late shortly before.  */
 void mm_rto_floor_late (mm_rto_floor *f, const void *upstream,
                         mm_time_ms took_ms, mm_time_ms now_ms);
+/* Returns the lower bound, 0: none.  */
 mm_time_ms mm_rto_floor_ms (const mm_rto_floor *f, mm_time_ms now_ms);
 
 #endif /* MM_RTO_H */
--- a/src/mm_run_table.h
+++ b/src/mm_run_table.h
@@ -44,6 +44,8 @@
 void mm_run_table_set_mode (mm_run_table *t, mm_run_mode mode);
 /* Runs go on, also when they exceed a smaller capacity.  */
 void mm_run_table_set_capacity (mm_run_table *t, const mm_resources *capacity);
+/* Carry out a start order, a stop order or a hold.  Return: the verdict that
+   the upstream answers.  */
 mm_call_verdict mm_run_table_start (mm_run_table *t, const mm_order *o,
                                     const mm_resources *required,
                                     mm_time_ms run_ms, mm_time_ms now_ms);
--- a/src/mm_search_result.h
+++ b/src/mm_search_result.h
@@ -26,7 +26,7 @@
 } mm_search_result;
 
 uint64_t mm_upstream_hash (const char *upstream);
-mm_search_result mm_search_result_init (void);
+mm_search_result mm_search_result_init (void); /* empty */
 void mm_search_result_clear (
     mm_search_result *result); /* frees the arrays, not @result */
 
--- a/src/mm_stream.h
+++ b/src/mm_stream.h
@@ -17,7 +17,7 @@
      the stream.  May be NULL.  */
   void (*changes) (void *ctx, bool all);
   /* Returns the time from sending a read to sending the next.  NULL: the next
-     read is sent at once and waits at the store.  */
+     read is sent at once and waits at the store for a new record.  */
   mm_time_ms (*poll_interval_ms) (void *ctx);
   void *ctx;
 } mm_stream_events;
--- a/src/mm_upstream.c
+++ b/src/mm_upstream.c
@@ -72,7 +72,7 @@
 struct run
 {
   ev_timer timer;
-  mm_upstream *u;
+  mm_upstream *upstream;
   mm_http_request *req;
   char *task_id;
   task_record *record;
@@ -177,7 +177,7 @@
 static void
 answer_run (run *r)
 {
-  mm_upstream *u = r->u;
+  mm_upstream *u = r->upstream;
   cJSON *o = cJSON_CreateObject ();
   cJSON_AddStringToObject (o, "task_id", r->task_id);
   bool fail = u->mode == MODE_FAIL_ALL;
@@ -200,9 +200,9 @@
 run_done_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   run *r = (run *)w;
-  if (r->u->mode == MODE_FREEZE)
+  if (r->upstream->mode == MODE_FREEZE)
     {
-      g_queue_push_tail (&r->u->frozen, r);
+      g_queue_push_tail (&r->upstream->frozen, r);
       return;
     }
   answer_run (r);
@@ -252,7 +252,7 @@
   if (u->running > (uint32_t)u->settings.slots)
     duration_ms = duration_ms * u->running / (double)u->settings.slots;
   run *r = g_new0 (run, 1);
-  r->u = u;
+  r->upstream = u;
   r->req = req;
   r->task_id = g_strdup (task->valuestring);
   r->record = t;
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -312,7 +312,7 @@
     { .name = "long", .host = "a.example", .prefix = "/q/deep/" },
     { .name = "other", .host = "b.example", .prefix = "/q/" },
   };
-  mm_routes r = { .routes = routes, .n = 3 };
+  mm_routes r = { .routes = routes, .n_routes = 3 };
   const char *rest;
   ck_assert_str_eq (mm_routes_find (&r, "a.example", "/q/1", &rest)->name,
                     "short");
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -82,7 +82,7 @@
   mm_routes *r = pf_routes_decode (body, strlen (body), NULL);
   ck_assert_ptr_nonnull (r);
   ck_assert_uint_eq (r->version, 7);
-  ck_assert_uint_eq (r->n, 1);
+  ck_assert_uint_eq (r->n_routes, 1);
   ck_assert_uint_eq (r->routes[0].priority, 2);
   ck_assert_uint_eq (r->routes[0].attempts, 4);
   ck_assert_uint_eq (r->routes[0].config_version, 7);
--- a/tests/test_thin_link.c
+++ b/tests/test_thin_link.c
@@ -18,9 +18,9 @@
    number of upstreams does.  */
 typedef struct
 {
-  int n;    /* number of upstreams */
-  int next; /* the next one to report */
-  int seq;  /* sequence number of the next append */
+  int n_upstreams; /* number of upstreams */
+  int next;        /* the next one to report */
+  int seq;         /* sequence number of the next append */
 } other_upstreams;
 
 static void
@@ -29,7 +29,8 @@
   GString *body = g_string_new (NULL);
   g_string_printf (body, "{\"epoch\":1,\"seq\":%d,\"records\":[",
                    others->seq++);
-  for (int i = 0; i < n; i++, others->next = (others->next + 1) % others->n)
+  for (int i = 0; i < n;
+       i++, others->next = (others->next + 1) % others->n_upstreams)
     g_string_append_printf (
         body,
         "%s{\"key\":\"crowd%d\",\"value\":{\"address\":\"127.0.0.1:9\","
@@ -49,7 +50,7 @@
   while (mm_clock_now_ms () < until_ms)
     {
       mm_time_ms batch_start_ms = mm_clock_now_ms ();
-      report_some (others, others->n * BATCH_MS / HEARTBEAT_MS);
+      report_some (others, others->n_upstreams * BATCH_MS / HEARTBEAT_MS);
       mm_time_ms took_ms = mm_clock_now_ms () - batch_start_ms;
       if (took_ms < BATCH_MS)
         g_usleep ((gulong)(BATCH_MS - took_ms) * 1000);
@@ -105,8 +106,8 @@
 {
   others->seq = 1;
   h_start_nodes (4, 4, 2);
-  for (int i = 0; i < others->n; i += 50)
-    report_some (others, MIN (50, others->n - i));
+  for (int i = 0; i < others->n_upstreams; i += 50)
+    report_some (others, MIN (50, others->n_upstreams - i));
   char fault[80];
   g_snprintf (fault, sizeof fault, "{\"link_kbps\":%d,\"link_delay_ms\":1}",
               kbps);
@@ -123,7 +124,7 @@
 static void
 check_outage (int kbps, int n_others, const char *store_fault)
 {
-  other_upstreams others = { .n = n_others };
+  other_upstreams others = { .n_upstreams = n_others };
   start_with_other_upstreams (&others, kbps);
   h_set_platform_faults ("{\"cut\":\"node0,node1\"}");
   report_for (&others, AWAY_MS);
@@ -165,7 +166,7 @@
    updates of the list from the second, so that its upstreams stay in use.  */
 START_TEST (instance_without_the_store_gets_list_updates_from_a_peer)
 {
-  other_upstreams others = { .n = 120 };
+  other_upstreams others = { .n_upstreams = 120 };
   start_with_other_upstreams (&others, 2000);
   report_for (&others, 6000);
   h_set_platform_faults ("{\"cut\":\"node0\"}");
@@ -185,7 +186,7 @@
    would never be in force.  */
 START_TEST (large_configuration_is_in_force_on_a_thin_link)
 {
-  other_upstreams others = { .n = 120 };
+  other_upstreams others = { .n_upstreams = 120 };
   start_with_other_upstreams (&others, 2000);
   GString *s = g_string_new ("{\"version\":2,\"queues\":[{\"name\":\"q\","
                              "\"service\":\"tasks\",\"attempts\":3,"
@@ -213,7 +214,7 @@
    upstreams.  */
 START_TEST (instance_that_joins_during_restarts_owns_upstreams)
 {
-  other_upstreams others = { .n = 120 };
+  other_upstreams others = { .n_upstreams = 120 };
   start_with_other_upstreams (&others, 2000);
   for (int i = 0; i < 2; i++)
     h_stop (h_instances[i], SIGKILL);
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -223,9 +223,9 @@
 
 /* An instance that cannot reach the platform sends a request to its peers.  If
    any peer is in contact with the platform, only this instance is disconnected
-   (MM_STANDING_CUT).  If all answers come from peers that lost contact too,
-   the platform has an outage.  Without an answer the instance waits for a
-   short time and is then MM_STANDING_ALONE.  */
+   (MM_STANDING_DISCONNECTED).  If all answers come from peers that lost
+   contact too, the platform has an outage.  Without an answer the instance
+   waits for a short time and is then MM_STANDING_ALONE.  */
 START_TEST (standing_follows_the_answers_of_peers)
 {
   mm_contact *c = mm_contact_create (0);
@@ -244,7 +244,8 @@
   ck_assert_int_eq (mm_contact_standing (c, 2, 800, &peer),
                     MM_STANDING_OUTAGE);
   mm_contact_record_vote (c, "a", true, 800);
-  ck_assert_int_eq (mm_contact_standing (c, 2, 900, &peer), MM_STANDING_CUT);
+  ck_assert_int_eq (mm_contact_standing (c, 2, 900, &peer),
+                    MM_STANDING_DISCONNECTED);
   ck_assert_str_eq (peer, "a");
   mm_contact_record (c, true, 1000);
   ck_assert_int_eq (mm_contact_standing (c, 2, 1000, &peer),
