--- a/src/config.h
+++ b/src/config.h
@@ -305,9 +305,9 @@
 #define MM_MEMBERS_FAR_PER_POLL 4u   /* other data centres read each time */
 /* Runs may end within this time before their upstream is handed over.  */
 #define MM_HANDOVER_MS 2500
-/* The next owner of an upstream asks the other instances which of the runs
-   that it found there are theirs, and stops those that are not claimed within
-   this time.  An answer takes 2 ms, and at most two ticks pass.  */
+/* The next owner of an upstream notifies the other instances of the runs that
+   it found there, and stops those that none of them claims within this time.
+   An answer takes 2 ms, and at most two ticks pass.  */
 #define MM_ADOPT_TIMEOUT_MS 60
 /* An instance that lost an upstream waits this long for the request of the
    next owner, which learns of the upstream with its next call to the store at
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -128,7 +128,7 @@
   /* The upstream refused a start, or a task there is stalled.  */
   void (*upstream_unhealthy) (void *ctx, mm_exec *x);
   /* A run that an earlier owner started was found.  Return: true when an
-     instance was asked to adopt the run (mm_exec_adopt); false stops the run
+     owner was requested to adopt the run (mm_exec_adopt); false stops the run
      at once.  */
   bool (*foreign_run_found) (void *ctx, mm_exec *x, const mm_task_id *task,
                              uint32_t run);
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -61,13 +61,14 @@
   const mm_list_share *l = ctx;
   mm_list_update update
       = { .round = l->round,
-          .from = MAX (known_upto, mm_list_log_first_offset (l->log)),
-          .to = mm_stream_next_offset (l->stream),
+          .from_offset = MAX (known_upto, mm_list_log_first_offset (l->log)),
+          .to_offset = mm_stream_next_offset (l->stream),
           .age_ms
           = mm_clock_now_ms () - mm_stream_known_as_of_ms (l->stream) };
-  update.changes = mm_list_log_since (l->log, update.from, &update.n_changes);
+  update.changes
+      = mm_list_log_since (l->log, update.from_offset, &update.n_changes);
   mm_list_update_pack (&update, out);
-  return update.to;
+  return update.to_offset;
 }
 
 static void
@@ -146,7 +147,8 @@
 static void
 resend_known (mm_list_share *l, const char *peer, const mm_list_update *update)
 {
-  if (l->contact_since_ms && update->from > mm_stream_next_offset (l->stream))
+  if (l->contact_since_ms
+      && update->from_offset > mm_stream_next_offset (l->stream))
     mm_mesh_notify_peer (l->mesh, peer, pack_update_for, l);
 }
 
@@ -156,10 +158,11 @@
   mm_time_ms now = mm_clock_now_ms ();
   mm_time_ms as_of_ms = now - update->age_ms;
   l->round = MAX (l->round, update->round);
-  mm_mesh_set_known_upto (l->mesh, peer, update->to);
+  mm_mesh_set_known_upto (l->mesh, peer, update->to_offset);
   if (now < l->own_reads_until_ms)
     return;
-  if (!mm_stream_advance (l->stream, update->from, update->to, as_of_ms))
+  if (!mm_stream_advance (l->stream, update->from_offset, update->to_offset,
+                          as_of_ms))
     {
       resend_known (l, peer, update);
       return;
@@ -172,7 +175,7 @@
       const mm_list_change *c = &update->changes[i];
       if (!apply (l, c->name, c->info, &origin))
         continue;
-      mm_list_log_append (l->log, update->to, c->name, c->info);
+      mm_list_log_append (l->log, update->to_offset, c->name, c->info);
       any_change = true;
     }
   if (any_change || as_of_ms - l->notified_as_of_ms >= MM_LIST_NOTIFY_MS)
--- a/src/mm_list_update.c
+++ b/src/mm_list_update.c
@@ -49,8 +49,8 @@
   msgpack_packer_init (&pk, out, msgpack_sbuffer_write);
   msgpack_pack_array (&pk, UPDATE_FIELDS);
   msgpack_pack_uint64 (&pk, update->round);
-  msgpack_pack_uint64 (&pk, update->from);
-  msgpack_pack_uint64 (&pk, update->to);
+  msgpack_pack_uint64 (&pk, update->from_offset);
+  msgpack_pack_uint64 (&pk, update->to_offset);
   msgpack_pack_int64 (&pk, update->age_ms);
   msgpack_pack_array (&pk, update->n_changes);
   for (size_t i = 0; i < update->n_changes; i++)
@@ -108,14 +108,14 @@
     return false;
   const msgpack_object *f = o->via.array.ptr;
   if (!mm_mp_read_u64 (&f[0], &out->round)
-      || !mm_mp_read_u64 (&f[1], &out->from)
-      || !mm_mp_read_u64 (&f[2], &out->to)
+      || !mm_mp_read_u64 (&f[1], &out->from_offset)
+      || !mm_mp_read_u64 (&f[2], &out->to_offset)
       || !mm_mp_read_i64 (&f[3], &out->age_ms) || out->age_ms < 0
       || !mm_mp_is_array (&f[4], 0))
     return false;
   for (uint32_t i = 0; i < f[4].via.array.size; i++)
     {
-      mm_list_change c = { .end_offset = out->to };
+      mm_list_change c = { .end_offset = out->to_offset };
       bool ok = read_change (&f[4].via.array.ptr[i], &c);
       g_array_append_val (out->decoded, c);
       if (!ok)
--- a/src/mm_list_update.h
+++ b/src/mm_list_update.h
@@ -1,8 +1,8 @@
 /* mm_list_update: message with changes of the upstream list, sent between
    instances.
 
-   A msgpack array: [round, from, to, age_ms, [change, ...]]; a change is
-   [name] for an upstream that is not listed any more, or
+   A msgpack array: [round, from_offset, to_offset, age_ms, [change, ...]]; a
+   change is [name] for an upstream that is not listed any more, or
    [name, addr, service, datacentre, [label, ...], cpu_milli, mem_mb, gpus,
     slots, draining].  */
 #ifndef MM_LIST_UPDATE_H
@@ -14,10 +14,10 @@
 
 typedef struct
 {
-  uint64_t round;    /* number of shared reads so far */
-  uint64_t from;     /* stream offset that the receiver must know already */
-  uint64_t to;       /* stream offset known after the update */
-  mm_time_ms age_ms; /* time since the read was sent to the store */
+  uint64_t round;       /* number of shared reads so far */
+  uint64_t from_offset; /* stream offset that the receiver must know already */
+  uint64_t to_offset;   /* stream offset known after the update */
+  mm_time_ms age_ms;    /* time since the read was sent to the store */
   const mm_list_change *changes;
   size_t n_changes;
   GArray *decoded; /* backs changes after mm_list_update_read(); else NULL */
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -90,7 +90,8 @@
  */
 void mm_mesh_set_known_upto (mm_mesh *m, const char *peer,
                              uint64_t known_upto);
-/* @queue_delay_ms: how much longer than usual the update took to arrive.  */
+/* @queue_delay_ms: how much longer the update took than the fastest recent
+ * one.  */
 typedef void (*mm_mesh_updated) (void *ctx, const char *peer, const void *data,
                                  size_t len, mm_time_ms queue_delay_ms);
 void mm_mesh_on_update (mm_mesh *m, mm_mesh_updated updated, void *ctx);
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -175,7 +175,7 @@
   mm_http_request *req;
   unsigned ok_status; /* HTTP status of the answer on success */
   char *name;         /* id of the job, or name of the queue */
-  bool is_count;      /* asks for the number of jobs of a queue */
+  bool is_count;      /* requests the number of jobs of a queue */
 } home_request;
 
 static home_request *
--- a/src/mm_native_store.c
+++ b/src/mm_native_store.c
@@ -105,12 +105,12 @@
   GArray *items = mm_store_items_new ();
   mm_stream_result r = { .ok = mm_store_http_ok (res) && cJSON_IsArray (list),
                          .history_dropped = !res->error && res->status == 410,
-                         .next = c->from };
+                         .next_offset = c->from_offset };
   if (r.ok)
     {
       read_items (list, c->kind, items);
-      r.next = (uint64_t)number_field (body, "next", 0);
-      r.end = (uint64_t)number_field (body, "end", 0);
+      r.next_offset = (uint64_t)number_field (body, "next", 0);
+      r.end_offset = (uint64_t)number_field (body, "end", 0);
       r.after = cJSON_GetStringValue (
           cJSON_GetObjectItemCaseSensitive (body, "after"));
     }
@@ -136,13 +136,14 @@
 native_tail (void *ctx, const mm_tail *t, mm_stream_answered done,
              void *done_ctx)
 {
-  mm_store_call call = {
-    .kind = t->kind, .from = t->from, .stream_answered = done, .ctx = done_ctx
-  };
+  mm_store_call call = { .kind = t->kind,
+                         .from_offset = t->from_offset,
+                         .stream_answered = done,
+                         .ctx = done_ctx };
   char *path = g_strdup_printf (
       "/v1/streams/%s?from=%" G_GUINT64_FORMAT "&wait_ms=%" G_GINT64_FORMAT
       "&max_bytes=%" G_GSIZE_FORMAT,
-      stream_names[t->kind], t->from, t->wait_ms, t->max_bytes);
+      stream_names[t->kind], t->from_offset, t->wait_ms, t->max_bytes);
   mm_store_http_send (ctx, "GET", path, NULL, t->timeout_ms, on_stream, &call);
 }
 
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -26,7 +26,7 @@
  * that this instance owns.
  * @catalog: the upstream list; must outlive the returned object.
  * @owner: keeps the sessions; must outlive the returned object.
- * @partitions: tells which partitions this instance owns; copied.
+ * @partitions: source of the partitions that this instance owns; copied.
  *
  * Return: free with mm_ownership_destroy().
  */
--- a/src/mm_ownership.h
+++ b/src/mm_ownership.h
@@ -14,7 +14,7 @@
 
 typedef struct mm_ownership mm_ownership;
 
-/* Tells which partitions this instance owns.  */
+/* Source of the partitions that this instance owns.  */
 typedef struct
 {
   /* Returns the state of the upstream's partition and sets @fence to its
--- a/src/mm_store.h
+++ b/src/mm_store.h
@@ -33,9 +33,9 @@
   bool history_dropped; /* tail: the requested records were dropped */
   mm_stream_item *items;
   size_t n_items;
-  uint64_t next;     /* offset from which to continue */
-  uint64_t end;      /* tail: offset past the newest record */
-  const char *after; /* newest: continue after this key, NULL at the end */
+  uint64_t next_offset; /* offset from which to continue */
+  uint64_t end_offset;  /* tail: offset past the newest record */
+  const char *after;    /* newest: continue after this key, NULL at the end */
 } mm_stream_result;
 
 /* Result of joining or leaving a group.  */
@@ -127,7 +127,7 @@
 typedef struct
 {
   mm_stream_kind kind;
-  uint64_t from;
+  uint64_t from_offset;
   size_t max_bytes;   /* maximum size of the answer */
   mm_time_ms wait_ms; /* wait this long for a record when there is none */
   mm_time_ms timeout_ms;
--- a/src/mm_store_http.h
+++ b/src/mm_store_http.h
@@ -13,7 +13,7 @@
 typedef struct
 {
   mm_stream_kind kind;
-  uint64_t from; /* requested offset */
+  uint64_t from_offset; /* requested offset */
   mm_stream_answered stream_answered;
   mm_join_answered join_answered;
   mm_members_answered members_answered;
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -131,9 +131,10 @@
 static void
 handle_changes (mm_stream *s, const mm_stream_result *res)
 {
-  bool no_progress = res->next == s->sent_from && res->end > res->next;
-  s->next = res->next;
-  uint64_t behind = res->end > s->next ? res->end - s->next : 0;
+  bool no_progress
+      = res->next_offset == s->sent_from && res->end_offset > res->next_offset;
+  s->next = res->next_offset;
+  uint64_t behind = res->end_offset > s->next ? res->end_offset - s->next : 0;
   if (!behind)
     reached_end (s, s->sent_ms, s->sent_after_pause);
   if (s->ev.changes)
@@ -155,7 +156,7 @@
 {
   if (!s->after)
     {
-      s->next = res->next;
+      s->next = res->next_offset;
       s->first_page_ms = s->sent_ms;
     }
   g_free (s->after);
@@ -189,7 +190,7 @@
     record_contact (s, res);
   /* Changes from another instance arrived after the call was sent, and
      reached a later offset.  */
-  bool outdated = res->ok && s->tailing && res->next < s->next;
+  bool outdated = res->ok && s->tailing && res->next_offset < s->next;
   for (size_t i = 0; res->ok && !outdated && i < res->n_items; i++)
     {
       if (!s->tailing)
@@ -241,7 +242,7 @@
       return;
     }
   mm_tail t = { .kind = s->kind,
-                .from = s->next,
+                .from_offset = s->next,
                 .max_bytes = s->chunk_bytes,
                 .wait_ms = s->wait_ms,
                 .timeout_ms = timeout_ms (s) };
--- a/tests/fake_upstreams.h
+++ b/tests/fake_upstreams.h
@@ -58,7 +58,7 @@
 void fakes_run (fakes *f, mm_owner *o, mm_time_ms ms);
 mm_time_ms fakes_now (const fakes *f);
 
-/* A request whose payload tells a fake the cpu and the run time of the
+/* A request whose payload gives a fake the cpu and the run time of the
    task.  The payload is valid until the next call.  */
 mm_task_request fakes_task (const char *job, uint32_t index, int64_t cpu_milli,
                             mm_time_ms run_ms);
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -375,7 +375,7 @@
 }
 
 static void
-slow_records (void *ctx, uint32_t part, const char *after,
+slow_records (void *ctx, uint32_t partition, const char *after,
               mm_time_ms timeout_ms, mm_records_answered done, void *done_ctx)
 {
   slow_store *s = ctx;
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -78,8 +78,9 @@
   fixture *fx = c->fx;
   uint64_t end = fx->records->len;
   uint64_t from = c->newest ? end - MIN (end, UPSTREAMS) : c->from;
-  mm_stream_result res
-      = { .ok = c->caller != fx->unanswered, .next = end, .end = end };
+  mm_stream_result res = { .ok = c->caller != fx->unanswered,
+                           .next_offset = end,
+                           .end_offset = end };
   res.why = "no answer";
   if (c->caller == fx->no_history && !c->newest)
     {
@@ -98,7 +99,7 @@
   res.n_items = items->len;
   fx->n_records_sent += items->len;
   if (!res.ok)
-    res.next = c->from;
+    res.next_offset = c->from;
   c->done (&res, c->ctx);
   g_array_free (items, TRUE);
   g_free (c);
@@ -141,8 +142,8 @@
             void *done_ctx)
 {
   caller *c = ctx;
-  call_store (c->number, c->fixture, false, t->from, t->timeout_ms, done,
-              done_ctx);
+  call_store (c->number, c->fixture, false, t->from_offset, t->timeout_ms,
+              done, done_ctx);
 }
 
 static void
@@ -360,7 +361,7 @@
 {
   uint64_t next
       = mm_stream_next_offset (mm_list_share_stream (fx->list_share[0]));
-  mm_list_update n = { .from = next, .to = next, .age_ms = 5 };
+  mm_list_update n = { .from_offset = next, .to_offset = next, .age_ms = 5 };
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_list_update_pack (&n, &b);
@@ -514,8 +515,8 @@
   mm_upstream_info u = listed_upstream ("a");
   mm_list_change changes[] = { { .name = "a", .info = &u }, { .name = "b" } };
   mm_list_update n = { .round = 3,
-                       .from = 10,
-                       .to = 30,
+                       .from_offset = 10,
+                       .to_offset = 30,
                        .age_ms = 7,
                        .changes = changes,
                        .n_changes = 2 };
@@ -524,7 +525,7 @@
   mm_list_update_pack (&n, &b);
   mm_list_update out;
   ck_assert (mm_list_update_read (b.data, b.size, &out));
-  ck_assert_uint_eq (out.to, 30);
+  ck_assert_uint_eq (out.to_offset, 30);
   ck_assert_uint_eq (out.n_changes, 2);
   ck_assert (out.changes[0].info->draining);
   ck_assert_str_eq (out.changes[0].info->labels[0], "r1-3");
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -563,7 +563,7 @@
     key_item (k, i);
   if (i < k->n_keys)
     k->result.after = k->keys[i - 1];
-  k->result.next = k->end;
+  k->result.next_offset = k->end;
 }
 
 static void
@@ -573,11 +573,11 @@
   k->tail_calls++;
   k->done = done;
   k->ctx = done_ctx;
-  k->result = (mm_stream_result){ .ok = t->from >= k->first,
+  k->result = (mm_stream_result){ .ok = t->from_offset >= k->first,
                                   .why = "status 410",
-                                  .history_dropped = t->from < k->first,
-                                  .next = k->end,
-                                  .end = k->end };
+                                  .history_dropped = t->from_offset < k->first,
+                                  .next_offset = k->end,
+                                  .end_offset = k->end };
 }
 
 typedef struct
@@ -749,7 +749,7 @@
                                   .why = "no answer",
                                   .items = k->items,
                                   .n_items = k->down ? 0 : 10,
-                                  .next = k->end };
+                                  .next_offset = k->end };
   for (size_t i = 0; i < G_N_ELEMENTS (keys); i++)
     k->items[i].key = keys[i];
 }
@@ -765,10 +765,11 @@
   k->called_ms = now_ms;
   k->done = done;
   k->ctx = done_ctx;
-  uint64_t n = MIN (k->end - t->from, t->max_bytes / RECORD_BYTES);
-  k->result = (mm_stream_result){
-    .ok = !k->down, .why = "no answer", .next = t->from + n, .end = k->end
-  };
+  uint64_t n = MIN (k->end - t->from_offset, t->max_bytes / RECORD_BYTES);
+  k->result = (mm_stream_result){ .ok = !k->down,
+                                  .why = "no answer",
+                                  .next_offset = t->from_offset + n,
+                                  .end_offset = k->end };
 }
 
 static void
@@ -843,7 +844,7 @@
     slow_link_step (s, &k);
   ck_assert_uint_eq (k.newest_calls, 2);
   ck_assert_uint_eq (r.full_reads, 2);
-  ck_assert (k.result.next == k.end);
+  ck_assert (k.result.next_offset == k.end);
   mm_stream_destroy (s);
   mm_clock_set_source (NULL, NULL);
 }
