--- a/src/mm_kept_peer.c
+++ b/src/mm_kept_peer.c
@@ -23,7 +23,7 @@
 typedef struct
 {
   mm_kept *kept;
-  mm_kept_answer sum;
+  mm_kept_answer total;
   uint32_t outstanding; /* homes that have not answered yet */
   mm_kept_answered answered;
   void *ctx;
@@ -32,7 +32,7 @@
 static void
 finish_count (pending_count *c)
 {
-  c->answered (c->ctx, &c->sum);
+  c->answered (c->ctx, &c->total);
   mm_kept_unref (c->kept);
   g_free (c);
 }
@@ -43,9 +43,9 @@
   pending_count *c = ctx;
   mm_kept_answer a = { 0 };
   if (ok && mm_kept_answer_read (data, len, &a) && a.status == MM_KEPT_OK)
-    c->sum.pending += a.pending;
+    c->total.pending += a.pending;
   else
-    c->sum.status = MM_KEPT_BUSY;
+    c->total.status = MM_KEPT_BUSY;
   if (--c->outstanding == 0)
     finish_count (c);
 }
@@ -76,7 +76,7 @@
   c->kept = k;
   c->answered = answered;
   c->ctx = ctx;
-  c->sum.pending = pending_here (k, queue);
+  c->total.pending = pending_here (k, queue);
   c->outstanding = 1;
   k->refs++;
   GList *homes = other_homes (k);
--- a/src/mm_keyed_log.c
+++ b/src/mm_keyed_log.c
@@ -7,8 +7,8 @@
 struct mm_keyed_log
 {
   GArray *history; /* mm_keyed_record */
-  uint64_t first;
-  uint64_t end;
+  uint64_t first_offset;
+  uint64_t end_offset;
   GTree *newest; /* key -> mm_keyed_record */
 };
 
@@ -56,7 +56,7 @@
 uint64_t
 mm_keyed_log_put (mm_keyed_log *l, const char *key, const char *value)
 {
-  uint64_t offset = l->end++;
+  uint64_t offset = l->end_offset++;
   mm_keyed_record r
       = { .key = g_strdup (key), .value = g_strdup (value), .offset = offset };
   g_array_append_val (l->history, r);
@@ -76,26 +76,26 @@
 uint64_t
 mm_keyed_log_end (const mm_keyed_log *l)
 {
-  return l->end;
+  return l->end_offset;
 }
 
 uint64_t
 mm_keyed_log_first (const mm_keyed_log *l)
 {
-  return l->first;
+  return l->first_offset;
 }
 
 void
 mm_keyed_log_drop_history (mm_keyed_log *l)
 {
   g_array_set_size (l->history, 0);
-  l->first = l->end;
+  l->first_offset = l->end_offset;
 }
 
 const mm_keyed_record *
 mm_keyed_log_from (const mm_keyed_log *l, uint64_t from, size_t *n)
 {
-  uint64_t index = MIN (from, l->end) - l->first;
+  uint64_t index = MIN (from, l->end_offset) - l->first_offset;
   *n = (size_t)(l->history->len - index);
   return &g_array_index (l->history, mm_keyed_record, index);
 }
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -29,8 +29,8 @@
   char *own_datacentre;
   datacentre *datacentres;
   size_t n_datacentres;
-  size_t next;       /* index of the data centre to poll next */
-  mm_time_ms due_ms; /* when the next poll is due */
+  size_t next;             /* index of the data centre to poll next */
+  mm_time_ms next_poll_ms; /* when the next poll is due */
   mm_members_changed changed;
   void *changed_ctx;
   uint32_t n_polls; /* polls so far, MM_MEMBERS_FIRST_POLLS at most */
@@ -216,16 +216,17 @@
 mm_members_tick (mm_members *m)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  if (now < m->due_ms)
+  if (now < m->next_poll_ms)
     return;
   /* The first polls follow one another quickly, as other instances may just
      be joining, for example after a power failure, and an answer may not have
      listed a previous incarnation of this instance yet.  */
   bool first = m->n_polls == 0;
   m->n_polls = MIN (m->n_polls + 1, MM_MEMBERS_FIRST_POLLS);
-  m->due_ms = now
-              + (m->n_polls < MM_MEMBERS_FIRST_POLLS ? MM_MEMBERS_FIRST_POLL_MS
-                                                     : MM_MEMBERS_POLL_MS);
+  m->next_poll_ms
+      = now
+        + (m->n_polls < MM_MEMBERS_FIRST_POLLS ? MM_MEMBERS_FIRST_POLL_MS
+                                               : MM_MEMBERS_POLL_MS);
   size_t n_far = first ? m->n_datacentres
                        : MIN (m->n_datacentres, MM_MEMBERS_FAR_PER_POLL);
   for (size_t i = 0; i < n_far; i++, m->next++)
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -19,7 +19,7 @@
 /* A task received over a link.  */
 typedef struct
 {
-  mm_mesh_inbound_link *from;
+  mm_mesh_inbound_link *inbound;
   uint64_t number;
   mm_work *work;
 } inbound_task;
@@ -34,7 +34,7 @@
 on_inbound_task_done (void *ctx, const mm_work_result *r)
 {
   inbound_task *t = ctx;
-  mm_mesh_inbound_link *in = t->from;
+  mm_mesh_inbound_link *in = t->inbound;
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_mesh_pack_ended (&b, t->number, r);
@@ -49,7 +49,7 @@
   if (g_hash_table_contains (in->tasks, &msg->number))
     return;
   inbound_task *t = g_new0 (inbound_task, 1);
-  t->from = in;
+  t->inbound = in;
   t->number = msg->number;
   in->seen_number = MAX (in->seen_number, msg->number);
   g_hash_table_insert (in->tasks, &t->number, t);
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -43,8 +43,8 @@
   mm_time_ms confirmed_ms; /* when the last join that succeeded was sent */
   bool quitting;           /* leaving the group */
   bool has_left;
-  mm_time_ms due_ms; /* when the next call is due */
-  uint64_t changes;  /* of any partition */
+  mm_time_ms next_call_ms; /* when the next call is due */
+  uint64_t changes;        /* of any partition */
   mm_time_ms created_ms;
   uint64_t sent_generation; /* generation that the call in flight confirms */
   bool release_pending;     /* the next join hands over partitions */
@@ -185,12 +185,12 @@
   if (set->releasing_since_ms
       && now - set->releasing_since_ms > MM_HANDOVER_MS)
     mm_partitions_release (set);
-  if (set->in_flight || set->has_left || now < set->due_ms)
+  if (set->in_flight || set->has_left || now < set->next_call_ms)
     return;
   set->in_flight = true;
   set->call_sent_ms = now;
   set->sent_generation = set->confirmed_generation;
-  set->due_ms = now + join_interval_ms (set, now);
+  set->next_call_ms = now + join_interval_ms (set, now);
   set->refs++;
   if (set->quitting)
     set->port.leave (set->port.ctx, set->group, set->member,
@@ -208,7 +208,7 @@
     return;
   set->quitting = true;
   set->changes++;
-  set->due_ms = 0;
+  set->next_call_ms = 0;
   memset (set->partitions, 0, set->n_partitions * sizeof *set->partitions);
 }
 
@@ -221,7 +221,7 @@
 void
 mm_partitions_poll_now (mm_partitions *set)
 {
-  set->due_ms = 0;
+  set->next_call_ms = 0;
 }
 
 bool
@@ -297,7 +297,7 @@
   set->changes++;
   set->confirmed_generation = set->listed_generation;
   set->release_pending = true;
-  set->due_ms = 0;
+  set->next_call_ms = 0;
 }
 
 bool
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -36,12 +36,12 @@
   /* When the last read that reached the end was sent, here or by another
      instance.  */
   mm_time_ms known_as_of_ms;
-  uint64_t next;      /* offset of the next record to read */
-  size_t chunk_bytes; /* maximum size of one answer with changes */
-  uint32_t failures;  /* consecutive failed calls */
-  GHashTable *keys;   /* found in this read of the newest records */
-  char *after;        /* last key of the newest records read so far, or NULL */
-  mm_time_ms due_ms;
+  uint64_t next_offset; /* offset of the next record to read */
+  size_t chunk_bytes;   /* maximum size of one answer with changes */
+  uint32_t failures;    /* consecutive failed calls */
+  GHashTable *keys;     /* found in this read of the newest records */
+  char *after; /* last key of the newest records read so far, or NULL */
+  mm_time_ms next_read_ms; /* when the next read is due */
 };
 
 static void
@@ -122,9 +122,9 @@
 static void
 schedule_next_read (mm_stream *s)
 {
-  s->due_ms = s->known_as_of_ms;
+  s->next_read_ms = s->known_as_of_ms;
   if (s->ev.poll_interval_ms)
-    s->due_ms += s->ev.poll_interval_ms (s->ev.ctx);
+    s->next_read_ms += s->ev.poll_interval_ms (s->ev.ctx);
 }
 
 /* Handles an answer with changes; there may be more changes to read.  */
@@ -133,8 +133,10 @@
 {
   bool no_progress
       = res->next_offset == s->sent_from && res->end_offset > res->next_offset;
-  s->next = res->next_offset;
-  uint64_t behind = res->end_offset > s->next ? res->end_offset - s->next : 0;
+  s->next_offset = res->next_offset;
+  uint64_t behind = res->end_offset > s->next_offset
+                        ? res->end_offset - s->next_offset
+                        : 0;
   if (!behind)
     reached_end (s, s->sent_ms, s->sent_after_pause);
   if (s->ev.changes)
@@ -156,7 +158,7 @@
 {
   if (!s->after)
     {
-      s->next = res->next_offset;
+      s->next_offset = res->next_offset;
       s->first_page_ms = s->sent_ms;
     }
   g_free (s->after);
@@ -181,7 +183,7 @@
       return;
     }
   mm_time_ms now = mm_clock_now_ms ();
-  s->due_ms = now + (res->ok ? 0 : MM_STORE_RETRY_MS);
+  s->next_read_ms = now + (res->ok ? 0 : MM_STORE_RETRY_MS);
   s->failures = res->ok || res->history_dropped ? 0 : s->failures + 1;
   bool dropped = s->tailing && res->history_dropped;
   if (dropped)
@@ -190,7 +192,7 @@
     record_contact (s, res);
   /* Changes from another instance arrived after the call was sent, and
      reached a later offset.  */
-  bool outdated = res->ok && s->tailing && res->next_offset < s->next;
+  bool outdated = res->ok && s->tailing && res->next_offset < s->next_offset;
   for (size_t i = 0; res->ok && !outdated && i < res->n_items; i++)
     {
       if (!s->tailing)
@@ -198,7 +200,7 @@
       s->ev.item (s->ev.ctx, &res->items[i]);
     }
   if (outdated)
-    s->due_ms = now;
+    s->next_read_ms = now;
   else if (res->ok && s->tailing)
     handle_changes (s, res);
   else if (res->ok)
@@ -226,13 +228,13 @@
 mm_stream_tick (mm_stream *s)
 {
   if (s->paused)
-    s->due_ms = 0;
+    s->next_read_ms = 0;
   s->paused = false;
-  if (s->in_flight || mm_clock_now_ms () < s->due_ms)
+  if (s->in_flight || mm_clock_now_ms () < s->next_read_ms)
     return;
   s->in_flight = true;
   s->sent_ms = mm_clock_now_ms ();
-  s->sent_from = s->next;
+  s->sent_from = s->next_offset;
   s->sent_after_pause = true;
   s->refs++;
   if (!s->tailing)
@@ -242,7 +244,7 @@
       return;
     }
   mm_tail t = { .kind = s->kind,
-                .from_offset = s->next,
+                .from_offset = s->next_offset,
                 .max_bytes = s->chunk_bytes,
                 .wait_ms = s->wait_ms,
                 .timeout_ms = timeout_ms (s) };
@@ -260,7 +262,7 @@
 void
 mm_stream_poll_now (mm_stream *s)
 {
-  s->due_ms = 0;
+  s->next_read_ms = 0;
 }
 
 bool
@@ -293,16 +295,16 @@
 uint64_t
 mm_stream_next_offset (const mm_stream *s)
 {
-  return s->next;
+  return s->next_offset;
 }
 
 bool
 mm_stream_advance (mm_stream *s, uint64_t from, uint64_t to,
                    mm_time_ms as_of_ms)
 {
-  if (!s->tailing || s->next < from || s->next > to)
+  if (!s->tailing || s->next_offset < from || s->next_offset > to)
     return false;
-  s->next = to;
+  s->next_offset = to;
   reached_end (s, as_of_ms, as_of_ms > s->paused_ms);
   schedule_next_read (s);
   return true;
--- a/src/mm_stream_server.c
+++ b/src/mm_stream_server.c
@@ -24,7 +24,7 @@
 {
   mm_http_request *req;
   char *stream;
-  uint64_t from;
+  uint64_t from_offset;
   mm_time_ms answer_by_ms;
 } waiting_read;
 
@@ -163,7 +163,7 @@
   waiting_read *r = g_new0 (waiting_read, 1);
   r->req = req;
   r->stream = g_strdup (name);
-  r->from = from;
+  r->from_offset = from;
   r->answer_by_ms = mm_clock_now_ms () + (mm_time_ms)MIN (wait_ms, 30000);
   s->reads = g_list_prepend (s->reads, r);
 }
@@ -465,10 +465,10 @@
       next = l->next;
       waiting_read *r = l->data;
       stream *t = get_stream (s, r->stream);
-      if (mm_keyed_log_end (t->log) == r->from && now < r->answer_by_ms)
+      if (mm_keyed_log_end (t->log) == r->from_offset && now < r->answer_by_ms)
         continue;
       s->reads = g_list_delete_link (s->reads, l);
-      answer_records (s, r->req, t, r->from);
+      answer_records (s, r->req, t, r->from_offset);
       g_free (r->stream);
       g_free (r);
     }
--- a/tests/fake_upstreams.c
+++ b/tests/fake_upstreams.c
@@ -12,7 +12,7 @@
 
 struct fake
 {
-  fakes *all;
+  fakes *fakes;
   mm_upstream_info info;
   fake_mode mode;
   bool gone; /* replaced by another incarnation */
@@ -29,13 +29,13 @@
 /* A call from its sending to the delivery of its answer.  */
 typedef struct
 {
-  fake *to;
+  fake *upstream;
   call_kind kind;
   mm_task_id task;
   uint32_t number;
   char *payload;
   uint64_t fence;
-  uint64_t acked;
+  uint64_t acked_seq;
   mm_time_ms deadline_ms;
   mm_time_ms wait_until_ms; /* latest time for the answer to a hold */
   mm_time_ms arrives_ms;    /* time of execution, -1: done or never */
@@ -111,7 +111,7 @@
 fakes_add (fakes *f, const char *name, int64_t cpu_milli)
 {
   fake *x = g_new0 (fake, 1);
-  x->all = f;
+  x->fakes = f;
   x->info.name = g_strdup (name);
   x->info.addr = g_strdup ("127.0.0.1:1");
   x->info.service = g_strdup ("svc");
@@ -135,13 +135,14 @@
   x->gone = true;
   mm_run_table_clear (x->table);
   /* Open connections break.  */
-  for (GList *l = x->all->calls; l; l = l->next)
+  for (GList *l = x->fakes->calls; l; l = l->next)
     {
       fake_call *c = l->data;
-      if (c->to != x || c->answered || c->arrives_ms >= 0 || c->answer_ms >= 0)
+      if (c->upstream != x || c->answered || c->arrives_ms >= 0
+          || c->answer_ms >= 0)
         continue;
       c->result.verdict = MM_CALL_NO_ANSWER;
-      c->answer_ms = x->all->now_ms + LINK_MS;
+      c->answer_ms = x->fakes->now_ms + LINK_MS;
     }
 }
 
@@ -230,10 +231,10 @@
 static void
 count_double_runs (fake *x, const mm_task_id *task)
 {
-  for (GList *l = x->all->upstreams; l; l = l->next)
+  for (GList *l = x->fakes->upstreams; l; l = l->next)
     if (l->data != x
         && mm_run_table_is_running (((fake *)l->data)->table, task))
-      x->all->counts.double_runs++;
+      x->fakes->counts.double_runs++;
 }
 
 static mm_call_verdict
@@ -244,7 +245,7 @@
   mm_resources required = { .cpu_milli = cpu };
   bool ran = mm_run_table_is_running (x->table, o->task);
   mm_call_verdict v
-      = mm_run_table_start (x->table, o, &required, run_ms, x->all->now_ms);
+      = mm_run_table_start (x->table, o, &required, run_ms, x->fakes->now_ms);
   if (!ran && v == MM_CALL_OK)
     count_double_runs (x, o->task);
   return v;
@@ -254,18 +255,18 @@
 static void
 execute_call (fake_call *c)
 {
-  fake *x = c->to;
+  fake *x = c->upstream;
   c->arrives_ms = -1;
-  c->result.clock_ms = x->all->now_ms;
+  c->result.clock_ms = x->fakes->now_ms;
   if (x->gone)
     c->result.verdict = MM_CALL_GONE;
   else if (c->kind == CALL_HOLD)
     {
       mm_hold h = { .fence = c->fence,
-                    .acked_seq = c->acked,
+                    .acked_seq = c->acked_seq,
                     .deadline_ms = c->deadline_ms };
-      x->all->counts.holds++;
-      c->result.verdict = mm_run_table_hold (x->table, &h, x->all->now_ms);
+      x->fakes->counts.holds++;
+      c->result.verdict = mm_run_table_hold (x->table, &h, x->fakes->now_ms);
     }
   else
     {
@@ -277,11 +278,11 @@
       c->result.verdict
           = c->kind == CALL_START
                 ? do_start (x, &o)
-                : mm_run_table_stop (x->table, &o, x->all->now_ms);
+                : mm_run_table_stop (x->table, &o, x->fakes->now_ms);
     }
   if (c->kind != CALL_HOLD || c->result.verdict != MM_CALL_OK)
     c->answer_ms
-        = x->all->now_ms + LINK_MS
+        = x->fakes->now_ms + LINK_MS
           + (c->kind == CALL_START ? x->mode.start_answer_delay_ms : 0);
 }
 
@@ -310,13 +311,13 @@
       mm_time_ms timeout_ms, void *ctx)
 {
   fake_call *c = g_new0 (fake_call, 1);
-  c->to = find_fake (f, u);
+  c->upstream = find_fake (f, u);
   c->kind = kind;
-  c->arrives_ms = f->now_ms + LINK_MS + c->to->mode.delivery_delay_ms;
+  c->arrives_ms = f->now_ms + LINK_MS + c->upstream->mode.delivery_delay_ms;
   c->answer_ms = -1;
   c->timeout_ms = f->now_ms + timeout_ms;
   c->ctx = ctx;
-  fake_mode *m = &c->to->mode;
+  fake_mode *m = &c->upstream->mode;
   if (kind == CALL_START && consume_loss (&m->lose_starts))
     {
       c->lost = true;
@@ -373,7 +374,7 @@
   fakes *f = ctx;
   fake_call *c = send (f, u, CALL_HOLD, h->timeout_ms, done_ctx);
   c->fence = h->fence;
-  c->acked = h->acked_seq;
+  c->acked_seq = h->acked_seq;
   c->deadline_ms = h->deadline_ms;
   c->wait_until_ms = c->arrives_ms + h->wait_ms;
   c->hold_done = done;
@@ -396,7 +397,7 @@
                  .run = 1,
                  .payload = t.payload,
                  .fence = fence,
-                 .deadline_ms = x->all->now_ms + MAX_LEASE_MS };
+                 .deadline_ms = x->fakes->now_ms + MAX_LEASE_MS };
   do_start (x, &o);
 }
 
@@ -404,8 +405,8 @@
 deliver_hold_answer (fake_call *c)
 {
   mm_hold_result r = { .call = c->result };
-  mm_run_table_list (c->to->table, &r, c->to->all->now_ms);
-  size_t max_ends = c->to->mode.max_ends_per_answer;
+  mm_run_table_list (c->upstream->table, &r, c->upstream->fakes->now_ms);
+  size_t max_ends = c->upstream->mode.max_ends_per_answer;
   if (max_ends && r.n_ended >= max_ends)
     {
       r.n_ended = max_ends;
@@ -456,7 +457,7 @@
                        .hangs = x->mode.hangs,
                        .refuses = x->mode.unhealthy };
   mm_run_table_set_mode (x->table, mode);
-  mm_run_table_step (x->table, x->all->now_ms);
+  mm_run_table_step (x->table, x->fakes->now_ms);
 }
 
 /* Answers a hold when an end is listed or the wait has passed.  */
@@ -466,15 +467,15 @@
   if (c->kind != CALL_HOLD || c->arrives_ms >= 0 || c->answer_ms >= 0
       || c->lost || c->result.verdict != MM_CALL_OK || c->result.clock_ms == 0)
     return;
-  if (mm_run_table_unacked_ends (c->to->table)
-      || c->to->all->now_ms >= c->wait_until_ms)
-    c->answer_ms = c->to->all->now_ms + LINK_MS;
+  if (mm_run_table_unacked_ends (c->upstream->table)
+      || c->upstream->fakes->now_ms >= c->wait_until_ms)
+    c->answer_ms = c->upstream->fakes->now_ms + LINK_MS;
 }
 
 static void
 step_call (fake_call *c)
 {
-  mm_time_ms now = c->to->all->now_ms;
+  mm_time_ms now = c->upstream->fakes->now_ms;
   if (c->arrives_ms >= 0 && now >= c->arrives_ms)
     execute_call (c);
   step_hold (c);
--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -36,7 +36,7 @@
 typedef struct
 {
   message_kind kind;
-  mm_time_ms due_ms;
+  mm_time_ms delivery_ms;
   uint64_t number;
   mm_task_request request; /* MSG_RUN: its strings are copies */
   char upstream[16];       /* MSG_FOUND, MSG_ENDED */
@@ -140,10 +140,10 @@
 {
   fixture *fx = l->from->fx;
   const message *last = g_queue_peek_tail (way);
-  m->due_ms
+  m->delivery_ms
       = fakes_now (fx->fake_upstreams) + 1 + random_below (fx, LINK_MAX_MS);
   if (last)
-    m->due_ms = MAX (m->due_ms, last->due_ms);
+    m->delivery_ms = MAX (m->delivery_ms, last->delivery_ms);
   if (l->broken)
     message_free (m);
   else
@@ -308,7 +308,7 @@
 {
   message *m;
   while ((m = g_queue_peek_head (way))
-         && fakes_now (l->from->fx->fake_upstreams) >= m->due_ms)
+         && fakes_now (l->from->fx->fake_upstreams) >= m->delivery_ms)
     {
       g_queue_pop_head (way);
       receive (l, m);
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -48,7 +48,7 @@
   fixture *fx;
   bool newest;
   int caller;
-  uint64_t from;
+  uint64_t from_offset;
   mm_stream_answered done;
   void *ctx;
 } call;
@@ -77,7 +77,7 @@
   call *c = (call *)t;
   fixture *fx = c->fx;
   uint64_t end = fx->records->len;
-  uint64_t from = c->newest ? end - MIN (end, UPSTREAMS) : c->from;
+  uint64_t from = c->newest ? end - MIN (end, UPSTREAMS) : c->from_offset;
   mm_stream_result res = { .ok = c->caller != fx->unanswered,
                            .next_offset = end,
                            .end_offset = end };
@@ -99,7 +99,7 @@
   res.n_items = items->len;
   fx->n_records_sent += items->len;
   if (!res.ok)
-    res.next_offset = c->from;
+    res.next_offset = c->from_offset;
   c->done (&res, c->ctx);
   g_array_free (items, TRUE);
   g_free (c);
@@ -112,7 +112,7 @@
   call *c = g_new0 (call, 1);
   c->fx = fx;
   c->newest = newest;
-  c->from = from;
+  c->from_offset = from;
   c->caller = caller;
   c->done = done;
   c->ctx = ctx;
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -716,7 +716,7 @@
    of low bandwidth.  */
 typedef struct
 {
-  uint64_t end;
+  uint64_t end_offset;
   uint64_t answered; /* records that an answer holds */
   bool down;
   uint32_t newest_calls;
@@ -749,7 +749,7 @@
                                   .why = "no answer",
                                   .items = k->items,
                                   .n_items = k->down ? 0 : 10,
-                                  .next_offset = k->end };
+                                  .next_offset = k->end_offset };
   for (size_t i = 0; i < G_N_ELEMENTS (keys); i++)
     k->items[i].key = keys[i];
 }
@@ -765,11 +765,12 @@
   k->called_ms = now_ms;
   k->done = done;
   k->ctx = done_ctx;
-  uint64_t n = MIN (k->end - t->from_offset, t->max_bytes / RECORD_BYTES);
+  uint64_t n
+      = MIN (k->end_offset - t->from_offset, t->max_bytes / RECORD_BYTES);
   k->result = (mm_stream_result){ .ok = !k->down,
                                   .why = "no answer",
                                   .next_offset = t->from_offset + n,
-                                  .end_offset = k->end };
+                                  .end_offset = k->end_offset };
 }
 
 static void
@@ -810,13 +811,13 @@
    be read at once, and the list is not fresh before the last one.  */
 START_TEST (changes_beyond_one_answer_are_read_without_a_pause)
 {
-  slow_link_store k = { .end = 5 };
+  slow_link_store k = { .end_offset = 5 };
   reader r = { 0 };
   mm_stream *s = slow_link_stream (&k, &r, 900);
   ck_assert_uint_le (k.max_bytes * 8 / 2000, 2 * MM_STREAM_CHUNK_MS);
   mm_stream_pause (s);
   uint32_t calls = k.tail_calls;
-  k.end += k.max_bytes / RECORD_BYTES + 10;
+  k.end_offset += k.max_bytes / RECORD_BYTES + 10;
   slow_link_step (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls + 1);
   ck_assert (!mm_stream_is_current (s));
@@ -836,15 +837,15 @@
    far fewer bytes.  */
 START_TEST (newest_records_are_read_when_that_is_less)
 {
-  slow_link_store k = { .end = 5 };
+  slow_link_store k = { .end_offset = 5 };
   reader r = { 0 };
   mm_stream *s = slow_link_stream (&k, &r, 0);
-  k.end += 5000;
+  k.end_offset += 5000;
   for (int i = 0; i < 4; i++)
     slow_link_step (s, &k);
   ck_assert_uint_eq (k.newest_calls, 2);
   ck_assert_uint_eq (r.full_reads, 2);
-  ck_assert (k.result.next_offset == k.end);
+  ck_assert (k.result.next_offset == k.end_offset);
   mm_stream_destroy (s);
   mm_clock_set_source (NULL, NULL);
 }
@@ -855,7 +856,7 @@
    arrive.  */
 START_TEST (read_that_fails_is_waited_for_longer_each_time)
 {
-  slow_link_store k = { .end = 5 };
+  slow_link_store k = { .end_offset = 5 };
   reader r = { 0 };
   mm_stream *s = slow_link_stream (&k, &r, 0);
   k.down = true;
