--- a/src/mm_breaker.h
+++ b/src/mm_breaker.h
@@ -8,12 +8,13 @@
  */
 typedef struct
 {
-  uint32_t failures_in_row;     /* consecutive failures */
-  uint32_t doublings;           /* of the time for which it opens next */
-  mm_time_ms excluded_until_ms; /* open until this time, 0: closed */
-  bool on_trial;                /* half-open: one task at a time */
+  uint32_t consecutive_failures; /* consecutive failures */
+  uint32_t doublings;            /* of the time for which it opens next */
+  mm_time_ms excluded_until_ms;  /* open until this time, 0: closed */
+  bool on_trial;                 /* half-open: one task at a time */
 } mm_breaker;
 
+/* Records whether a run at the upstream succeeded (@ok).  */
 void mm_breaker_record (mm_breaker *t, bool ok, mm_time_ms now_ms);
 /* Returns whether another task may start while @running tasks run there.  */
 bool mm_breaker_allows (mm_breaker *t, size_t running, mm_time_ms now_ms);
--- a/src/mm_datacentres.h
+++ b/src/mm_datacentres.h
@@ -17,12 +17,14 @@
 {
   /* Returns whether nothing runs any more on the upstreams of a data centre
      whose partitions are being released.  */
-  bool (*quiet) (void *ctx, const char *datacentre);
+  bool (*idle) (void *ctx, const char *datacentre);
   /* The store has reassigned partitions of a joined group.  */
   void (*changed) (void *ctx);
   void *ctx;
 } mm_datacentres_events;
 
+/* @datacentres: all data centres, NULL-terminated; @own: that of this
+   instance; @member: its member name; @n_partitions: of each group.  */
 mm_datacentres *mm_datacentres_create (const mm_store_port *port,
                                        mm_mesh *mesh, char *const *datacentres,
                                        const char *own, const char *member,
--- a/src/mm_job_record.h
+++ b/src/mm_job_record.h
@@ -36,13 +36,13 @@
   uint32_t priority;
   uint32_t attempts;          /* failed runs of one task that fail the job */
   mm_time_ms objective_ms;    /* intended duration of the whole job */
-  mm_submission *s;           /* NULL once the job has ended */
+  mm_submission *submission;  /* NULL once the job has ended */
   mm_task_progress *progress; /* of each task, NULL once the job has ended */
 } mm_job_record;
 
-mm_job_record *mm_job_record_new (mm_submission *s,
-                                  const mm_route *route); /* takes @s */
-void mm_job_record_free (mm_job_record *r);
+mm_job_record *mm_job_record_create (mm_submission *s,
+                                     const mm_route *route); /* takes @s */
+void mm_job_record_destroy (mm_job_record *r);
 /* The job has ended as @p: drops its submission and progress, as only the
    outcome is kept.  */
 void mm_job_record_set_outcome (mm_job_record *r, mm_job_phase p);
--- a/src/mm_kept_peer.c
+++ b/src/mm_kept_peer.c
@@ -13,7 +13,7 @@
 pending_here (const mm_kept *k, const char *queue)
 {
   uint32_t n = 0;
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     if (k->home[i])
       n += mm_home_pending (k->home[i], queue);
   return n;
@@ -23,7 +23,7 @@
 typedef struct
 {
   mm_kept *kept;
-  mm_kept_answer sum;
+  mm_kept_answer total;
   uint32_t outstanding; /* homes that have not answered yet */
   mm_kept_answered answered;
   void *ctx;
@@ -32,7 +32,7 @@
 static void
 finish_count (pending_count *c)
 {
-  c->answered (c->ctx, &c->sum);
+  c->answered (c->ctx, &c->total);
   mm_kept_unref (c->kept);
   g_free (c);
 }
@@ -43,9 +43,9 @@
   pending_count *c = ctx;
   mm_kept_answer a = { 0 };
   if (ok && mm_kept_answer_read (data, len, &a) && a.status == MM_KEPT_OK)
-    c->sum.pending += a.pending;
+    c->total.pending += a.pending;
   else
-    c->sum.status = MM_KEPT_BUSY;
+    c->total.status = MM_KEPT_BUSY;
   if (--c->outstanding == 0)
     finish_count (c);
 }
@@ -56,7 +56,7 @@
 other_homes (const mm_kept *k)
 {
   GList *names = NULL;
-  for (uint32_t i = 0; i < k->deps.parts; i++)
+  for (uint32_t i = 0; i < k->deps.n_partitions; i++)
     {
       const char *home
           = k->home[i] ? NULL : mm_home_directory_lookup (k->directory, i);
@@ -76,7 +76,7 @@
   c->kept = k;
   c->answered = answered;
   c->ctx = ctx;
-  c->sum.pending = pending_here (k, queue);
+  c->total.pending = pending_here (k, queue);
   c->outstanding = 1;
   k->refs++;
   GList *homes = other_homes (k);
@@ -111,7 +111,9 @@
   GError *error = NULL;
   mm_kept_answer rejection = { .status = MM_KEPT_MOVING };
   mm_job_record *rec = mm_job_record_unpack (data, len, &error);
-  mm_home *h = rec && rec->s ? mm_kept_home_of (k, rec->s->id) : NULL;
+  mm_home *h = rec && rec->submission
+                   ? mm_kept_home_of (k, rec->submission->id)
+                   : NULL;
   if (h)
     {
       mm_home_submit (h, rec, answer_peer, reply);
@@ -124,7 +126,7 @@
       rejection.status = MM_KEPT_BUSY;
     }
   g_clear_error (&error);
-  mm_job_record_free (rec);
+  mm_job_record_destroy (rec);
   answer_peer (reply, &rejection);
 }
 
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_run.c
@@ -76,12 +76,12 @@
   r->fleet = fleet;
   r->rec = rec;
   r->ev = *ev;
-  r->steps = mm_steps_create (rec->s);
-  r->n_tasks = mm_submission_tasks (rec->s);
+  r->steps = mm_steps_create (rec->submission);
+  r->n_tasks = mm_submission_tasks (rec->submission);
   r->tasks = g_new0 (task, (size_t)r->n_tasks + 1);
   r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_ack));
   r->latest_start_ms = mm_clock_now_ms () + rec->objective_ms
-                       - mm_submission_chain_ms (rec->s);
+                       - mm_submission_chain_ms (rec->submission);
   r->started = taken_over && rec->phase == MM_JOB_RUNNING;
   for (uint32_t i = 0; i < r->n_tasks; i++)
     {
@@ -133,7 +133,7 @@
 add_ack (mm_kept_run *r, const mm_task_id *id, uint32_t run_hash,
          const char *owner)
 {
-  mm_end_ack ack = { .task = *id, .mark = run_hash };
+  mm_end_ack ack = { .task = *id, .run_hash = run_hash };
   g_strlcpy (ack.owner, owner ? owner : "", sizeof ack.owner);
   g_array_append_val (r->acks, ack);
 }
@@ -159,7 +159,7 @@
 static bool
 runs_once (const task *t)
 {
-  return t->run->rec->s->steps[t->id.step].once;
+  return t->run->rec->submission->steps[t->id.step].once;
 }
 
 /* A run has failed; @next_state: the task's state if the job goes on.  */
@@ -273,17 +273,18 @@
 dispatch (task *t, mm_suspect_action action, mm_time_ms now)
 {
   mm_kept_run *r = t->run;
-  const mm_step *step = &r->rec->s->steps[t->id.step];
+  const mm_step *step = &r->rec->submission->steps[t->id.step];
   mm_task_request req
       = { .id = t->id,
           .service = r->rec->service,
-          .payload = step->payload ? step->payload : r->rec->s->payload,
+          .payload
+          = step->payload ? step->payload : r->rec->submission->payload,
           .label = step->label,
           .data_label = step->data_label,
-          .avoid = t->avoid_upstream,
-          .need = step->need,
+          .avoid_upstream = t->avoid_upstream,
+          .resources = step->resources,
           .kept = true,
-          .apart = action == MM_SUSPECT_ISOLATE,
+          .isolated = action == MM_SUSPECT_ISOLATE,
           .attempt = r->rec->progress[t - r->tasks].n_failures,
           .priority = r->rec->priority,
           .estimate_ms = step->estimate_ms,
@@ -296,7 +297,7 @@
     return; /* no owner is reachable: retried at the next tick */
   t->state = TASK_DISPATCHED;
   r->n_dispatched++;
-  t->isolated = req.apart;
+  t->isolated = req.isolated;
   r->n_isolated += t->isolated;
 }
 
@@ -379,14 +380,14 @@
     return;
   task *t = &r->tasks[number];
   r->started = true;
-  add_ack (r, &t->id, e->mark, owner);
+  add_ack (r, &t->id, e->run_hash, owner);
   if (e->how == MM_END_DONE)
     {
       r->n_in_doubt--;
       on_task_succeeded (t);
     }
   else if (e->how == MM_END_FAILED)
-    on_task_failed (t, e->mark, TASK_IN_DOUBT);
+    on_task_failed (t, e->run_hash, TASK_IN_DOUBT);
   else
     r->ev.progress (r->ev.ctx);
 }
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -26,11 +26,11 @@
   mm_mesh *mesh;
   mm_predecessors *predecessors; /* not owned */
   char *self;
-  char *own; /* own data centre */
-  datacentre *dcs;
-  size_t n;
-  size_t next;       /* index of the data centre to poll next */
-  mm_time_ms due_ms; /* when the next poll is due */
+  char *own_datacentre;
+  datacentre *datacentres;
+  size_t n_datacentres;
+  size_t next;             /* index of the data centre to poll next */
+  mm_time_ms next_poll_ms; /* when the next poll is due */
   mm_members_changed changed;
   void *changed_ctx;
   uint32_t n_polls; /* polls so far, MM_MEMBERS_FIRST_POLLS at most */
@@ -54,21 +54,21 @@
 {
   if (--m->refs > 0)
     return;
-  for (size_t i = 0; i < m->n; i++)
+  for (size_t i = 0; i < m->n_datacentres; i++)
     {
-      g_free (m->dcs[i].name);
-      g_free (m->dcs[i].group);
-      g_strfreev (m->dcs[i].member_names);
+      g_free (m->datacentres[i].name);
+      g_free (m->datacentres[i].group);
+      g_strfreev (m->datacentres[i].member_names);
     }
-  g_free (m->dcs);
+  g_free (m->datacentres);
   g_free (m->self);
-  g_free (m->own);
+  g_free (m->own_datacentre);
   g_free (m);
 }
 
 /* A member name is INSTANCE@ADDRESS/DATACENTRE.  */
 bool
-mm_members_parse_name (const char *name, mm_peer_info *out)
+mm_members_parse_name (const char *name, mm_mesh_peer_info *out)
 {
   const char *at = strchr (name, NAME_SEPARATOR);
   const char *slash = at ? strchr (at, DATACENTRE_SEPARATOR) : NULL;
@@ -92,7 +92,7 @@
 on_hello (void *ctx, const char *name)
 {
   mm_members *m = ctx;
-  mm_peer_info p;
+  mm_mesh_peer_info p;
   if (strcmp (name, m->self) == 0 || !mm_members_parse_name (name, &p))
     return;
   mm_mesh_add_peer (m->mesh, &p);
@@ -102,7 +102,7 @@
       m->changed (m->changed_ctx, group);
       g_free (group);
     }
-  mm_peer_info_clear (&p);
+  mm_mesh_peer_info_clear (&p);
 }
 
 mm_members *
@@ -116,15 +116,15 @@
   m->mesh = mesh;
   m->predecessors = predecessors;
   m->self = g_strdup (self);
-  m->own = g_strdup (own);
+  m->own_datacentre = g_strdup (own);
   mm_mesh_on_hello (mesh, on_hello, m);
-  m->n = g_strv_length ((char **)datacentres);
-  m->dcs = g_new0 (datacentre, m->n + 1);
-  for (size_t i = 0; i < m->n; i++)
+  m->n_datacentres = g_strv_length ((char **)datacentres);
+  m->datacentres = g_new0 (datacentre, m->n_datacentres + 1);
+  for (size_t i = 0; i < m->n_datacentres; i++)
     {
-      m->dcs[i].members = m;
-      m->dcs[i].name = g_strdup (datacentres[i]);
-      m->dcs[i].group = mm_members_group (datacentres[i]);
+      m->datacentres[i].members = m;
+      m->datacentres[i].name = g_strdup (datacentres[i]);
+      m->datacentres[i].group = mm_members_group (datacentres[i]);
     }
   return m;
 }
@@ -142,19 +142,21 @@
 static void
 publish (mm_members *m)
 {
-  GArray *peers = g_array_new (FALSE, FALSE, sizeof (mm_peer_info));
-  g_array_set_clear_func (peers, mm_peer_info_clear);
-  for (size_t i = 0; i < m->n; i++)
-    for (char **member = m->dcs[i].member_names; member && *member; member++)
+  GArray *peers = g_array_new (FALSE, FALSE, sizeof (mm_mesh_peer_info));
+  g_array_set_clear_func (peers, mm_mesh_peer_info_clear);
+  for (size_t i = 0; i < m->n_datacentres; i++)
+    for (char **member = m->datacentres[i].member_names; member && *member;
+         member++)
       {
-        mm_peer_info p;
+        mm_mesh_peer_info p;
         if (strcmp (*member, m->self) == 0
             || !mm_members_parse_name (*member, &p))
           continue;
-        p.is_standby = strcmp (p.datacentre, m->dcs[i].name) != 0;
+        p.is_standby = strcmp (p.datacentre, m->datacentres[i].name) != 0;
         g_array_append_val (peers, p);
       }
-  mm_mesh_set_peers (m->mesh, (mm_peer_info *)(void *)peers->data, peers->len);
+  mm_mesh_set_peers (m->mesh, (mm_mesh_peer_info *)(void *)peers->data,
+                     peers->len);
   g_array_free (peers, TRUE);
 }
 
@@ -201,9 +203,9 @@
 bool
 mm_members_loaded (const mm_members *m)
 {
-  for (size_t i = 0; i < m->n; i++)
-    if (strcmp (m->dcs[i].name, m->own) == 0)
-      return m->dcs[i].member_names != NULL;
+  for (size_t i = 0; i < m->n_datacentres; i++)
+    if (strcmp (m->datacentres[i].name, m->own_datacentre) == 0)
+      return m->datacentres[i].member_names != NULL;
   return true;
 }
 
@@ -214,20 +216,22 @@
 mm_members_tick (mm_members *m)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  if (now < m->due_ms)
+  if (now < m->next_poll_ms)
     return;
   /* The first polls follow one another quickly, as other instances may just
      be joining, for example after a power failure, and an answer may not have
      listed a previous incarnation of this instance yet.  */
   bool first = m->n_polls == 0;
   m->n_polls = MIN (m->n_polls + 1, MM_MEMBERS_FIRST_POLLS);
-  m->due_ms = now
-              + (m->n_polls < MM_MEMBERS_FIRST_POLLS ? MM_MEMBERS_FIRST_POLL_MS
-                                                     : MM_MEMBERS_POLL_MS);
-  size_t n_far = first ? m->n : MIN (m->n, MM_MEMBERS_FAR_PER_POLL);
+  m->next_poll_ms
+      = now
+        + (m->n_polls < MM_MEMBERS_FIRST_POLLS ? MM_MEMBERS_FIRST_POLL_MS
+                                               : MM_MEMBERS_POLL_MS);
+  size_t n_far = first ? m->n_datacentres
+                       : MIN (m->n_datacentres, MM_MEMBERS_FAR_PER_POLL);
   for (size_t i = 0; i < n_far; i++, m->next++)
-    request_members (&m->dcs[m->next % m->n]);
-  for (size_t i = 0; i < m->n; i++)
-    if (strcmp (m->dcs[i].name, m->own) == 0)
-      request_members (&m->dcs[i]);
+    request_members (&m->datacentres[m->next % m->n_datacentres]);
+  for (size_t i = 0; i < m->n_datacentres; i++)
+    if (strcmp (m->datacentres[i].name, m->own_datacentre) == 0)
+      request_members (&m->datacentres[i]);
 }
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -124,7 +124,7 @@
     {
       mm_step *step = &s->steps[i];
       step->count = 1;
-      step->need.cpu_milli = MM_SLOT_CPU_MILLI;
+      step->resources.cpu_milli = MM_SLOT_CPU_MILLI;
       step->estimate_ms = job->tasks[i].run_ms;
       step->payload = upstream_payload (&job->tasks[i]);
       step->once = !job->tasks[i].idempotent;
@@ -175,7 +175,7 @@
   mm_http_request *req;
   unsigned ok_status; /* HTTP status of the answer on success */
   char *name;         /* id of the job, or name of the queue */
-  bool is_count;      /* asks for the number of jobs of a queue */
+  bool is_count;      /* requests the number of jobs of a queue */
 } home_request;
 
 static home_request *
@@ -274,8 +274,9 @@
   cJSON *o = cJSON_ParseWithLength (body, len);
   const char *queue_name
       = cJSON_GetStringValue (cJSON_GetObjectItemCaseSensitive (o, "queue"));
-  const mm_route *found = !queue_name && routes->n ? &routes->routes[0] : NULL;
-  for (size_t i = 0; queue_name && i < routes->n; i++)
+  const mm_route *found
+      = !queue_name && routes->n_routes ? &routes->routes[0] : NULL;
+  for (size_t i = 0; queue_name && i < routes->n_routes; i++)
     if (strcmp (routes->routes[i].name, queue_name) == 0)
       found = &routes->routes[i];
   cJSON_Delete (o);
--- a/src/mm_native_store.c
+++ b/src/mm_native_store.c
@@ -54,7 +54,7 @@
   const cJSON *q;
   cJSON_ArrayForEach (q, list)
     {
-      mm_route *m = &r->routes[r->n++];
+      mm_route *m = &r->routes[r->n_routes++];
       m->name = string_field (q, "name");
       m->host = string_field (q, "host");
       m->prefix = string_field (q, "prefix");
@@ -105,12 +105,12 @@
   GArray *items = mm_store_items_new ();
   mm_stream_result r = { .ok = mm_store_http_ok (res) && cJSON_IsArray (list),
                          .history_dropped = !res->error && res->status == 410,
-                         .next = c->from };
+                         .next_offset = c->from_offset };
   if (r.ok)
     {
       read_items (list, c->kind, items);
-      r.next = (uint64_t)number_field (body, "next", 0);
-      r.end = (uint64_t)number_field (body, "end", 0);
+      r.next_offset = (uint64_t)number_field (body, "next", 0);
+      r.end_offset = (uint64_t)number_field (body, "end", 0);
       r.after = cJSON_GetStringValue (
           cJSON_GetObjectItemCaseSensitive (body, "after"));
     }
@@ -136,13 +136,14 @@
 native_tail (void *ctx, const mm_tail *t, mm_stream_answered done,
              void *done_ctx)
 {
-  mm_store_call call = {
-    .kind = t->kind, .from = t->from, .stream_answered = done, .ctx = done_ctx
-  };
+  mm_store_call call = { .kind = t->kind,
+                         .from_offset = t->from_offset,
+                         .stream_answered = done,
+                         .ctx = done_ctx };
   char *path = g_strdup_printf (
       "/v1/streams/%s?from=%" G_GUINT64_FORMAT "&wait_ms=%" G_GINT64_FORMAT
       "&max_bytes=%" G_GSIZE_FORMAT,
-      stream_names[t->kind], t->from, t->wait_ms, t->max_bytes);
+      stream_names[t->kind], t->from_offset, t->wait_ms, t->max_bytes);
   mm_store_http_send (ctx, "GET", path, NULL, t->timeout_ms, on_stream, &call);
 }
 
@@ -204,7 +205,7 @@
       const char *member = cJSON_GetStringValue (cJSON_GetArrayItem (row, 1));
       if (!cJSON_IsNumber (partition) || !member)
         continue;
-      mm_partition_holder h = { .part = (uint32_t)partition->valuedouble,
+      mm_partition_holder h = { .partition = (uint32_t)partition->valuedouble,
                                 .member = g_strdup (member) };
       g_array_append_val (holders, h);
     }
@@ -274,9 +275,10 @@
         }
       cJSON_AddItemToArray (list, row);
     }
-  mm_store_http_send (ctx, "POST",
-                      g_strdup_printf ("/v1/streams/jobs-%u/append", a->part),
-                      request, a->timeout_ms, on_append, &call);
+  mm_store_http_send (
+      ctx, "POST",
+      g_strdup_printf ("/v1/streams/jobs-%u/append", a->partition), request,
+      a->timeout_ms, on_append, &call);
 }
 
 static void
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -33,7 +33,7 @@
   char *group;
   char *member;
   partition *partitions;
-  uint32_t n;
+  uint32_t n_partitions;
   uint64_t listed_generation;    /* generation in the last answer */
   uint64_t confirmed_generation; /* generation that the next join confirms */
   mm_time_ms releasing_since_ms; /* 0: no partition is being released */
@@ -43,8 +43,8 @@
   mm_time_ms confirmed_ms; /* when the last join that succeeded was sent */
   bool quitting;           /* leaving the group */
   bool has_left;
-  mm_time_ms due_ms; /* when the next call is due */
-  uint64_t changes;  /* of any partition */
+  mm_time_ms next_call_ms; /* when the next call is due */
+  uint64_t changes;        /* of any partition */
   mm_time_ms created_ms;
   uint64_t sent_generation; /* generation that the call in flight confirms */
   bool release_pending;     /* the next join hands over partitions */
@@ -71,7 +71,7 @@
   set->port = *port;
   set->group = g_strdup (group);
   set->member = g_strdup (member);
-  set->n = n_partitions;
+  set->n_partitions = n_partitions;
   set->partitions = g_new0 (partition, n_partitions);
   set->created_ms = mm_clock_now_ms ();
   return set;
@@ -89,8 +89,8 @@
 static bool
 is_assigned_in (const mm_join_result *res, uint32_t index)
 {
-  for (size_t i = 0; i < res->n_parts; i++)
-    if (res->parts[i] == index)
+  for (size_t i = 0; i < res->n_partitions; i++)
+    if (res->partitions[i] == index)
       return true;
   return false;
 }
@@ -100,7 +100,7 @@
 {
   uint32_t n_owned = 0, n_releasing = 0;
   set->changes++;
-  for (uint32_t i = 0; i < set->n; i++)
+  for (uint32_t i = 0; i < set->n_partitions; i++)
     {
       partition *p = &set->partitions[i];
       bool is_assigned = is_assigned_in (res, i);
@@ -125,8 +125,8 @@
 static void
 notify_released (const mm_partitions *set)
 {
-  if (set->ev.handed && !set->closed)
-    set->ev.handed (set->ev.ctx, set->group);
+  if (set->ev.released && !set->closed)
+    set->ev.released (set->ev.ctx, set->group);
 }
 
 static void
@@ -185,12 +185,12 @@
   if (set->releasing_since_ms
       && now - set->releasing_since_ms > MM_HANDOVER_MS)
     mm_partitions_release (set);
-  if (set->in_flight || set->has_left || now < set->due_ms)
+  if (set->in_flight || set->has_left || now < set->next_call_ms)
     return;
   set->in_flight = true;
   set->call_sent_ms = now;
   set->sent_generation = set->confirmed_generation;
-  set->due_ms = now + join_interval_ms (set, now);
+  set->next_call_ms = now + join_interval_ms (set, now);
   set->refs++;
   if (set->quitting)
     set->port.leave (set->port.ctx, set->group, set->member,
@@ -208,8 +208,8 @@
     return;
   set->quitting = true;
   set->changes++;
-  set->due_ms = 0;
-  memset (set->partitions, 0, set->n * sizeof *set->partitions);
+  set->next_call_ms = 0;
+  memset (set->partitions, 0, set->n_partitions * sizeof *set->partitions);
 }
 
 void
@@ -221,7 +221,7 @@
 void
 mm_partitions_poll_now (mm_partitions *set)
 {
-  set->due_ms = 0;
+  set->next_call_ms = 0;
 }
 
 bool
@@ -233,7 +233,8 @@
 static partition *
 partition_of (const mm_partitions *set, const char *upstream)
 {
-  return &set->partitions[XXH3_64bits (upstream, strlen (upstream)) % set->n];
+  return &set->partitions[XXH3_64bits (upstream, strlen (upstream))
+                          % set->n_partitions];
 }
 
 static mm_partition_state
@@ -289,14 +290,14 @@
 void
 mm_partitions_release (mm_partitions *set)
 {
-  for (uint32_t i = 0; i < set->n; i++)
+  for (uint32_t i = 0; i < set->n_partitions; i++)
     if (set->partitions[i].is_releasing)
       set->partitions[i] = (partition){ 0 };
   set->releasing_since_ms = 0;
   set->changes++;
   set->confirmed_generation = set->listed_generation;
   set->release_pending = true;
-  set->due_ms = 0;
+  set->next_call_ms = 0;
 }
 
 bool
@@ -308,7 +309,7 @@
 bool
 mm_partitions_owns_any (const mm_partitions *set)
 {
-  for (uint32_t i = 0; i < set->n; i++)
+  for (uint32_t i = 0; i < set->n_partitions; i++)
     if (set->partitions[i].fence)
       return true;
   return false;
--- a/src/mm_predecessors.c
+++ b/src/mm_predecessors.c
@@ -24,7 +24,7 @@
 
 typedef struct
 {
-  mm_predecessors *p;
+  mm_predecessors *predecessors;
   char *key;
 } leave_call;
 
@@ -48,11 +48,11 @@
   p->self = g_strdup (self);
   p->leaving_members
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  mm_peer_info own;
+  mm_mesh_peer_info own;
   if (mm_members_parse_name (self, &own))
     {
       p->addr = g_strdup (own.addr);
-      mm_peer_info_clear (&own);
+      mm_mesh_peer_info_clear (&own);
     }
   return p;
 }
@@ -70,8 +70,8 @@
 on_left (const mm_join_result *res, void *ctx)
 {
   leave_call *call = ctx;
-  g_hash_table_remove (call->p->leaving_members, call->key);
-  predecessors_unref (call->p);
+  g_hash_table_remove (call->predecessors->leaving_members, call->key);
+  predecessors_unref (call->predecessors);
   g_free (call->key);
   g_free (call);
 }
@@ -79,11 +79,11 @@
 static bool
 is_previous_incarnation (const mm_predecessors *p, const char *member)
 {
-  mm_peer_info info;
+  mm_mesh_peer_info info;
   if (strcmp (member, p->self) == 0 || !mm_members_parse_name (member, &info))
     return false;
   bool same_addr = g_strcmp0 (info.addr, p->addr) == 0;
-  mm_peer_info_clear (&info);
+  mm_mesh_peer_info_clear (&info);
   return same_addr;
 }
 
@@ -99,7 +99,7 @@
   mm_log_event (MM_EV_PREDECESSOR, MM_TEXT (group), MM_TEXT (member));
   g_hash_table_add (p->leaving_members, g_strdup (key));
   leave_call *call = g_new (leave_call, 1);
-  *call = (leave_call){ .p = p, .key = key };
+  *call = (leave_call){ .predecessors = p, .key = key };
   p->refs++;
   p->port.leave (p->port.ctx, group, member, MM_STORE_TIMEOUT_MS, on_left,
                  call);
--- a/tests/fake_upstreams.h
+++ b/tests/fake_upstreams.h
@@ -20,18 +20,19 @@
   uint32_t lose_starts; /* number of next starts that get no answer */
   uint32_t lose_stops;  /* number of next stops that are lost */
   uint32_t lose_holds;  /* number of next holds that are lost */
-  mm_time_ms late_ms;   /* lost starts are carried out after this, 0: never */
+  mm_time_ms
+      late_start_ms; /* lost starts are carried out after this, 0: never */
   mm_time_ms
       delivery_delay_ms; /* added to the delivery time, as on a full link */
   mm_time_ms
-      start_answer_delay_ms; /* added to the time of answers to starts */
-  bool refuses_connections;  /* calls fail at once: its process is dead */
-  bool silent;               /* no call arrives, none is answered */
-  bool mute;                 /* all calls arrive, none is answered */
-  bool fails_tasks;          /* each task fails after 5 ms */
-  bool unhealthy;            /* refuses starts */
-  bool hangs;                /* tasks never end */
-  size_t page;               /* maximum ends in one answer, 0: no limit */
+      start_answer_delay_ms;  /* added to the time of answers to starts */
+  bool refuses_connections;   /* calls fail at once: its process is dead */
+  bool unresponsive;          /* no call arrives, none is answered */
+  bool loses_answers;         /* all calls arrive, none is answered */
+  bool fails_tasks;           /* each task fails after 5 ms */
+  bool unhealthy;             /* refuses starts */
+  bool hangs;                 /* tasks never end */
+  size_t max_ends_per_answer; /* maximum ends in one answer, 0: no limit */
 } fake_mode;
 
 fakes *fakes_create (void); /* replaces the source of mm_clock_now_ms() */
@@ -57,7 +58,7 @@
 void fakes_run (fakes *f, mm_owner *o, mm_time_ms ms);
 mm_time_ms fakes_now (const fakes *f);
 
-/* A request whose payload tells a fake the cpu and the run time of the
+/* A request whose payload gives a fake the cpu and the run time of the
    task.  The payload is valid until the next call.  */
 mm_task_request fakes_task (const char *job, uint32_t index, int64_t cpu_milli,
                             mm_time_ms run_ms);
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -46,7 +46,7 @@
   uint64_t generation;
   mm_time_ms ttl_ms;
   mm_join_result result;
-  uint32_t parts[PARTITIONS];
+  uint32_t partitions[PARTITIONS];
   mm_join_answered done;
   void *ctx;
 } store_call;
@@ -74,9 +74,9 @@
     {
       const char *owner = mm_group_table_holder (g, i);
       if (owner && strcmp (owner, c->member) == 0)
-        c->parts[c->result.n_parts++] = i;
+        c->partitions[c->result.n_partitions++] = i;
     }
-  c->result.parts = c->parts;
+  c->result.partitions = c->partitions;
 }
 
 static void
@@ -319,7 +319,7 @@
 {
   fixture *f = fixture_create ();
   fixture_join (f, 0);
-  mm_partitions_events ev = { .handed = notify_all, .ctx = f };
+  mm_partitions_events ev = { .released = notify_all, .ctx = f };
   mm_partitions_set_events (f->partitions[0], &ev);
   fixture_run (f, 500);
   fixture_join (f, 1);
@@ -563,7 +563,7 @@
     key_item (k, i);
   if (i < k->n_keys)
     k->result.after = k->keys[i - 1];
-  k->result.next = k->end;
+  k->result.next_offset = k->end;
 }
 
 static void
@@ -573,11 +573,11 @@
   k->tail_calls++;
   k->done = done;
   k->ctx = done_ctx;
-  k->result = (mm_stream_result){ .ok = t->from >= k->first,
+  k->result = (mm_stream_result){ .ok = t->from_offset >= k->first,
                                   .why = "status 410",
-                                  .history_dropped = t->from < k->first,
-                                  .next = k->end,
-                                  .end = k->end };
+                                  .history_dropped = t->from_offset < k->first,
+                                  .next_offset = k->end,
+                                  .end_offset = k->end };
 }
 
 typedef struct
@@ -632,8 +632,8 @@
   mm_store_port port = { .newest = key_newest, .tail = key_tail, .ctx = &k };
   r.pause_ms = 100;
   mm_stream_events ev = { .item = on_item,
-                          .whole = on_full_read,
-                          .pause_ms = reader_pause_ms,
+                          .loaded = on_full_read,
+                          .poll_interval_ms = reader_pause_ms,
                           .ctx = &r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   for (int i = 0; i < 10; i++)
@@ -664,7 +664,7 @@
   key_store k = { .keys = { "a", "b" }, .n_keys = 2, .end = 7 };
   reader r = { 0 };
   mm_store_port port = { .newest = key_newest, .tail = key_tail, .ctx = &k };
-  mm_stream_events ev = { .item = on_item, .whole = on_full_read, .ctx = &r };
+  mm_stream_events ev = { .item = on_item, .loaded = on_full_read, .ctx = &r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   ck_assert (!mm_stream_is_current (s));
   for (int i = 0; i < 10; i++)
@@ -698,8 +698,8 @@
   reader r = { .pause_ms = 800 };
   mm_store_port port = { .newest = key_newest, .tail = key_tail, .ctx = &k };
   mm_stream_events ev = { .item = on_item,
-                          .whole = on_full_read,
-                          .pause_ms = reader_pause_ms,
+                          .loaded = on_full_read,
+                          .poll_interval_ms = reader_pause_ms,
                           .ctx = &r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   mm_stream_pause (s);
@@ -716,7 +716,7 @@
    of low bandwidth.  */
 typedef struct
 {
-  uint64_t end;
+  uint64_t end_offset;
   uint64_t answered; /* records that an answer holds */
   bool down;
   uint32_t newest_calls;
@@ -749,7 +749,7 @@
                                   .why = "no answer",
                                   .items = k->items,
                                   .n_items = k->down ? 0 : 10,
-                                  .next = k->end };
+                                  .next_offset = k->end_offset };
   for (size_t i = 0; i < G_N_ELEMENTS (keys); i++)
     k->items[i].key = keys[i];
 }
@@ -765,10 +765,12 @@
   k->called_ms = now_ms;
   k->done = done;
   k->ctx = done_ctx;
-  uint64_t n = MIN (k->end - t->from, t->max_bytes / RECORD_BYTES);
-  k->result = (mm_stream_result){
-    .ok = !k->down, .why = "no answer", .next = t->from + n, .end = k->end
-  };
+  uint64_t n
+      = MIN (k->end_offset - t->from_offset, t->max_bytes / RECORD_BYTES);
+  k->result = (mm_stream_result){ .ok = !k->down,
+                                  .why = "no answer",
+                                  .next_offset = t->from_offset + n,
+                                  .end_offset = k->end_offset };
 }
 
 static void
@@ -794,8 +796,8 @@
                          .link_mbps = 2 };
   r->pause_ms = pause_ms;
   mm_stream_events ev = { .item = on_item,
-                          .whole = on_full_read,
-                          .pause_ms = reader_pause_ms,
+                          .loaded = on_full_read,
+                          .poll_interval_ms = reader_pause_ms,
                           .ctx = r };
   mm_stream *s = mm_stream_create (&port, MM_STREAM_UPSTREAMS, 0, &ev);
   for (int i = 0; i < 100 && !k->tail_calls; i++)
@@ -809,13 +811,13 @@
    be read at once, and the list is not fresh before the last one.  */
 START_TEST (changes_beyond_one_answer_are_read_without_a_pause)
 {
-  slow_link_store k = { .end = 5 };
+  slow_link_store k = { .end_offset = 5 };
   reader r = { 0 };
   mm_stream *s = slow_link_stream (&k, &r, 900);
   ck_assert_uint_le (k.max_bytes * 8 / 2000, 2 * MM_STREAM_CHUNK_MS);
   mm_stream_pause (s);
   uint32_t calls = k.tail_calls;
-  k.end += k.max_bytes / RECORD_BYTES + 10;
+  k.end_offset += k.max_bytes / RECORD_BYTES + 10;
   slow_link_step (s, &k);
   ck_assert_uint_eq (k.tail_calls, calls + 1);
   ck_assert (!mm_stream_is_current (s));
@@ -835,15 +837,15 @@
    far fewer bytes.  */
 START_TEST (newest_records_are_read_when_that_is_less)
 {
-  slow_link_store k = { .end = 5 };
+  slow_link_store k = { .end_offset = 5 };
   reader r = { 0 };
   mm_stream *s = slow_link_stream (&k, &r, 0);
-  k.end += 5000;
+  k.end_offset += 5000;
   for (int i = 0; i < 4; i++)
     slow_link_step (s, &k);
   ck_assert_uint_eq (k.newest_calls, 2);
   ck_assert_uint_eq (r.full_reads, 2);
-  ck_assert (k.result.next == k.end);
+  ck_assert (k.result.next_offset == k.end_offset);
   mm_stream_destroy (s);
   mm_clock_set_source (NULL, NULL);
 }
@@ -854,7 +856,7 @@
    arrive.  */
 START_TEST (read_that_fails_is_waited_for_longer_each_time)
 {
-  slow_link_store k = { .end = 5 };
+  slow_link_store k = { .end_offset = 5 };
   reader r = { 0 };
   mm_stream *s = slow_link_stream (&k, &r, 0);
   k.down = true;
