--- a/src/mm_admission.c
+++ b/src/mm_admission.c
@@ -65,9 +65,9 @@
  * @tasks: number of tasks of the job that are ready to start.
  * @slack_ms: from mm_admission_slack_ms().
  *
- * Assumes that places become free at an even rate over a task's run time:
- * the last task that does not fit now starts after about
- * shortfall / places run times.
+ * Assumes that places become free at an even rate over a task's run time.
+ * The shortfall is the number of tasks that do not fit on arrival; the last
+ * of them starts after about shortfall / places run times.
  *
  * Return: the decision, with the expected wait.
  */
--- a/src/mm_breaker.c
+++ b/src/mm_breaker.c
@@ -1,6 +1,6 @@
 /* mm_breaker: consecutive failures open the circuit breaker of an upstream for
-   a while.  After that it is half-open: one task runs there at a time until
-   one succeeds.
+   a while.  After that time the breaker is half-open: one task runs there at a
+   time until one succeeds.
 
    Guards against an upstream that reports itself healthy and fails each task
    at once: as it always has free capacity, it would attract all tasks.  */
--- a/src/mm_caller_wait.c
+++ b/src/mm_caller_wait.c
@@ -3,8 +3,10 @@
 
    Protects against the load after an outage: callers whose connections broke
    send their jobs again 1.3 s later, all within a second.  For short jobs
-   among them an answer is of no use any more, and they would use the capacity
-   that callers who send a job for the first time need to be answered in time.
+   among them an answer is of no use any more.  These jobs would use the
+   capacity that callers who send a job for the first time need to be answered
+   in time.
+
    A request does not state that it was sent before, but its caller's
    remaining timeout shows it: the time to spare is less than half of the
    average of that queue's callers.  Half is midway between callers with their
--- a/src/mm_exec.c
+++ b/src/mm_exec.c
@@ -3,7 +3,8 @@
    A run uses capacity from its start order until the upstream lists its end,
    or until it is certain that the run neither exists nor will start: an order
    without an answer may be carried out seconds later, and the upstream starts
-   the task whether it fits or not.  It is certain when
+   the task whether it fits or not.  A run is certain not to exist or start
+   when
    - a stop of the run was answered and a later hold does not list the run
      (the upstream rejects the start of a run that was stopped before), or
    - the deadline of the start order has passed on the upstream's clock.  */
@@ -62,8 +63,8 @@
     run_free (r);
 }
 
-/* The struct is freed only after its last open call has been answered, see
-   mm_exec_call_close.  */
+/* Ends a run: frees its capacity and notifies the owner.  The struct itself is
+   freed once none of the run's calls is open any more.  */
 void
 mm_exec_finish_run (mm_exec_run *r, mm_end how, const char *why)
 {
@@ -121,8 +122,9 @@
   for (GList *l = runs; l && !x->closed; l = l->next)
     {
       mm_exec_run *r = l->data;
-      /* A start without an answer yet may be refused too; its answer then
-         shows that the task did not run.  */
+      /* A run whose start has no answer yet is not reported here: the start
+         may be refused too, and its answer then shows that the task did not
+         run.  */
       if (r->phase != RUN_ORDERED)
         report_end (r, MM_END_UNKNOWN, "fenced");
     }
@@ -182,8 +184,8 @@
       r->stop_answered_event = ++x->last_event;
       mm_exec_become_usable (x);
       /* Only a hold that is sent after this answer can show that an
-         unconfirmed run does not exist.  A hold that waits for an end would
-         delay that by up to its wait.  */
+         unconfirmed run does not exist.  The hold is sent without a wait: one
+         that waits for an end would be answered later by up to its wait.  */
       if (r->phase != RUN_RUNNING)
         mm_exec_send_hold (x, 0, false);
       break;
@@ -233,8 +235,9 @@
     r->running_event = ++r->exec->last_event;
 }
 
-/* A start that was open when another owner took over has started the run, or
-   may have: only the new owner can report its end.  */
+/* Notifies the owner once more if the session is fenced.  A start that was
+   open when another owner took over has started the run, or may have, and only
+   the new owner can report the end of that run.  */
 static void
 notify_if_fenced (mm_exec *x)
 {
@@ -243,8 +246,9 @@
 }
 
 /* Returns whether a start order may be sent again.  The upstream's entry in
-   the list may have changed since the task was placed there; the run itself
-   is already counted as used capacity.  */
+   the list may have changed since the task was placed there.  The run itself
+   is already counted as used capacity, so the free capacity suffices unless it
+   is negative.  */
 static bool
 may_send_again (const mm_exec *x)
 {
@@ -538,10 +542,10 @@
 static void
 log_draining (const mm_exec *x)
 {
-  mm_time_ms since_ms
+  mm_time_ms since_start_ms
       = x->start_sent_ms ? mm_clock_now_ms () - x->start_sent_ms : -1;
   mm_log_event (MM_EV_UPSTREAM_DRAINING, MM_TEXT (x->info->name),
-                MM_INT (g_hash_table_size (x->runs)), MM_INT (since_ms));
+                MM_INT (g_hash_table_size (x->runs)), MM_INT (since_start_ms));
 }
 
 static void
--- a/src/mm_exec_call.c
+++ b/src/mm_exec_call.c
@@ -10,11 +10,11 @@
 {
   if (res->clock_ms < 0)
     return;
-  /* An answer that travelled for long, or a clock that was read before a
-     hold waited, makes the upstream's clock appear to be behind.  A lease
+  /* The upstream's clock appears to be behind if its answer travelled for
+     long, or if the upstream read its clock before a hold waited.  A lease
      computed from such an offset is up to 250 ms too short, and then one
-     lost hold lets it expire.  So the largest offset seen is used, reduced
-     over time because the upstream's clock may be slow.  */
+     lost hold lets the lease expire.  So the largest offset seen is used,
+     reduced over time because the upstream's clock may be slow.  */
   mm_time_ms now = mm_clock_now_ms ();
   mm_time_ms offset_ms = res->clock_ms - now;
   mm_time_ms drift_ms
@@ -40,8 +40,9 @@
   return c;
 }
 
-/* A call without an answer stays open for a while: a late answer is passed to
-   the callback once more.  */
+/* Frees a call.  A call that timed out (@overdue) stays open for a while
+   instead: its callback is called once more, with the late answer or without
+   any.  */
 void
 mm_exec_call_close (mm_exec_call *c, bool overdue)
 {
--- a/src/mm_exec_hold.c
+++ b/src/mm_exec_hold.c
@@ -40,9 +40,9 @@
       mm_exec_send_stop (v, true);
 }
 
-/* A single lost hold must not let the leases expire.  The first hold that
-   fails is sent again at once on a new connection, and the leases are renewed
-   as soon as that one is answered.  */
+/* A single lost hold must not let the leases expire.  After the first hold
+   that fails, another is sent at once on a new connection, and the leases are
+   renewed as soon as that second hold is answered.  */
 static void
 on_hold_failed (mm_exec *x, mm_call_verdict v)
 {
@@ -54,8 +54,8 @@
     mm_exec_send_hold (x, 0, false);
 }
 
-/* Uses the lists in a late answer, unless those of a later hold were processed
-   already.  */
+/* Processes the lists in a late answer, unless the lists of a later hold were
+   processed already.  */
 static void
 on_overdue_hold_answer (mm_exec_call *c, const mm_hold_result *res)
 {
@@ -109,9 +109,9 @@
   mm_exec_call_close (c, res->call.overdue);
 }
 
-/* Returns the highest sequence number that can be acknowledged: that before
-   the first unacknowledged end, as an acknowledgement covers all ends up to
-   its number.  */
+/* Returns the highest sequence number that can be acknowledged: one less than
+   that of the first unacknowledged end, because an acknowledgement covers all
+   ends up to its number.  */
 static uint64_t
 ackable_seq (const mm_exec *x)
 {
@@ -122,6 +122,9 @@
   return up_to_seq;
 }
 
+/* Sends a hold that waits at the upstream for an end, for @wait_ms at most.
+   The leases are renewed if @renew is set and the upstream's clock is known.
+   Does nothing if the session is fenced or the upstream was replaced.  */
 void
 mm_exec_send_hold (mm_exec *x, mm_time_ms wait_ms, bool renew)
 {
@@ -143,8 +146,8 @@
   x->port.hold (x->port.ctx, x->info, &h, on_hold_answer, c);
 }
 
-/* After a time out of contact that is longer than any lease, all runs have
-   ended with their leases, and all orders are void.  */
+/* Ends all runs after a time out of contact that is longer than any lease: the
+   runs have ended with their leases, and all orders are void.  */
 static void
 expire_runs (mm_exec *x, mm_time_ms now)
 {
@@ -170,7 +173,8 @@
   x->runs_known = false;
 }
 
-/* Leases are renewed only while the owner still needs one of the runs.  */
+/* Returns whether the owner still needs one of the runs.  Leases are renewed
+   only then.  */
 static bool
 has_wanted_run (const mm_exec *x)
 {
--- a/src/mm_exec_http.c
+++ b/src/mm_exec_http.c
@@ -118,7 +118,8 @@
   call_state->wire = x->wire;
   char *text = cJSON_PrintUnformatted (body);
   char *url = g_strdup_printf ("http://%s%s", u->addr, path);
-  /* Names the incarnation, as another one may have the address by now.  */
+  /* The header names the incarnation that is called, because another one may
+     have the address by now.  */
   char *header_line
       = g_strdup_printf ("%s: %s", x->wire->upstream_header, u->name);
   mm_http_call call = { .method = "POST",
--- a/src/mm_exec_lists.c
+++ b/src/mm_exec_lists.c
@@ -59,7 +59,8 @@
 /* Adds a run that an earlier owner started.  The instance whose job it belongs
    to may still wait for it and request its adoption (mm_exec_adopt);
    otherwise the run is stopped after MM_ADOPT_TIMEOUT_MS.  The resources of
-   the run are unknown, so nothing is started on this upstream until then.  */
+   the run are unknown, so nothing is started on this upstream before the run
+   is adopted or has ended.  */
 static void
 add_foreign_run (mm_exec *x, const mm_listed_run *seen)
 {
@@ -84,9 +85,9 @@
   mm_exec_send_stop (r, false);
 }
 
-/* Some upstreams never finish a task while they report themselves healthy, and
-   the caller would wait until its deadline.  Stopping a task that makes no
-   progress lets it run on another upstream.  */
+/* Stops a run that makes no progress, so that its task can run on another
+   upstream.  Some upstreams never finish a task while they report themselves
+   healthy, and the caller would wait until its deadline.  */
 static void
 check_progress (mm_exec_run *r, int32_t percent)
 {
--- a/src/mm_exec_state.c
+++ b/src/mm_exec_state.c
@@ -4,7 +4,8 @@
 
 #include <string.h>
 
-/* Includes a suspect upstream: an order without an answer makes it suspect for
+/* Returns whether the upstream's capacity counts in reports.  A suspect
+   upstream is in service too: an order without an answer makes it suspect for
    about 100 ms, and jobs would be refused if its capacity did not count for
    that time.  */
 bool
@@ -119,7 +120,8 @@
   g_array_remove_index_fast (x->unacked, (guint)i);
 }
 
-/* Runs that are being stopped can still end after this call.  */
+/* Ends of the job's runs need no acknowledgement from now on: runs that are
+   being stopped can still end after this call.  */
 void
 mm_exec_forget_job (mm_exec *x, const char *job_id)
 {
@@ -139,7 +141,9 @@
  *
  * Return: true once a hold has listed the runs, and also when the upstream was
  * out of contact for longer than any lease: an upstream that knows our fencing
- * token lets no earlier owner renew a lease.
+ * token lets no earlier owner renew a lease. True as well if another
+ * incarnation has replaced the upstream; otherwise false when the session is
+ * fenced or closed.
  */
 bool
 mm_exec_runs_confirmed (const mm_exec *x)
