--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -97,11 +97,11 @@
       = *average > 0 ? *average + MM_AVERAGE_GAIN * (value - *average) : value;
 }
 
-/* Updates the average time for which a task uses its place, counting runs
-   that were not done.  An order without an answer uses its place until its
-   outcome is known, and so does an end that is noticed late.  Without these,
-   admission would accept jobs that are all late while many orders are
-   lost.  */
+/* Updates the average time for which a run uses its place, and the share of
+   runs that are done.  Runs that were not done count too: an order without an
+   answer uses a place until its outcome is known, and a run whose end is
+   noticed late uses a place until then.  If these were left out, admission
+   would accept jobs that are all late while many orders are lost.  */
 static void
 record_cost (mm_owner *o, mm_end how, mm_time_ms ran_ms)
 {
@@ -276,8 +276,9 @@
   g_hash_table_insert (o->owned_upstreams, g_strdup (u->name), owned);
 }
 
-/* Starts no tasks: more changes from the same answer of the store may follow,
-   and new capacity is used at the next tick.  */
+/* Uses a changed list entry of an upstream.  Starts no tasks: more changes
+   from the same answer of the store may follow, and new capacity is used at
+   the next tick.  */
 void
 mm_owner_update_upstream (mm_owner *o, const mm_upstream_info *u)
 {
@@ -300,10 +301,11 @@
   g_hash_table_remove (o->owned_upstreams, upstream);
 }
 
-/* A handover waits up to 1 s for the longest task that runs on any of the
-   upstreams.  Tasks that end before that one may still start: they do not
-   delay the handover, and keeping the upstreams idle would take half of a
-   data centre's capacity away for that time at each restart.  */
+/* Begins the handover of an upstream.  The handover waits up to 1 s for the
+   longest task that runs on any upstream being handed over.  Tasks that end
+   before the longest one may still start: they do not delay the handover, and
+   keeping the upstreams idle would take half of a data centre's capacity away
+   for that time at each restart.  */
 void
 mm_owner_freeze_upstream (mm_owner *o, const char *upstream)
 {
@@ -428,8 +430,9 @@
   return NULL;
 }
 
-/* Looks for the next expired task from the start each time, because the
-   callback of one task may cancel others.  */
+/* Returns tasks that waited too long as not run.  The queue is searched from
+   its head for each of them, because the callback of one task may cancel
+   others.  */
 static void
 expire_waiting (mm_owner *o, mm_time_ms now)
 {
--- a/src/mm_owner_adopt.c
+++ b/src/mm_owner_adopt.c
@@ -22,6 +22,9 @@
 
 /* ---- previous owner of an upstream ------------------------------------ */
 
+/* Detaches a task from its upstream, which this instance no longer owns.  The
+   task becomes an orphan if its run can be transferred; otherwise its end is
+   reported as unknown.  */
 static void
 orphan (mm_owner *o, mm_work *w, const char *why)
 {
@@ -29,7 +32,7 @@
   const char *upstream = mm_exec_info (owned->exec)->name;
   w->run = mm_exec_detach (owned->exec, w, &w->ran_ms);
   if (!w->run && !owned->gone)
-    return; /* the answer to its order will show whether it runs */
+    return; /* the answer to its start will show whether it runs */
   mm_owner_count_suspect (owned, w, -1);
   g_hash_table_remove (o->active, &w->request.id);
   if (w->cancelled || w->request.kept || !w->run || !o->links.found)
@@ -58,8 +61,8 @@
  * @owned: the upstream, which is no longer owned here.
  * @why: reported for tasks that cannot be transferred.
  *
- * The other tasks are kept as orphans until the next owner requests their
- * runs, for MM_ORPHAN_TIMEOUT_MS at most.
+ * Tasks that can be transferred are kept as orphans until the next owner
+ * requests their runs, for MM_ORPHAN_TIMEOUT_MS at most.
  */
 void
 mm_owner_orphan_all (mm_owner *o, mm_owned_upstream *owned, const char *why)
@@ -176,8 +179,9 @@
   return NULL;
 }
 
-/* Reports one task at a time and looks for the next one from the start,
-   because the callback of one task may cancel others.  */
+/* Reports orphans whose run was not requested in time, and tasks whose run
+   this instance could not adopt.  The next task is searched for only after the
+   callback of the previous one, which may cancel others.  */
 void
 mm_owner_tick_adoption (mm_owner *o, mm_time_ms now)
 {
--- a/src/mm_owner_kept.c
+++ b/src/mm_owner_kept.c
@@ -1,4 +1,4 @@
-/* mm_owner_kept: holds the ends of kept jobs' runs until their homes have
+/* mm_owner_kept: keeps the ends of kept jobs' runs until their homes have
    stored them, and searches for tasks that are in doubt at their homes.  */
 #include "mm_owner_priv.h"
 
@@ -32,8 +32,9 @@
   return n;
 }
 
+/* Appends the unacknowledged ends of the set's tasks to @ends.  */
 static void
-add_held (const mm_exec *x, GHashTable *tasks, GArray *ends)
+append_unacked_ends (const mm_exec *x, GHashTable *tasks, GArray *ends)
 {
   size_t n;
   const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
@@ -74,7 +75,7 @@
         continue;
       uint64_t hash = mm_upstream_hash (mm_exec_info (x)->name);
       g_array_append_val (out->clear_upstreams, hash);
-      add_held (x, tasks, out->ends);
+      append_unacked_ends (x, tasks, out->ends);
     }
 }
 
--- a/src/mm_owner_suspects.c
+++ b/src/mm_owner_suspects.c
@@ -28,7 +28,8 @@
   return !w->request.isolated || owned->n_suspects == 0;
 }
 
-/* A suspect prefers the upstream with the fewest runs, and other tasks prefer
+/* Returns the weight of the runs at @owned that @w should not run beside: a
+   suspect prefers the upstream with the fewest runs, and all tasks prefer
    upstreams without suspects.  */
 uint32_t
 mm_owner_contention (const mm_owned_upstream *owned, const mm_work *w)
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -1,4 +1,5 @@
-/* mm_ownership: reconciles sessions with the list and the partitions.  */
+/* mm_ownership: keeps a session with each upstream that is listed and belongs
+   to a partition that this instance owns.  */
 #include "mm_ownership.h"
 
 #include "config.h"
@@ -10,8 +11,8 @@
   mm_catalog *catalog; /* not owned */
   mm_owner *owner;     /* not owned */
   mm_ownership_partitions partitions;
-  uint64_t catalog_changes;   /* at the last full reconciliation */
-  uint64_t partition_changes; /* at the last full reconciliation */
+  uint64_t catalog_changes;   /* count at the last full reconciliation */
+  uint64_t partition_changes; /* count at the last full reconciliation */
   mm_time_ms reconciled_ms;
 };
 
