--- a/src/mm_rto.c
+++ b/src/mm_rto.c
@@ -14,7 +14,7 @@
 #include <math.h>
 
 /* Constants of RFC 6298: weights of one answer in the mean and the deviation,
-   and the deviations in a timeout.  */
+   and how many deviations a timeout adds to the mean.  */
 #define MEAN_GAIN 0.125
 #define DEVIATION_GAIN 0.25
 #define DEVIATIONS 4.0
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -1,7 +1,8 @@
 /* mm_run_server: runs under leases, with simulated faults.
 
    Faults (POST /v1/run-faults, each kept until it is used up or changed):
-   lose_starts / lose_stops / lose_holds: number of next calls without answer;
+   lose_starts / lose_stops / lose_holds: number of the next calls that
+   get no answer;
    late_ms: delay after which a lost start is carried out, 0: never;
    fails: each task fails; hangs: no task ends; refuses: starts are refused;
    slow_percent: run time in percent of the requested one;
@@ -77,11 +78,13 @@
 /**
  * mm_run_server_create() - creates the runs of an upstream stand-in.
  * @loop: the event loop.
- * @name: the upstream; the name of its incarnation appends the start time.
+ * @name: the upstream; its incarnation is named by this and the start time.
  * @capacity: the upstream's total capacity.
  * @log_file: takes a JSON line for each start and end as it happens, so that
  *            the lines up to then survive when the stand-in is killed; "" for
  *            none.
+ *
+ * Return: the object; free with mm_run_server_destroy().
  */
 mm_run_server *
 mm_run_server_create (struct ev_loop *loop, const char *name,
@@ -228,7 +231,8 @@
   return v;
 }
 
-/* Returns whether a call is to be lost, and counts it as lost.  */
+/* Returns whether this call is to be lost.  If so, @remaining, the number of
+   calls still to be lost, is lowered by one.  */
 static bool
 lose_call (int64_t *remaining)
 {
@@ -414,7 +418,7 @@
   reply (req, 200, o);
 }
 
-/* Returns whether the caller addressed an earlier incarnation.  */
+/* Returns whether the caller addressed another incarnation.  */
 static bool
 addresses_other_incarnation (const mm_run_server *s,
                              const mm_http_request *req)
--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -186,6 +186,9 @@
  * @required: the resources that the task uses.
  * @run_ms: the run time of the task.
  * @now_ms: the time on the upstream's clock.
+ *
+ * Return: MM_CALL_OK if the run was started now or is running already,
+ * otherwise the reason why it was not started.
  */
 mm_call_verdict
 mm_run_table_start (mm_run_table *t, const mm_order *o,
--- a/src/mm_steps.c
+++ b/src/mm_steps.c
@@ -7,7 +7,7 @@
 typedef struct
 {
   uint32_t first_task; /* number of its first task in the job */
-  uint32_t done;       /* tasks that are done */
+  uint32_t done;       /* tasks of the step that are done */
   bool started;
 } step_state;
 
@@ -16,7 +16,7 @@
   const mm_submission *submission;
   step_state *steps;
   uint32_t n_tasks; /* tasks of all steps */
-  uint32_t done;    /* tasks that are done */
+  uint32_t done;    /* tasks of all steps that are done */
 };
 
 mm_steps *
--- a/src/mm_suspects.c
+++ b/src/mm_suspects.c
@@ -2,12 +2,12 @@
 
    Only another incarnation at the address proves a crash.  A disconnected
    upstream does not answer either, and its list entry expires like that of a
-   crashed one, so neither counts as a crash.  An upstream that was listed as
-   draining has left as planned.
+   crashed one, so neither sign proves a crash.  An upstream that was
+   listed as draining has left as planned.
 
    Several tasks may run on an upstream when it crashes, and usually only one
-   of them is a poison task.  A task counts as one after two crashes of
-   upstreams that ran it if it was the only task on one of them, and after
+   of them is a poison task.  A task counts as a poison task after two crashes
+   of upstreams that ran it if it was the only task on one of them, and after
    three crashes in any case.  */
 #include "mm_suspects.h"
 
@@ -137,18 +137,20 @@
   return false;
 }
 
+/* Adds the tasks of @from that @l lacks, up to MM_SUSPECTS_TASKS_MAX tasks in
+   all.  Returns whether any was added.  */
 static bool
 add_tasks (loss *l, const mm_loss *from)
 {
-  bool any = false;
+  bool added = false;
   for (size_t i = 0;
        i < from->n_tasks && l->tasks->len < MM_SUSPECTS_TASKS_MAX; i++)
     if (!has_task (l, from->tasks[i]))
       {
         g_array_append_val (l->tasks, from->tasks[i]);
-        any = true;
+        added = true;
       }
-  return any;
+  return added;
 }
 
 static void
@@ -209,11 +211,11 @@
       g_array_set_size (l->tasks, 0);
       l->unresponsive_since_ms = from->unresponsive_since_ms;
     }
-  bool more
+  bool tasks_added
       = l->verdict == MM_LOSS_ALIVE && !newer ? false : add_tasks (l, from);
   if (newer)
     set_verdict (l, from->verdict, "noted");
-  if (!newer && !more)
+  if (!newer && !tasks_added)
     return;
   rebuild_hashes (s);
   report_change (s, l);
@@ -357,7 +359,7 @@
 mm_suspects_tick (mm_suspects *s)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  bool any = false;
+  bool removed = false;
   GList *next;
   for (GList *node = s->losses->head; node; node = next)
     {
@@ -366,8 +368,8 @@
         continue;
       loss_free (node->data);
       g_queue_delete_link (s->losses, node);
-      any = true;
+      removed = true;
     }
-  if (any)
+  if (removed)
     rebuild_hashes (s);
 }
