--- a/src/mm_dispatch.c
+++ b/src/mm_dispatch.c
@@ -1,8 +1,9 @@
 /* mm_dispatch: chooses the nearest owner with free capacity, or the one with
    the shortest queue if none has any.
 
-   Traffic stays inside a data centre while there is free capacity; one with
-   more callers than upstreams overflows into the others.  */
+   Traffic stays inside a data centre while there is free capacity.  A data
+   centre that receives more tasks than its upstreams have capacity for sends
+   the rest to other data centres.  */
 #include "mm_dispatch.h"
 
 static double
--- a/src/mm_owner_adopt.c
+++ b/src/mm_owner_adopt.c
@@ -5,8 +5,9 @@
    them (35 jobs a day where memberships are revoked).  So the next owner
    requests each run from the other owners, and the one that started it
    dispatches the task to the next owner like any other task, marked as
-   running there already.  Only the next owner may renew the run's lease; it
-   stops the run if no owner claims it or the link between the two is lost.
+   running there already.  Only the next owner may renew the run's lease; the
+   next owner stops the run if no other owner claims it or the link between the
+   two owners is lost.
 
    Tasks of kept jobs are searched for by their homes instead.  */
 #include "config.h"
--- a/src/mm_requests.c
+++ b/src/mm_requests.c
@@ -1,5 +1,5 @@
 /* mm_requests: calls back exactly once for each request, with its answer or
-   when there will be none.  */
+   when no answer will come.  */
 #include "mm_requests.h"
 
 typedef struct
--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -1,4 +1,4 @@
-/* mm_run_table: the runs of one upstream.  */
+/* mm_run_table: the runs of one upstream, as the upstream keeps them.  */
 #include "mm_run_table.h"
 
 #include "config.h"
