--- a/tests/fake_upstreams.h
+++ b/tests/fake_upstreams.h
@@ -42,15 +42,16 @@
 fake_mode *fake_mode_of (fake *x);
 void fake_restart (fake *x); /* another incarnation at that address */
 const mm_upstream_info *fake_info (const fake *x);
-/* Change the entry in the upstream list.  */
+/* These two change the upstream's entry in the upstream list.  */
 void fake_set_draining (fake *x, bool draining);
 void fake_set_listed_cpu (fake *x, int64_t cpu_milli);
-/* Changes the capacity against which starts are counted.  */
+/* Changes the real capacity, beyond which a start counts as over_capacity.  */
 void fake_set_cpu (fake *x, int64_t cpu_milli);
 size_t fake_running (const fake *x);
 uint32_t fake_starts (const fake *x);
 size_t fake_unacked_ends (const fake *x); /* ends that are not acknowledged */
-/* Starts a run as another owner; call it before our first hold or order.  */
+/* Starts a run as another owner does.  Call this before the first hold or
+   order of the owner under test.  */
 void fake_start_foreign (fake *x, const char *job, uint64_t fence,
                          int64_t cpu_milli, mm_time_ms run_ms);
 /* Advances the clock by @ms and delivers calls and answers; ticks @o unless it
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -17,16 +17,17 @@
 /* Continues the process if it is stopped, sends @sig and waits for the process
    to exit; kills it after 5 s.  */
 void h_stop (pid_t pid, int sig);
-/* Waits until a process listens on @port.  */
+/* Waits until a process listens on @port.  Return: false if none does within
+   @timeout_ms.  */
 bool h_wait_port (int port, mm_time_ms timeout_ms);
 cJSON *h_call (const char *method, int port, const char *path,
                const char *body, long *status); /* the JSON answer, or NULL */
 char *h_job_json (const char *job_id, int n, int run_ms, int deadline_ms,
                   bool idempotent); /* a job with @n tasks, g_free() */
-/* Submits a job to instance @instance from a child process.  One of the next
-   two functions then waits for the answer: h_submit_completed() returns
-   whether it says that the job is complete, h_submit_status_class() returns
-   the first digit of its HTTP status, 0 without an answer.  */
+/* Submits a job to instance @instance from a child process.  The caller then
+   waits for the answer with either h_submit_completed(), which returns whether
+   the answer says that the job is complete, or h_submit_status_class(), which
+   returns the first digit of the answer's HTTP status, 0 without an answer. */
 pid_t h_submit (int instance, const char *job);
 bool h_submit_completed (pid_t submit);
 int h_submit_status_class (pid_t submit);
@@ -49,10 +50,12 @@
    not NULL, is raised by the number of starts that exceeded an upstream's
    capacity.  */
 GArray *h_read_runs (int n_upstreams, int *over_capacity);
-/* As h_count_starts(), for one upstream.  */
+/* Return: how many tasks of a job have started on one upstream.  @max_count,
+   if not NULL, is raised to the most starts of one task there.  */
 int h_count_upstream_starts (int upstream_port, const char *job_id,
                              int *max_count);
-/* Waits until the number @key at the top level of the answer is @want.  */
+/* Waits until the number @key at the top level of the answer is @want. Return:
+   false if that does not happen within @timeout_ms.  */
 bool h_wait_json (int port, const char *path, const char *key, double want,
                   mm_time_ms timeout_ms);
 /* Starts a platform, upstreams and entry instances.  */
@@ -65,16 +68,18 @@
 void h_start_node (int i);
 /* Data centre of instance i and of upstream i; NULL: dc1.  */
 extern const char *h_datacentres[8];
-int h_node_state_port (int i);
+int h_node_state_port (int i); /* port where instance @i serves its state */
 /* Return: how often @text occurs in the log of an instance.  */
 int h_count_in_log (pid_t pid, const char *text);
 /* Return: when an instance first logged a line that contains both texts, by
    the wall clock; -1: never.  */
 mm_time_ms h_log_time_ms (pid_t pid, const char *text,
                           const char *second_text);
-/* Waits until the instances are linked to each other and own all upstreams. */
+/* Waits until the instances are linked to each other and own all upstreams.
+   Return: false if that does not happen within @timeout_ms.  */
 bool h_wait_nodes (int n_nodes, int n_upstreams, mm_time_ms timeout_ms);
-/* One more value of --set for each process of its kind, or NULL.  */
+/* An additional value of --set for the platform, for each entry instance and
+   for each upstream; NULL: none.  */
 extern const char *h_platform_extra_setting, *h_entry_extra_setting,
     *h_upstream_extra_setting;
 /* Return: how often @text occurs in the log of upstream @i.  */
--- a/tests/owner_fixture.h
+++ b/tests/owner_fixture.h
@@ -24,10 +24,11 @@
 } fixture;
 
 fixture fixture_create (void);
-fake *fixture_add (fixture *fx, const char *name); /* owned at once */
+fake *fixture_add (fixture *fx,
+                   const char *name); /* owned at once by @fx->owner */
 void fixture_run (fixture *fx, mm_time_ms ms);
 void fixture_destroy (fixture *fx);
-void on_done (void *ctx, const mm_work_result *res); /* fills an outcome */
+void on_done (void *ctx, const mm_work_result *res); /* @ctx: outcome */
 /* Submits a task of TASK_CPU_MILLI.  */
 void submit (fixture *fx, outcome *r, const char *job, uint32_t index,
              mm_time_ms run_ms);
