--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -15,14 +15,14 @@
   CPU_MILLI = 14000,
   UPSTREAM_CPU_MILLI = 32000,
   FAULTS_MS = 6000,
-  END_MS = 12000, /* every task has ended by then */
+  END_MS = 12000, /* latest end of a task */
   START_WITHIN_MS = 40,
   RUN_MAX_MS = 900,
   LINK_MAX_MS = 80,
-  LINK_TIMEOUT_MS = 600, /* each end notices a broken link within it */
+  LINK_TIMEOUT_MS = 600, /* each end notices a broken link within this */
   RECONNECT_MS = 250,
-  RESEND_MS = 1300 /* a task in doubt, or whose caller has left, is submitted
-                      again after it */
+  RESEND_MS = 1300 /* time after which a task in doubt, or a task whose
+                      caller has left, is submitted again */
 };
 
 typedef enum
@@ -37,7 +37,7 @@
 {
   message_kind kind;
   mm_time_ms delivery_ms;
-  uint64_t number;
+  uint64_t number;         /* of the sent run on its link */
   mm_task_request request; /* MSG_RUN: its strings are copies */
   char upstream[16];       /* MSG_FOUND, MSG_ENDED */
   mm_found_run found;      /* MSG_FOUND, except the name of the upstream */
@@ -54,7 +54,8 @@
   instance *from, *to;
   GQueue *requests, *answers; /* messages in flight */
   bool broken;
-  /* When each end notices that the link is broken, 0: it has noticed.  */
+  /* Times at which each end notices that the link is broken.  0: the link
+     works, or that end has noticed.  */
   mm_time_ms sender_notices_ms, receiver_notices_ms;
   mm_time_ms connected_from_ms;
   uint64_t last_number;
@@ -104,7 +105,8 @@
   instance instances[OWNERS];
   fake *upstreams[UPSTREAMS];
   int owner_of[UPSTREAMS]; /* index of the instance */
-  /* When the previous owner learns that it is none any more.  */
+  /* Time at which the previous owner learns that it no longer owns the
+     upstream; G_MAXINT64: never.  */
   mm_time_ms disown_at_ms[UPSTREAMS];
   uint64_t fence;
   task tasks[TASKS];
@@ -136,10 +138,10 @@
 }
 
 static void
-send_message (link *l, GQueue *way, message *m)
+send_message (link *l, GQueue *queue, message *m)
 {
   fixture *fx = l->from->fx;
-  const message *last = g_queue_peek_tail (way);
+  const message *last = g_queue_peek_tail (queue);
   m->delivery_ms
       = fakes_now (fx->fake_upstreams) + 1 + random_below (fx, LINK_MAX_MS);
   if (last)
@@ -147,7 +149,7 @@
   if (l->broken)
     message_free (m);
   else
-    g_queue_push_tail (way, m);
+    g_queue_push_tail (queue, m);
 }
 
 static void
@@ -202,35 +204,35 @@
 static void
 on_received_run_done (void *ctx, const mm_work_result *r)
 {
-  received_run *t = ctx;
+  received_run *received = ctx;
   message *m = g_new0 (message, 1);
   m->kind = MSG_ENDED;
-  m->number = t->number;
+  m->number = received->number;
   m->how = r->how;
   m->run = r->run;
   g_strlcpy (m->upstream, r->upstream ? r->upstream : "", sizeof m->upstream);
-  send_message (t->via, t->via->answers, m);
-  g_hash_table_remove (t->via->received_runs, &t->number);
+  send_message (received->via, received->via->answers, m);
+  g_hash_table_remove (received->via->received_runs, &received->number);
 }
 
 static void
 receive_run (link *l, const message *m)
 {
-  received_run *t = g_new0 (received_run, 1);
-  t->via = l;
-  t->number = m->number;
-  g_hash_table_insert (l->received_runs, &t->number, t);
-  t->work
-      = mm_owner_submit (l->to->owner, &m->request, on_received_run_done, t);
+  received_run *received = g_new0 (received_run, 1);
+  received->via = l;
+  received->number = m->number;
+  g_hash_table_insert (l->received_runs, &received->number, received);
+  received->work = mm_owner_submit (l->to->owner, &m->request,
+                                    on_received_run_done, received);
 }
 
 static void
 receive_cancel (link *l, const message *m)
 {
-  received_run *t = g_hash_table_lookup (l->received_runs, &m->number);
-  if (!t)
+  received_run *received = g_hash_table_lookup (l->received_runs, &m->number);
+  if (!received)
     return;
-  mm_owner_cancel (l->to->owner, t->work);
+  mm_owner_cancel (l->to->owner, received->work);
   g_hash_table_remove (l->received_runs, &m->number);
 }
 
@@ -253,7 +255,8 @@
   return r;
 }
 
-/* The other owner has found a run and requests its task.  */
+/* Handles a run that the other owner has found: if its task was submitted
+   here, transfers the task to that owner.  */
 static void
 receive_found (link *l, const message *m)
 {
@@ -304,13 +307,13 @@
 }
 
 static void
-deliver (link *l, GQueue *way)
+deliver (link *l, GQueue *queue)
 {
   message *m;
-  while ((m = g_queue_peek_head (way))
+  while ((m = g_queue_peek_head (queue))
          && fakes_now (l->from->fx->fake_upstreams) >= m->delivery_ms)
     {
-      g_queue_pop_head (way);
+      g_queue_pop_head (queue);
       receive (l, m);
       message_free (m);
     }
@@ -452,7 +455,7 @@
 }
 
 static void
-step (fixture *fx, mm_time_ms t)
+step (fixture *fx, mm_time_ms elapsed_ms)
 {
   fakes_run (fx->fake_upstreams, NULL, 1);
   for (int i = 0; i < OWNERS; i++)
@@ -461,11 +464,11 @@
       notice_break (l);
       deliver (l, l->requests);
       deliver (l, l->answers);
-      if (t % MM_EXEC_TICK_MS == 0)
+      if (elapsed_ms % MM_EXEC_TICK_MS == 0)
         mm_owner_tick (fx->instances[i].owner);
     }
   disown_upstreams (fx);
-  if (t < FAULTS_MS)
+  if (elapsed_ms < FAULTS_MS)
     cause_faults (fx);
   for (int i = 0; i < TASKS; i++)
     {
@@ -523,19 +526,20 @@
   fakes_destroy (fx->fake_upstreams);
 }
 
-/* Guards against a task that runs twice at a time: its run goes on under the
-   next owner after the previous one has given it up, and the submitter starts
-   it elsewhere.  */
+/* Guards against a task that runs twice at a time.  This happens when an
+   upstream changes its owner: the previous owner gives up the task and the
+   submitter starts the task elsewhere, while the first run goes on under the
+   next owner.  */
 START_TEST (no_task_runs_twice_and_each_ends_while_owners_change)
 {
   fixture fx;
   fixture_init (&fx, (uint32_t)_i);
-  for (mm_time_ms t = 0; t < END_MS; t++)
+  for (mm_time_ms elapsed_ms = 0; elapsed_ms < END_MS; elapsed_ms++)
     {
-      step (&fx, t);
+      step (&fx, elapsed_ms);
       fakes_counts c = fakes_count (fx.fake_upstreams);
       ck_assert_msg (c.double_runs == 0, "seed %d, at %d: ran twice", _i,
-                     (int)t);
+                     (int)elapsed_ms);
       ck_assert_uint_eq (c.over_capacity, 0);
     }
   for (int i = 0; i < TASKS; i++)
--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -38,9 +38,9 @@
   char id[32];
   g_snprintf (id, sizeof id, "%s-%d", name, number);
   char *job = h_job_json (id, tasks, run_ms, 4000, true);
-  pid_t p = h_submit (number % 2, job);
+  pid_t caller = h_submit (number % 2, job);
   g_free (job);
-  return p;
+  return caller;
 }
 
 static int
@@ -52,20 +52,23 @@
   return over;
 }
 
+/* Upstreams change their capacity often under load.  Starts must not exceed a
+   reduced capacity, and capacity that returns must be used: at the end a job
+   that fills all slots takes less than two rounds of tasks.  */
 START_TEST (changing_capacity_is_respected_and_used_again)
 {
   h_start_nodes (UPSTREAMS, SLOTS, 2);
   GRand *rng = g_rand_new_with_seed (23);
-  pid_t p[CHANGES];
+  pid_t callers[CHANGES];
   for (int i = 0; i < CHANGES; i++)
     {
       set_slots (g_rand_int_range (rng, 0, UPSTREAMS),
                  g_rand_int_range (rng, 0, SLOTS + 1));
-      p[i] = submit ("load", i, 6, 300);
+      callers[i] = submit ("load", i, 6, 300);
       sleep_ms (g_rand_int_range (rng, 50, 400));
     }
   for (int i = 0; i < CHANGES; i++)
-    h_submit_completed (p[i]);
+    h_submit_completed (callers[i]);
   ck_assert_int_eq (over_capacity (), 0);
   for (int i = 0; i < UPSTREAMS; i++)
     set_slots (i, SLOTS);
@@ -79,14 +82,16 @@
 }
 END_TEST
 
+/* The capacity of all upstreams drops to zero while tasks run.  The tasks must
+   run to their end, and the change must be logged.  */
 START_TEST (reduced_capacity_stops_no_running_task)
 {
   h_start_nodes (UPSTREAMS, SLOTS, 2);
-  pid_t p = submit ("long", 0, UPSTREAMS * SLOTS, 2500);
+  pid_t caller = submit ("long", 0, UPSTREAMS * SLOTS, 2500);
   sleep_ms (300);
   for (int i = 0; i < UPSTREAMS; i++)
     set_slots (i, 0);
-  ck_assert (h_submit_completed (p));
+  ck_assert (h_submit_completed (caller));
   GArray *runs = h_read_runs (UPSTREAMS, NULL);
   for (guint i = 0; i < runs->len; i++)
     ck_assert (g_array_index (runs, h_run, i).done);
@@ -101,6 +106,9 @@
 }
 END_TEST
 
+/* One upstream reports a huge capacity and the others none, then no upstream
+   has any.  The caller must get an answer in both cases: the complete job,
+   then a 5xx status.  */
 START_TEST (huge_and_zero_capacity_get_an_answer)
 {
   h_start_nodes (UPSTREAMS, SLOTS, 1);
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -193,7 +193,8 @@
 
 /* Instances append snapshots frequently while an operator publishes, so the
    head is soon a snapshot of the change and not the change itself.  masticctl
-   must report the change as in force, not as refused for another one.  */
+   must report the change as in force, not as refused in favour of
+   another change.  */
 START_TEST (snapshot_after_a_publish_is_not_a_lost_race)
 {
   h_entry_extra_setting = "entry.config_snapshot_ms=100";
@@ -224,8 +225,8 @@
   return out;
 }
 
-/* "config show" must show the configuration in force as it was published, and
-   say so when there is none; "status" must list the members.  */
+/* "config show" must show the configuration in force as it was published, or
+   say that none is published; "status" must list the members.  */
 START_TEST (operator_sees_config_and_members)
 {
   h_start_cluster (1, 2, 100);
