--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -40,7 +40,8 @@
 END_TEST
 
 /* No owner of upstreams is known, which may be due to a handover.  A job with
-   half a second of slack waits for it; another one is refused at once.  */
+   half a second of slack waits for the handover to end; a job with less slack
+   is refused at once.  */
 START_TEST (job_waits_for_a_new_owner_only_if_it_has_slack)
 {
   mm_load load = { .mean_task_ms = 200 };
@@ -74,7 +75,7 @@
     PER_MS = 1 /* one task arrives each ms; 0.5 per ms are served */
   };
   double waiting = 0, busy = 0;
-  int taken = 0, refused = 0, late = 0;
+  int accepted = 0, refused = 0, late = 0;
   for (int ms = 0; ms < 3000; ms++)
     {
       double served = busy / TASK_MS;
@@ -84,7 +85,7 @@
                        .waiting = (uint32_t)waiting,
                        .mean_task_ms = TASK_MS };
       mm_admission a = mm_admission_decide (&load, PER_MS, 105);
-      taken += a.accept;
+      accepted += a.accept;
       refused += !a.accept;
       late += a.accept && waiting * TASK_MS / PLACES > 115;
       waiting += a.accept ? PER_MS : 0;
@@ -93,8 +94,8 @@
       busy += start;
     }
   ck_assert_int_gt (refused, 1000);
-  ck_assert_int_gt (taken, 1400);
-  ck_assert_int_lt (late, taken / 50);
+  ck_assert_int_gt (accepted, 1400);
+  ck_assert_int_lt (late, accepted / 50);
 }
 END_TEST
 
@@ -104,7 +105,7 @@
    can be run.  Returns the share of the new jobs of the next two seconds that
    are in time.  */
 static double
-served_in_time_beside_jobs_sent_again (bool use_timeout)
+share_in_time_beside_resent_jobs (bool use_timeout)
 {
   enum
   {
@@ -117,7 +118,7 @@
     RESENT_TO_MS = 1300,
     END_MS = 2000
   };
-  mm_caller_wait p = { 0 };
+  mm_caller_wait caller_wait = { 0 };
   double busy = 0, waiting = 0, sent = 0, in_time = 0;
   for (int ms = 0; ms < END_MS; ms++)
     {
@@ -130,7 +131,8 @@
             continue; /* two tasks arrive every 5 ms */
           mm_time_ms slack = SLACK_MS;
           bool too_late = mm_caller_wait_is_too_late (
-              &p, resent ? TIMEOUT_MS - MM_RESEND_MS : TIMEOUT_MS, USEFUL_MS);
+              &caller_wait, resent ? TIMEOUT_MS - MM_RESEND_MS : TIMEOUT_MS,
+              USEFUL_MS);
           if (too_late && use_timeout)
             slack = 0;
           mm_load load = { .places = PLACES,
@@ -152,30 +154,32 @@
   return in_time / sent;
 }
 
-/* Jobs that are sent again after an outage use the capacity of new jobs that
-   could still be in time, though an answer is of no use to their callers any
-   more.  Without use of the remaining timeout 0.91 of the new jobs are in
-   time, with it all are.  */
+/* After an outage, jobs that are sent again take capacity from new jobs that
+   could still be in time, although the callers that send again have no use for
+   an answer any more.  If admission ignores the remaining timeout of the
+   callers, 0.91 of the new jobs are in time; if it uses it, all are.  */
 START_TEST (jobs_sent_again_after_an_outage_do_not_displace_new_jobs)
 {
-  double before = served_in_time_beside_jobs_sent_again (false);
-  double now = served_in_time_beside_jobs_sent_again (true);
-  ck_assert_msg (now >= 0.97 && now > before, "%.2f, %.2f before", now,
-                 before);
+  double without_timeout = share_in_time_beside_resent_jobs (false);
+  double with_timeout = share_in_time_beside_resent_jobs (true);
+  ck_assert_msg (with_timeout >= 0.97 && with_timeout > without_timeout,
+                 "%.2f, %.2f before", with_timeout, without_timeout);
 }
 END_TEST
 
-/* Callers of a queue have 1.5 s to spare, and one has 0.2 s left: it has sent
-   its job before.  No caller has where all of them have little time to spare,
-   and where an answer is of use for longer than a caller takes to send a job
-   again, it still is.  */
+/* Callers of a queue have 1.5 s to spare.  A caller with only 0.2 s left has
+   sent its job before and is too late.  In a queue where all callers have
+   little time to spare, no caller counts as too late.  Neither does one in a
+   queue where an answer is of use for longer than a caller takes to send a job
+   again.  */
 START_TEST (remaining_timeout_shows_that_a_job_was_sent_before)
 {
-  mm_caller_wait p = { 0 };
+  mm_caller_wait caller_wait = { 0 };
   for (int i = 0; i < 20; i++)
-    ck_assert (!mm_caller_wait_is_too_late (&p, 1500 + 470 + i, 470));
-  ck_assert (mm_caller_wait_is_too_late (&p, 200 + 470, 470));
-  ck_assert (!mm_caller_wait_is_too_late (&p, 1500 + 470, 470));
+    ck_assert (
+        !mm_caller_wait_is_too_late (&caller_wait, 1500 + 470 + i, 470));
+  ck_assert (mm_caller_wait_is_too_late (&caller_wait, 200 + 470, 470));
+  ck_assert (!mm_caller_wait_is_too_late (&caller_wait, 1500 + 470, 470));
   mm_caller_wait short_timeouts = { 0 };
   for (int i = 0; i < 20; i++)
     ck_assert (
@@ -186,8 +190,8 @@
 }
 END_TEST
 
-/* Sixty tasks of a less urgent queue wait.  They must not cause the refusal of
-   an urgent job, which goes before them, but of a job of their own queue.  */
+/* Sixty tasks of a less urgent queue wait.  An urgent job goes before them
+   and must not be refused because of them; a job of their own queue must.  */
 START_TEST (nobody_is_refused_for_tasks_that_stand_behind)
 {
   mm_capacity_report r
@@ -195,10 +199,10 @@
   mm_load urgent = { .places = r.places,
                      .waiting = mm_capacity_waiting_ahead (&r, 0),
                      .mean_task_ms = 200 };
-  mm_load other = urgent;
-  other.waiting = mm_capacity_waiting_ahead (&r, 2);
+  mm_load less_urgent = urgent;
+  less_urgent.waiting = mm_capacity_waiting_ahead (&r, 2);
   ck_assert (mm_admission_decide (&urgent, 8, 80).accept);
-  ck_assert (!mm_admission_decide (&other, 8, 80).accept);
+  ck_assert (!mm_admission_decide (&less_urgent, 8, 80).accept);
   ck_assert_uint_eq (mm_capacity_waiting_ahead (&r, MM_PRIORITY_LEVELS + 5),
                      60);
 }
@@ -287,21 +291,21 @@
    fault does not exclude it.  */
 START_TEST (failures_in_a_row_exclude_an_upstream_until_a_trial_succeeds)
 {
-  mm_breaker t = { 0 };
-  mm_breaker_record (&t, false, 0);
-  mm_breaker_record (&t, true, 0);
-  mm_breaker_record (&t, false, 0);
-  mm_breaker_record (&t, false, 0);
-  ck_assert (mm_breaker_allows (&t, 5, 0));
-  mm_breaker_record (&t, false, 0);
-  ck_assert (!mm_breaker_allows (&t, 0, MM_BREAKER_OPEN_MS - 1));
-  ck_assert (mm_breaker_allows (&t, 0, MM_BREAKER_OPEN_MS));
-  ck_assert (!mm_breaker_allows (&t, 1, MM_BREAKER_OPEN_MS));
-  mm_breaker_record (&t, false, MM_BREAKER_OPEN_MS);
-  ck_assert (!mm_breaker_allows (&t, 0, 3 * MM_BREAKER_OPEN_MS - 1));
-  ck_assert (mm_breaker_allows (&t, 0, 3 * MM_BREAKER_OPEN_MS));
-  mm_breaker_record (&t, true, 3 * MM_BREAKER_OPEN_MS);
-  ck_assert (mm_breaker_allows (&t, 5, 3 * MM_BREAKER_OPEN_MS));
+  mm_breaker breaker = { 0 };
+  mm_breaker_record (&breaker, false, 0);
+  mm_breaker_record (&breaker, true, 0);
+  mm_breaker_record (&breaker, false, 0);
+  mm_breaker_record (&breaker, false, 0);
+  ck_assert (mm_breaker_allows (&breaker, 5, 0));
+  mm_breaker_record (&breaker, false, 0);
+  ck_assert (!mm_breaker_allows (&breaker, 0, MM_BREAKER_OPEN_MS - 1));
+  ck_assert (mm_breaker_allows (&breaker, 0, MM_BREAKER_OPEN_MS));
+  ck_assert (!mm_breaker_allows (&breaker, 1, MM_BREAKER_OPEN_MS));
+  mm_breaker_record (&breaker, false, MM_BREAKER_OPEN_MS);
+  ck_assert (!mm_breaker_allows (&breaker, 0, 3 * MM_BREAKER_OPEN_MS - 1));
+  ck_assert (mm_breaker_allows (&breaker, 0, 3 * MM_BREAKER_OPEN_MS));
+  mm_breaker_record (&breaker, true, 3 * MM_BREAKER_OPEN_MS);
+  ck_assert (mm_breaker_allows (&breaker, 5, 3 * MM_BREAKER_OPEN_MS));
 }
 END_TEST
 
@@ -372,11 +376,12 @@
 END_TEST
 
 /* Updates pass through a queue that grows and empties.  The clocks of sender
-   and receiver differ and drift.  */
+   and receiver differ and drift.  The delay in the queue must be found to
+   within 10 ms.  */
 START_TEST (queue_delay_is_found_despite_clock_offset_and_drift)
 {
   GRand *rnd = g_rand_new_with_seed ((guint32)_i);
-  mm_queue_delay t = { 0 };
+  mm_queue_delay queue_delay = { 0 };
   mm_time_ms offset_ms = g_rand_int_range (rnd, -1000000, 1000000);
   mm_time_ms queue_ms = 0;
   for (mm_time_ms now = 10000000; now < 10600000; now += 200)
@@ -387,7 +392,8 @@
         queue_ms = 0;
       mm_time_ms drift_ms = (now - 10000000) / 10000;
       mm_time_ms sent_ms = now - queue_ms - 2 + offset_ms - drift_ms;
-      mm_time_ms delay_ms = mm_queue_delay_record_ms (&t, sent_ms, now);
+      mm_time_ms delay_ms
+          = mm_queue_delay_record_ms (&queue_delay, sent_ms, now);
       if (now < 10000000 + MM_QUEUE_DELAY_WINDOW_MS)
         continue;
       ck_assert_int_ge (delay_ms, queue_ms - 10);
@@ -399,16 +405,18 @@
 
 START_TEST (stalled_peer_counts_as_delayed_for_a_while_only)
 {
-  mm_queue_delay t = { 0 };
+  mm_queue_delay queue_delay = { 0 };
   mm_time_ms now = 1000;
-  ck_assert_int_eq (mm_queue_delay_record_ms (&t, now, now), 0);
-  ck_assert_int_eq (mm_queue_delay_record_ms (&t, now - 3000, now), 3000);
+  ck_assert_int_eq (mm_queue_delay_record_ms (&queue_delay, now, now), 0);
+  ck_assert_int_eq (mm_queue_delay_record_ms (&queue_delay, now - 3000, now),
+                    3000);
   for (int i = 0; i < 3; i++)
     {
       now += MM_QUEUE_DELAY_WINDOW_MS;
-      mm_queue_delay_record_ms (&t, now - 3000, now);
+      mm_queue_delay_record_ms (&queue_delay, now - 3000, now);
     }
-  ck_assert_int_eq (mm_queue_delay_record_ms (&t, now - 3000, now), 0);
+  ck_assert_int_eq (mm_queue_delay_record_ms (&queue_delay, now - 3000, now),
+                    0);
 }
 END_TEST
 
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -26,10 +26,10 @@
 }
 
 static pid_t
-submit (int node, const char *name, int no, int tasks, int run_ms)
+submit (int node, const char *name, int number, int tasks, int run_ms)
 {
   char id[32];
-  g_snprintf (id, sizeof id, "%s-%d", name, no);
+  g_snprintf (id, sizeof id, "%s-%d", name, number);
   char *job = h_job_json (id, tasks, run_ms, CALLER_TIMEOUT_MS, true);
   pid_t caller = h_submit (node, job);
   g_free (job);
--- a/tests/test_jobs.c
+++ b/tests/test_jobs.c
@@ -29,9 +29,9 @@
 }
 
 static void
-set_mode (int upstream, const char *m)
+set_mode (int upstream, const char *mode)
 {
-  char *body = g_strdup_printf ("{\"mode\":\"%s\"}", m);
+  char *body = g_strdup_printf ("{\"mode\":\"%s\"}", mode);
   cJSON_Delete (
       h_call ("POST", h_upstream_ports[upstream], "/v1/mode", body, NULL));
   g_free (body);
