--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -34,6 +34,8 @@
   return status;
 }
 
+/* Sends a request for a job to an instance.  Returns the HTTP status.  Stores
+   the job's state in @state, or "" if the answer has none.  */
 static long
 call_job (int node, const char *method, const char *id, char state[16])
 {
@@ -47,7 +49,8 @@
   return status;
 }
 
-/* Submits a kept job again until it is accepted, as a caller would.  */
+/* Submits a kept job up to eight times, as a caller would.  Returns whether it
+   was accepted.  */
 static bool
 submit_until_accepted (int node, const char *id, int tasks, int run_ms)
 {
@@ -60,7 +63,8 @@
   return false;
 }
 
-/* Cancels a kept job again until that is confirmed, as a caller would.  */
+/* Cancels a kept job up to eight times, as a caller would, until this is
+   confirmed.  Returns whether the job is cancelled.  */
 static bool
 cancel_until_confirmed (int node, const char *id)
 {
@@ -125,6 +129,9 @@
   g_array_free (runs, TRUE);
 }
 
+/* Callers may query a kept job at any instance, not only at its home.  Each
+   must answer with the job's state, and with 410 for a job that does not
+   exist.  */
 START_TEST (every_instance_answers_the_state_of_a_kept_job)
 {
   h_start_nodes (3, 4, 3);
@@ -458,7 +465,8 @@
                            .ctx = counts };
   mm_job_log *l = mm_job_log_open (&port, 3, 7, &ev);
   mm_job_log_tick (l);
-  ck_assert_uint_eq (s->records, 0); /* only announces the epoch */
+  ck_assert_uint_eq (s->records, 0); /* the first append only announces the
+                                        epoch */
   answer_append (s, MM_APPEND_OK, 0);
   answer_records (s);
   ck_assert_int_eq (counts->opened, 1);
@@ -631,22 +639,22 @@
 home_fixture_create (void)
 {
   mm_exec_port no_upstreams = { 0 };
-  home_fixture l = { .loop = ev_loop_new (EVFLAG_AUTO) };
-  l.owner = mm_owner_create (&no_upstreams);
-  l.mesh = mm_mesh_create (l.loop, "n@127.0.0.1:1/dc", "dc", "127.0.0.1",
-                           (uint16_t)h_port_base (), l.owner, NULL);
-  ck_assert_ptr_nonnull (l.mesh);
-  l.fleet = mm_fleet_create (l.owner, l.mesh, "dc");
-  return l;
+  home_fixture fx = { .loop = ev_loop_new (EVFLAG_AUTO) };
+  fx.owner = mm_owner_create (&no_upstreams);
+  fx.mesh = mm_mesh_create (fx.loop, "n@127.0.0.1:1/dc", "dc", "127.0.0.1",
+                            (uint16_t)h_port_base (), fx.owner, NULL);
+  ck_assert_ptr_nonnull (fx.mesh);
+  fx.fleet = mm_fleet_create (fx.owner, fx.mesh, "dc");
+  return fx;
 }
 
 static void
-home_fixture_destroy (home_fixture *l)
+home_fixture_destroy (home_fixture *fx)
 {
-  mm_fleet_destroy (l->fleet);
-  mm_mesh_destroy (l->mesh);
-  mm_owner_destroy (l->owner);
-  ev_loop_destroy (l->loop);
+  mm_fleet_destroy (fx->fleet);
+  mm_mesh_destroy (fx->mesh);
+  mm_owner_destroy (fx->owner);
+  ev_loop_destroy (fx->loop);
   mm_clock_set_source (NULL, NULL);
 }
 
@@ -658,9 +666,9 @@
   {
     REQUESTS = 100
   };
-  home_fixture l = home_fixture_create ();
+  home_fixture fx = home_fixture_create ();
   slow_store s = { 0 };
-  mm_home *h = open_home (&s, l.fleet);
+  mm_home *h = open_home (&s, fx.fleet);
   caller_counts c = { 0 };
   now_ms += MM_READ_BARRIER_PAUSE_MS;
   uint32_t before = s.appends;
@@ -668,7 +676,8 @@
     mm_home_confirm_state (h, "nobodys", on_answered, &c);
   ck_assert_int_eq (c.no_job, 0);
   answer_append (&s, MM_APPEND_OK, 0);
-  ck_assert_int_eq (c.no_job, 1); /* the others came after this record */
+  ck_assert_int_eq (c.no_job, 1); /* the other requests came after the
+                                    record was sent */
   now_ms += MM_READ_BARRIER_PAUSE_MS;
   mm_home_tick (h, true);
   answer_append (&s, MM_APPEND_OK, 0);
@@ -680,18 +689,18 @@
   ck_assert_int_eq (c.no_job, REQUESTS);
   ck_assert_int_eq (c.moving, 1);
   mm_home_destroy (h);
-  home_fixture_destroy (&l);
+  home_fixture_destroy (&fx);
 }
 END_TEST
 
 /* A caller cancels its job while the store does not answer, and cancels again.
-   If it were answered before the cancellation is stored, the job could still
-   continue at the next home.  */
+   If the caller were answered before the cancellation is stored, the job could
+   still continue at the next home.  */
 START_TEST (cancel_is_answered_only_once_stored)
 {
-  home_fixture l = home_fixture_create ();
+  home_fixture fx = home_fixture_create ();
   slow_store s = { 0 };
-  mm_home *h = open_home (&s, l.fleet);
+  mm_home *h = open_home (&s, fx.fleet);
   caller_counts c = { 0 }, first = { 0 }, second = { 0 };
   mm_home_submit (h, mm_job_record_create (two_steps ("j"), &queue),
                   on_answered, &c);
@@ -712,22 +721,23 @@
   mm_home_state (h, "j", &a);
   ck_assert_int_eq (a.phase, MM_JOB_CANCELLED);
   mm_home_destroy (h);
-  home_fixture_destroy (&l);
+  home_fixture_destroy (&fx);
 }
 END_TEST
 
-/* The earlier home finished the first step, started the second, and died
-   before it had stored either.  If its successor started the second step as
-   soon as it found the ends of the first, the second step would run twice.  */
+/* The previous home finished the first step, started the second, and died
+   before it had stored the ends of the first.  If its successor started the
+   second step as soon as it found these ends at the upstreams, the second step
+   would run twice.  */
 START_TEST (later_steps_are_in_doubt_too_after_a_takeover)
 {
-  home_fixture l = home_fixture_create ();
+  home_fixture fx = home_fixture_create ();
   mm_job_record *rec = mm_job_record_create (two_steps ("j"), &queue);
   GBytes *bytes = mm_job_record_pack (rec);
   mm_job_record_destroy (rec);
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
-  mm_home *h = open_home (&s, l.fleet);
+  mm_home *h = open_home (&s, fx.fleet);
   now_ms += MM_KEPT_LEASE_LAPSE_MS;
   GHashTable *in_doubt = mm_task_set_new ();
   mm_home_in_doubt (h, in_doubt);
@@ -747,7 +757,7 @@
   g_hash_table_destroy (in_doubt);
   mm_home_destroy (h);
   g_bytes_unref (bytes);
-  home_fixture_destroy (&l);
+  home_fixture_destroy (&fx);
 }
 END_TEST
 
@@ -756,7 +766,7 @@
    once.  */
 START_TEST (non_idempotent_task_is_not_restarted_by_the_next_home)
 {
-  home_fixture l = home_fixture_create ();
+  home_fixture fx = home_fixture_create ();
   mm_submission *once = two_steps ("j");
   once->steps[0].once = once->steps[1].once = true;
   mm_job_record *rec = mm_job_record_create (once, &queue);
@@ -764,7 +774,7 @@
   mm_job_record_destroy (rec);
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
-  mm_home *h = open_home (&s, l.fleet);
+  mm_home *h = open_home (&s, fx.fleet);
   now_ms += MM_KEPT_LEASE_LAPSE_MS;
   GHashTable *in_doubt = mm_task_set_new ();
   mm_home_in_doubt (h, in_doubt);
@@ -777,7 +787,7 @@
   ck_assert_int_eq (a.phase, MM_JOB_FAILED);
   mm_home_destroy (h);
   g_bytes_unref (bytes);
-  home_fixture_destroy (&l);
+  home_fixture_destroy (&fx);
 }
 END_TEST
 
@@ -785,7 +795,7 @@
    complete the job, so the next home must end it by itself.  */
 START_TEST (job_without_tasks_is_ended_by_the_next_home)
 {
-  home_fixture l = home_fixture_create ();
+  home_fixture fx = home_fixture_create ();
   mm_submission *empty = two_steps ("j");
   empty->steps[0].count = empty->steps[1].count = 0;
   mm_job_record *rec = mm_job_record_create (empty, &queue);
@@ -793,7 +803,7 @@
   mm_job_record_destroy (rec);
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
-  mm_home *h = open_home (&s, l.fleet);
+  mm_home *h = open_home (&s, fx.fleet);
   mm_home_tick (h, true);
   answer_append (&s, MM_APPEND_OK, 0);
   mm_kept_answer a;
@@ -801,22 +811,22 @@
   ck_assert_int_eq (a.phase, MM_JOB_COMPLETED);
   mm_home_destroy (h);
   g_bytes_unref (bytes);
-  home_fixture_destroy (&l);
+  home_fixture_destroy (&fx);
 }
 END_TEST
 
-/* An upstream that has left the list has no owner that answers for it, but it
-   may run tasks under its last lease: these must not be searched for, and so
-   not be started again, before that lease has lapsed.  */
+/* An upstream that has left the list has no owner that answers for it, but the
+   upstream may run tasks under its last lease.  These tasks must not be
+   searched for, and so not be started again, before that lease has lapsed.  */
 START_TEST (task_is_not_searched_for_before_its_lease_lapses)
 {
-  home_fixture l = home_fixture_create ();
+  home_fixture fx = home_fixture_create ();
   mm_job_record *rec = mm_job_record_create (two_steps ("j"), &queue);
   GBytes *bytes = mm_job_record_pack (rec);
   mm_job_record_destroy (rec);
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
-  mm_home *h = open_home (&s, l.fleet);
+  mm_home *h = open_home (&s, fx.fleet);
   GHashTable *in_doubt = mm_task_set_new ();
   now_ms += MM_LEASE_MS;
   mm_home_in_doubt (h, in_doubt);
@@ -824,7 +834,7 @@
   g_hash_table_destroy (in_doubt);
   mm_home_destroy (h);
   g_bytes_unref (bytes);
-  home_fixture_destroy (&l);
+  home_fixture_destroy (&fx);
 }
 END_TEST
 
@@ -843,7 +853,8 @@
   tcase_add_test (c,
                   task_that_must_avoid_a_local_upstream_runs_at_another_owner);
   suite_add_tcase (s, c);
-  /* Run as a ctest test of its own, test_kept_resubmit.  */
+  /* The two tests of this case run as a ctest test of their own,
+     test_kept_resubmit.  */
   c = tcase_create ("resubmit");
   tcase_set_tags (c, "resubmit");
   tcase_set_timeout (c, 60);
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -13,9 +13,9 @@
 
 #define INSTANCES 12
 #define UPSTREAMS 40
-#define CALL_MS 4
+#define CALL_MS 4           /* time that the store takes to answer a call */
 #define HEARTBEAT_S 0.1     /* between heartbeats of all upstreams */
-#define DRAIN_BOUND_MS 2000 /* shortest limit that a platform has */
+#define DRAIN_BOUND_MS 2000 /* shortest drain limit that a platform has */
 
 typedef struct
 {
@@ -46,8 +46,8 @@
 {
   ev_timer timer;
   fixture *fx;
-  bool newest;
-  int caller;
+  bool newest; /* reads the newest record of each key, else the changes */
+  int caller;  /* instance */
   uint64_t from_offset;
   mm_stream_answered done;
   void *ctx;
@@ -280,7 +280,7 @@
 }
 
 /* Returns how long it takes until all remaining instances know that an
-   upstream is draining.  */
+   upstream is draining; stops waiting after 10 s.  */
 static mm_time_ms
 known_to_all_ms (fixture *fx, int upstream)
 {
@@ -298,7 +298,7 @@
 }
 
 /* Guards against a store that is busy only with sending the list: with
-   hundreds of instances that each read all of it every 0.9 s, the store did
+   hundreds of instances that each read all of it every 0.9 s, the store does
    little else.  Twelve instances, with forty upstreams that write to the list
    every 100 ms, may send at most a quarter of those reads.  */
 START_TEST (list_is_read_rarely_and_known_to_all)
@@ -341,8 +341,8 @@
 END_TEST
 
 /* Guards against a stale list at a reader that gets no answer from the store:
-   the store answers the other instances, which read the list and update the
-   first one.  */
+   the store answers the other instances, which read the list and send that
+   reader their updates.  */
 START_TEST (reader_without_the_store_is_updated_by_the_others)
 {
   fixture *fx = fixture_create ();
@@ -355,22 +355,24 @@
 }
 END_TEST
 
-/* Delivers a peer's update without changes that was sent @sent_ago_ms ago.  */
+/* Delivers to instance 0 an update of a peer that holds no changes and was
+   sent @sent_ago_ms ago.  */
 static void
 deliver_update (fixture *fx, mm_queue_delay *delay, mm_time_ms sent_ago_ms)
 {
   uint64_t next
       = mm_stream_next_offset (mm_list_share_stream (fx->list_share[0]));
-  mm_list_update n = { .from_offset = next, .to_offset = next, .age_ms = 5 };
-  msgpack_sbuffer b;
-  msgpack_sbuffer_init (&b);
-  mm_list_update_pack (&n, &b);
+  mm_list_update update
+      = { .from_offset = next, .to_offset = next, .age_ms = 5 };
+  msgpack_sbuffer buffer;
+  msgpack_sbuffer_init (&buffer);
+  mm_list_update_pack (&update, &buffer);
   mm_mesh_msg m = { .kind = MM_MESH_UPDATE,
                     .sent_ms = mm_clock_now_ms () - sent_ago_ms,
-                    .data = b.data,
-                    .len = b.size };
+                    .data = buffer.data,
+                    .len = buffer.size };
   mm_mesh_handle_update (fx->mesh[0], fx->info[1].name, delay, &m);
-  msgpack_sbuffer_destroy (&b);
+  msgpack_sbuffer_destroy (&buffer);
 }
 
 /* Guards against a list that seems newer than it is: an update that waited in
@@ -444,7 +446,7 @@
 END_TEST
 
 /* Guards against one instance that always reads: the answers load its link, so
-   the reader changes from round to round.  */
+   the reader must change from round to round.  */
 START_TEST (readers_alternate)
 {
   char *names[INSTANCES];
@@ -488,6 +490,8 @@
                              .draining = true };
 }
 
+/* The log must return exactly the changes after an offset, and must drop its
+   oldest changes when it holds more than MM_LIST_LOG_MAX.  */
 START_TEST (log_returns_changes_after_an_offset)
 {
   mm_list_log *l = mm_list_log_create ();
@@ -510,45 +514,47 @@
 }
 END_TEST
 
+/* An update must be read as it was packed.  A truncated one must be refused,
+   and a corrupted one must not crash the reader.  */
 START_TEST (update_is_read_as_it_was_written)
 {
   mm_upstream_info u = listed_upstream ("a");
   mm_list_change changes[] = { { .name = "a", .info = &u }, { .name = "b" } };
-  mm_list_update n = { .round = 3,
-                       .from_offset = 10,
-                       .to_offset = 30,
-                       .age_ms = 7,
-                       .changes = changes,
-                       .n_changes = 2 };
-  msgpack_sbuffer b;
-  msgpack_sbuffer_init (&b);
-  mm_list_update_pack (&n, &b);
+  mm_list_update update = { .round = 3,
+                            .from_offset = 10,
+                            .to_offset = 30,
+                            .age_ms = 7,
+                            .changes = changes,
+                            .n_changes = 2 };
+  msgpack_sbuffer buffer;
+  msgpack_sbuffer_init (&buffer);
+  mm_list_update_pack (&update, &buffer);
   mm_list_update out;
-  ck_assert (mm_list_update_read (b.data, b.size, &out));
+  ck_assert (mm_list_update_read (buffer.data, buffer.size, &out));
   ck_assert_uint_eq (out.to_offset, 30);
   ck_assert_uint_eq (out.n_changes, 2);
   ck_assert (out.changes[0].info->draining);
   ck_assert_str_eq (out.changes[0].info->labels[0], "r1-3");
   ck_assert_ptr_null (out.changes[1].info);
   mm_list_update_clear (&out);
-  for (size_t len = 0; len < b.size; len++)
+  for (size_t len = 0; len < buffer.size; len++)
     {
-      ck_assert (!mm_list_update_read (b.data, len, &out));
+      ck_assert (!mm_list_update_read (buffer.data, len, &out));
       mm_list_update_clear (&out);
     }
   GRand *rand = g_rand_new_with_seed (7);
   for (int i = 0; i < 20000; i++)
     {
-      char *bytes = g_memdup2 (b.data, b.size);
+      char *bytes = g_memdup2 (buffer.data, buffer.size);
       for (int k = 0; k < 3; k++)
-        bytes[g_rand_int_range (rand, 0, (gint32)b.size)]
+        bytes[g_rand_int_range (rand, 0, (gint32)buffer.size)]
             = (char)g_rand_int_range (rand, 0, 256);
-      mm_list_update_read (bytes, b.size, &out);
+      mm_list_update_read (bytes, buffer.size, &out);
       mm_list_update_clear (&out);
       g_free (bytes);
     }
   g_rand_free (rand);
-  msgpack_sbuffer_destroy (&b);
+  msgpack_sbuffer_destroy (&buffer);
 }
 END_TEST
 
--- a/tests/test_logs.c
+++ b/tests/test_logs.c
@@ -21,8 +21,9 @@
 START_TEST (event_line_names_its_fields_and_escapes_text)
 {
   mm_task_id id = { .job = "0123456789abcdef", .step = 1, .index = 17 };
-  mm_field f[] = { MM_TASK (&id), MM_TEXT ("up\"1\n"), MM_INT (42) };
-  char *line = mm_event_line (MM_EV_TASK_ENDED, f, 3, 7);
+  mm_field event_fields[]
+      = { MM_TASK (&id), MM_TEXT ("up\"1\n"), MM_INT (42) };
+  char *line = mm_event_line (MM_EV_TASK_ENDED, event_fields, 3, 7);
   cJSON *o = cJSON_Parse (line);
   ck_assert_ptr_nonnull (o);
   ck_assert_str_eq (cJSON_GetObjectItem (o, "event")->valuestring,
@@ -68,7 +69,8 @@
   g_log_set_writer_func (count_lines, &lines, NULL);
   for (int i = 0; i < 1000; i++)
     mm_log_event (MM_EV_STOPPING, MM_INT (15));
-  /* The calls may fall into two seconds.  */
+  /* A new second may start during the loop; the limit then applies to each
+     of the two seconds.  */
   ck_assert_int_ge (lines, (int)MM_LOG_RATE_HIGH);
   ck_assert_int_le (lines, 2 * (int)MM_LOG_RATE_HIGH);
   ck_assert_uint_eq (mm_event_mismatches (), 0);
@@ -201,7 +203,8 @@
 }
 END_TEST
 
-/* An upstream fails every task, but its reports are good.  */
+/* An upstream fails every task, but its own reports are good.  The report on
+   the job must name the upstream.  */
 START_TEST (failed_job_is_explained_by_the_upstream)
 {
   const char *lines[]
@@ -224,7 +227,8 @@
 }
 END_TEST
 
-/* A poison task crashes each upstream that starts it.  */
+/* A poison task crashes each upstream that starts it.  The report must name
+   the task and these upstreams.  */
 START_TEST (given_up_job_is_explained_by_the_upstreams_it_crashed)
 {
   const char *lines[]
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -14,7 +14,7 @@
 
 #define PARTITIONS 16
 #define INSTANCES 3
-#define CALL_MS 4
+#define CALL_MS 4 /* round trip of a store call without faults */
 /* Time for two handovers in a row, each of which takes its full time.  */
 #define HANDOVERS_MS (2 * (MM_HANDOVER_MS + MM_GROUP_HEARTBEAT_MS))
 
@@ -208,14 +208,15 @@
 }
 
 /* Counts the instances that own an upstream, and so may start tasks there.
-   Stores the highest of their fencing tokens in @highest.  */
+   Stores the highest of their fencing tokens in @highest_fence, 0 if no
+   instance owns the upstream.  */
 static int
-count_owners (const fixture *f, int upstream, uint64_t *highest)
+count_owners (const fixture *f, int upstream, uint64_t *highest_fence)
 {
   char name[32];
   int n = 0;
   upstream_name (name, sizeof name, upstream);
-  *highest = 0;
+  *highest_fence = 0;
   for (int i = 0; i < INSTANCES; i++)
     {
       uint64_t fence = 0;
@@ -224,7 +225,7 @@
                  == MM_PARTITION_OWNED)
         {
           n++;
-          *highest = MAX (*highest, fence);
+          *highest_fence = MAX (*highest_fence, fence);
         }
     }
   return n;
@@ -339,7 +340,7 @@
    lasts.  It continues as owner, as it must when all instances are
    disconnected.  The instance that takes over has a higher fencing token for
    each upstream, so the upstreams refuse the previous owner.  Once
-   connected again, each upstream must have one owner.  */
+   the instance is connected again, each upstream must have one owner.  */
 START_TEST (disconnected_owner_is_fenced_by_its_successor)
 {
   fixture *f = fixture_create ();
@@ -429,7 +430,7 @@
 END_TEST
 
 /* Joins are carried out, but their answers are lost.  The instance learns of
-   no change meanwhile, and must not count as gone for that.  */
+   no change meanwhile, and must not count as gone because of that.  */
 START_TEST (lost_answers_keep_the_membership)
 {
   fixture *f = fixture_create ();
@@ -852,8 +853,8 @@
 END_TEST
 
 /* A record of 1 MB takes 4 s over a link of 2 Mbit/s, and its size is not
-   known before it is read.  With the same timeout at each try it would never
-   arrive.  */
+   known before it is read.  With the same timeout at each try the record
+   would never arrive.  */
 START_TEST (read_that_fails_is_waited_for_longer_each_time)
 {
   slow_link_store k = { .end_offset = 5 };
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -124,13 +124,13 @@
   uint32_t links = 0;
   for (int i = 0; i < INSTANCES; i++)
     {
-      uint32_t out = mm_mesh_connected (f->mesh[i]);
-      ck_assert_uint_le (out, MM_NEIGHBOURS_NEAR + MM_NEIGHBOURS_FAR);
-      ck_assert_uint_ge (out, MM_NEIGHBOURS_NEAR);
+      uint32_t outbound = mm_mesh_connected (f->mesh[i]);
+      ck_assert_uint_le (outbound, MM_NEIGHBOURS_NEAR + MM_NEIGHBOURS_FAR);
+      ck_assert_uint_ge (outbound, MM_NEIGHBOURS_NEAR);
       ck_assert_uint_ge (mm_mesh_inbound (f->mesh[i]), 1);
       ck_assert_uint_le (mm_mesh_inbound (f->mesh[i]),
                          2 * (MM_NEIGHBOURS_NEAR + MM_NEIGHBOURS_FAR));
-      links += out;
+      links += outbound;
     }
   ck_assert_uint_lt (links, INSTANCES * (INSTANCES - 1) / 2);
   fixture_destroy (f);
@@ -139,7 +139,7 @@
 
 /* All instances of a data centre but one are killed.  An instance whose links
    led to two of the killed ones must not conclude that the data centre has no
-   instance left, and become standby for one that is served.  */
+   instance left; it would become standby for a data centre that is served.  */
 START_TEST (last_instance_of_a_data_centre_is_found_when_the_others_die)
 {
   fixture *f = fixture_create ();
@@ -269,7 +269,7 @@
 }
 END_TEST
 
-/* Each message is read as it was packed.  A receiver closes the link on a
+/* Each message must be read as it was packed.  A receiver closes the link on a
    message that it cannot read, and all tasks on the link are in doubt.  */
 START_TEST (messages_are_read_as_they_were_packed)
 {
@@ -285,21 +285,21 @@
     = { .places = 9, .waiting = 3, .waiting_by_priority = { 1, 0, 2 } }
   };
   mm_work_result result = { .how = MM_END_DONE, .run = 3 };
-  msgpack_sbuffer b;
-  msgpack_sbuffer_init (&b);
-  mm_mesh_pack_run (&b, 7, &t);
-  mm_mesh_pack_cancel (&b, 7);
-  mm_mesh_pack_heartbeat (&b);
-  mm_mesh_pack_ended (&b, 7, &result);
-  mm_mesh_pack_report (&b, 7, "node", true, &capacity, 1);
-  mm_mesh_pack_hello (&b, "node");
-  mm_mesh_pack_request (&b, 7, 1, "x", 1);
-  mm_mesh_pack_answer (&b, 7, "x", 1);
-  mm_mesh_pack_released (&b, "room-dc1");
+  msgpack_sbuffer buffer;
+  msgpack_sbuffer_init (&buffer);
+  mm_mesh_pack_run (&buffer, 7, &t);
+  mm_mesh_pack_cancel (&buffer, 7);
+  mm_mesh_pack_heartbeat (&buffer);
+  mm_mesh_pack_ended (&buffer, 7, &result);
+  mm_mesh_pack_report (&buffer, 7, "node", true, &capacity, 1);
+  mm_mesh_pack_hello (&buffer, "node");
+  mm_mesh_pack_request (&buffer, 7, 1, "x", 1);
+  mm_mesh_pack_answer (&buffer, 7, "x", 1);
+  mm_mesh_pack_released (&buffer, "room-dc1");
   mm_found_run found
       = { .upstream = "up", .task = t.id, .run = 3, .fence = 9 };
-  mm_mesh_pack_found (&b, &found);
-  mm_mesh_pack_update (&b, 5, "x", 1);
+  mm_mesh_pack_found (&buffer, &found);
+  mm_mesh_pack_update (&buffer, 5, "x", 1);
   uint64_t task_hash = 77;
   mm_loss loss = { .upstream = "up",
                    .addr = "127.0.0.1:1",
@@ -307,16 +307,17 @@
                    .unresponsive_since_ms = mm_clock_now_ms () - 500,
                    .tasks = &task_hash,
                    .n_tasks = 1 };
-  mm_mesh_pack_loss (&b, &loss);
-  msgpack_unpacked o;
-  msgpack_unpacked_init (&o);
-  size_t at = 0;
+  mm_mesh_pack_loss (&buffer, &loss);
+  msgpack_unpacked unpacked;
+  msgpack_unpacked_init (&unpacked);
+  size_t offset = 0;
   for (int kind = MM_MESH_RUN; kind <= MM_MESH_LOSS; kind++)
     {
       mm_mesh_msg m;
-      ck_assert_int_eq (msgpack_unpack_next (&o, b.data, b.size, &at),
-                        MSGPACK_UNPACK_SUCCESS);
-      ck_assert_msg (mm_mesh_msg_read (&o.data, &m), "kind %d", kind);
+      ck_assert_int_eq (
+          msgpack_unpack_next (&unpacked, buffer.data, buffer.size, &offset),
+          MSGPACK_UNPACK_SUCCESS);
+      ck_assert_msg (mm_mesh_msg_read (&unpacked.data, &m), "kind %d", kind);
       ck_assert_int_eq (m.kind, kind);
       if (kind == MM_MESH_RUN)
         ck_assert (mm_task_id_equal (&m.request.id, &t.id)
@@ -340,15 +341,16 @@
             && mm_capacity_waiting_ahead (&m.capacities[0].capacity, 2) == 3);
       mm_mesh_msg_clear (&m);
     }
-  msgpack_unpacked_destroy (&o);
-  msgpack_sbuffer_destroy (&b);
+  msgpack_unpacked_destroy (&unpacked);
+  msgpack_sbuffer_destroy (&buffer);
 }
 END_TEST
 
-/* A standby instance had links from all 146 others and sent a report each
-   608 ms on each link.  The others close a link as unresponsive after 600 ms:
-   they closed and opened the links again and again for seconds, and each time
-   the tasks dispatched to the standby instance were in doubt.  */
+/* Guards against links that break because reports are too rare.  A standby
+   instance with links from all 146 others sent a report on each link every
+   608 ms.  The others close a link as unresponsive after 600 ms, so they close
+   and open their links again and again for seconds, and each time the tasks
+   dispatched to the standby instance are in doubt.  */
 START_TEST (links_stay_alive_however_many_there_are)
 {
   for (uint32_t links = 0; links < 2000; links++)
