--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -52,9 +52,9 @@
 submit (int node, const char *id, int tasks, int run_ms, bool idempotent)
 {
   char *job = h_job_json (id, tasks, run_ms, 20000, idempotent);
-  pid_t p = h_submit (node, job);
+  pid_t caller = h_submit (node, job);
   g_free (job);
-  return p;
+  return caller;
 }
 
 /* Submits a job with the id NAME-NUMBER.  */
@@ -105,14 +105,16 @@
 
 /* ---- tests ------------------------------------------------------------ */
 
+/* Without faults, jobs submitted to three instances at the same time must all
+   complete, with one run for each task.  */
 START_TEST (jobs_at_all_instances_are_answered_whole)
 {
   h_start_nodes (4, 4, 3);
-  pid_t p[9];
+  pid_t callers[9];
   for (int i = 0; i < 9; i++)
-    p[i] = submit_numbered (i % 3, "job", i, 5, 100, true);
+    callers[i] = submit_numbered (i % 3, "job", i, 5, 100, true);
   for (int i = 0; i < 9; i++)
-    ck_assert (h_submit_completed (p[i]));
+    ck_assert (h_submit_completed (callers[i]));
   assert_no_overload_or_double_run (4);
   ck_assert_int_eq (count_runs (4, "job-"), 45);
   h_stop_cluster ();
@@ -127,12 +129,12 @@
 START_TEST (killed_instance_leaves_no_task_running_twice)
 {
   h_start_nodes (4, 4, 2);
-  pid_t p[2] = { submit (0, "keep", 12, 900, true),
-                 submit (1, "lose", 4, 900, true) };
+  pid_t callers[2] = { submit (0, "keep", 12, 900, true),
+                       submit (1, "lose", 4, 900, true) };
   sleep_ms (300);
   h_stop (h_instances[1], SIGKILL);
-  bool kept_answered = h_submit_completed (p[0]);
-  ck_assert (!h_submit_completed (p[1]));
+  bool kept_answered = h_submit_completed (callers[0]);
+  ck_assert (!h_submit_completed (callers[1]));
   sleep_ms (RESEND_MS);
   ck_assert (served_with_retries (0, "lose", 4, 300));
   ck_assert (kept_answered || served_with_retries (0, "keep", 12, 300));
@@ -143,19 +145,19 @@
 END_TEST
 
 /* An instance dies while it runs tasks of a job that another instance
-   accepted.  The accepting instance answered that the job is in doubt, which
-   left a caller that does not send it again without a result.  The leases of
-   the runs expire within 1.3 s: the accepting instance must run the tasks
-   again after that and answer late but completely, and no task may run twice
-   at the same time.  */
+   accepted.  If the accepting instance answers that the job is in doubt, a
+   caller that does not send the job again gets no result.  The leases of the
+   runs expire within 1.3 s: the accepting instance must run the tasks again
+   after that and answer late but completely, and no task may run twice at the
+   same time.  */
 START_TEST (job_is_answered_whole_though_an_owner_of_its_tasks_dies)
 {
   h_start_nodes (4, 4, 2);
   int killed = owns_no_upstream (1) ? 0 : 1;
-  pid_t p = submit (1 - killed, "whole", 16, 900, true);
+  pid_t caller = submit (1 - killed, "whole", 16, 900, true);
   sleep_ms (300);
   h_stop (h_instances[killed], SIGKILL);
-  ck_assert (h_submit_completed (p));
+  ck_assert (h_submit_completed (caller));
   ck_assert_int_gt (count_runs (4, "whole"), 16);
   assert_no_overload_or_double_run (4);
   h_stop_cluster ();
@@ -163,14 +165,15 @@
 END_TEST
 
 /* An instance stalls for two seconds, the connection of its caller times out
-   and the caller sends the job to another instance.  When it resumes, it must
-   not start the tasks that it had queued.  */
+   and the caller sends the job to another instance.  After the
+   stalled instance has resumed, it must not start the tasks that it had
+   queued.  */
 START_TEST (frozen_instance_starts_no_queued_task)
 {
   h_start_nodes (2, 2, 2);
-  pid_t p[3];
+  pid_t callers[3];
   for (int i = 0; i < 3; i++)
-    p[i] = submit_numbered (1, "froz", i, 2, 800, true);
+    callers[i] = submit_numbered (1, "froz", i, 2, 800, true);
   sleep_ms (100);
   kill (h_instances[1], SIGSTOP);
   sleep_ms (RESEND_MS);
@@ -181,7 +184,7 @@
   kill (h_instances[1], SIGCONT);
   for (int i = 0; i < 3; i++)
     {
-      h_submit_completed (p[i]);
+      h_submit_completed (callers[i]);
       h_submit_completed (again[i]);
     }
   sleep_ms (1500);
@@ -198,15 +201,15 @@
   h_start_nodes (3, 2, 2);
   for (int i = 0; i < 3; i++)
     upstream_fault (i, "{\"lose_starts\":4,\"late_ms\":2000}");
-  pid_t p[12];
+  pid_t callers[12];
   for (int i = 0; i < 12; i++)
     {
-      p[i] = submit_numbered (i % 2, "late", i, 2, 250, true);
+      callers[i] = submit_numbered (i % 2, "late", i, 2, 250, true);
       sleep_ms (150);
     }
   int answered = 0;
   for (int i = 0; i < 12; i++)
-    answered += h_submit_completed (p[i]);
+    answered += h_submit_completed (callers[i]);
   ck_assert_int_ge (answered, 10);
   sleep_ms (2500);
   assert_no_overload_or_double_run (3);
@@ -219,13 +222,13 @@
 START_TEST (graceful_stop_interrupts_no_job)
 {
   h_start_nodes (4, 4, 2);
-  pid_t p[4];
+  pid_t callers[4];
   for (int i = 0; i < 4; i++)
-    p[i] = submit_numbered (1, "term", i, 4, 600, false);
+    callers[i] = submit_numbered (1, "term", i, 4, 600, false);
   sleep_ms (200);
   kill (h_instances[1], SIGTERM);
   for (int i = 0; i < 4; i++)
-    ck_assert (h_submit_completed (p[i]));
+    ck_assert (h_submit_completed (callers[i]));
   h_stop (h_instances[1], SIGTERM);
   ck_assert (h_wait_nodes (1, 4, 5000));
   pid_t after = submit (0, "after", 16, 100, true);
@@ -242,8 +245,8 @@
 {
   h_start_nodes (1, 4, 2);
   int node = owns_no_upstream (0) ? 0 : 1;
-  pid_t p = fork ();
-  if (p == 0)
+  pid_t caller = fork ();
+  if (caller == 0)
     {
       char *job = h_job_json ("long", 1, 9000, 20000, true);
       long status = 0;
@@ -254,7 +257,7 @@
   sleep_ms (300);
   kill (h_instances[node], SIGTERM);
   int st = 0;
-  waitpid (p, &st, 0);
+  waitpid (caller, &st, 0);
   ck_assert (WIFEXITED (st));
   ck_assert_int_eq (WEXITSTATUS (st), 0);
   h_stop_cluster ();
@@ -308,7 +311,8 @@
 }
 END_TEST
 
-/* The store drops its history and reassigns all partitions.  */
+/* The store drops its history and reassigns all partitions.  The instances
+   must own all upstreams again within seconds and serve jobs.  */
 START_TEST (instances_serve_after_dropped_history_and_reassignment)
 {
   h_start_nodes (4, 4, 2);
@@ -355,10 +359,10 @@
 START_TEST (tasks_of_a_caller_that_left_are_stopped)
 {
   h_start_nodes (2, 2, 2);
-  pid_t p = submit (0, "left", 4, 10000, true);
+  pid_t caller = submit (0, "left", 4, 10000, true);
   sleep_ms (300);
-  kill (p, SIGKILL);
-  h_submit_completed (p);
+  kill (caller, SIGKILL);
+  h_submit_completed (caller);
   sleep_ms (500);
   ck_assert (h_submit_completed (submit (1, "next", 4, 100, true)));
   ck_assert_int_eq (count_runs (2, "left"), 4);
@@ -397,13 +401,13 @@
 START_TEST (all_instances_killed_serve_again_within_seconds)
 {
   h_start_nodes (4, 4, 2);
-  pid_t p[2] = { submit (0, "herd-0", 4, 1000, true),
-                 submit (1, "herd-1", 4, 1000, true) };
+  pid_t callers[2] = { submit (0, "herd-0", 4, 1000, true),
+                       submit (1, "herd-1", 4, 1000, true) };
   sleep_ms (100);
   h_stop (h_instances[0], SIGKILL);
   h_stop (h_instances[1], SIGKILL);
-  h_submit_completed (p[0]);
-  h_submit_completed (p[1]);
+  h_submit_completed (callers[0]);
+  h_submit_completed (callers[1]);
   h_start_node (0);
   h_start_node (1);
   ck_assert (h_wait_nodes (2, 4, 6000));
@@ -431,10 +435,10 @@
 }
 
 /* All instances lose power and are restarted within a second, before their
-   memberships in the store's groups expire.  As new members they waited for
-   the old memberships to expire: for half a second no instance owned an
-   upstream, and every caller was refused.  They need not wait, as the previous
-   incarnations are known to be dead: the new ones listen on their ports.  */
+   memberships in the store's groups expire.  If they wait, as new
+   members, for the old memberships to expire, no instance owns an upstream for
+   half a second and every caller is refused.  They need not wait: the previous
+   incarnations are known to be dead, as the new ones listen on their ports. */
 START_TEST (restarted_instances_own_upstreams_within_150_ms)
 {
   h_start_nodes (8, 4, 2);
@@ -460,10 +464,10 @@
   h_start_nodes (2, 2, 1);
   for (int i = 0; i < 2; i++)
     upstream_fault (i, "{\"lose_starts\":8,\"late_ms\":1500}");
-  pid_t p = submit (0, "dead", 4, 500, true);
+  pid_t caller = submit (0, "dead", 4, 500, true);
   sleep_ms (60);
   h_stop (h_instances[0], SIGKILL);
-  h_submit_completed (p);
+  h_submit_completed (caller);
   h_start_node (0);
   ck_assert (h_wait_nodes (1, 2, 6000));
   for (int i = 0; i < 8; i++)
@@ -477,13 +481,14 @@
 
 typedef struct
 {
-  mm_time_ms term_ms; /* when it was sent SIGTERM, 0: not yet */
-  bool back;          /* it is running again */
+  mm_time_ms term_ms; /* when the instance was sent SIGTERM, 0: not yet */
+  bool back;          /* the instance is running again */
 } restart;
 
 #define BALANCER_SEES_MS 2000 /* time of two failed checks, one a second */
 
-/* Returns whether the balancer sends new callers to this instance.  */
+/* Returns whether the balancer sends new callers to an instance.  It does so
+   for BALANCER_SEES_MS after the instance was told to stop.  */
 static bool
 in_rotation (const restart *r)
 {
@@ -516,7 +521,7 @@
     h_datacentres[i] = "dc2";
   h_start_nodes (8, 3, NODES);
   restart r[NODES] = { 0 };
-  pid_t p[JOBS];
+  pid_t callers[JOBS];
   mm_time_ms first_term_ms = mm_clock_now_ms () + 500;
   for (int i = 0, node = 0; i < JOBS; i++)
     {
@@ -532,21 +537,21 @@
       do
         node = (node + 1) % NODES;
       while (!in_rotation (&r[node]));
-      p[i] = submit_numbered (node, "roll", i, 2, 100, true);
+      callers[i] = submit_numbered (node, "roll", i, 2, 100, true);
       sleep_ms (EVERY_MS);
     }
   int served = 0;
   for (int i = 0; i < JOBS; i++)
-    served += h_submit_completed (p[i]);
+    served += h_submit_completed (callers[i]);
   ck_assert_int_ge (served, JOBS * 97 / 100);
   assert_no_overload_or_double_run (8);
   h_stop_cluster ();
 }
 
 /* Restarted half a second apart, all instances are shutting down at the
-   same time.  Each released its upstreams at once, no instance took them over,
-   and a quarter of the jobs of that time was refused.  An instance must serve
-   on until one that is not shutting down has taken over.  */
+   same time.  If each releases its upstreams at once, no instance takes them
+   over, and a quarter of the jobs of that time is refused.  An instance must
+   serve on until one that is not shutting down has taken over.  */
 START_TEST (restart_of_all_instances_one_by_one_is_not_noticed)
 {
   restart_all_under_load (1, 500);
@@ -586,24 +591,24 @@
     EVERY_MS = 40,
     MAX_JOBS = 100
   };
-  pid_t p[MAX_JOBS];
+  pid_t callers[MAX_JOBS];
   int n = MIN (for_ms / EVERY_MS, MAX_JOBS);
   for (int i = 0; i < n; i++)
     {
-      p[i] = submit_numbered (node, name, i, 2, 100, true);
+      callers[i] = submit_numbered (node, name, i, 2, 100, true);
       sleep_ms (EVERY_MS);
     }
   int unserved = 0;
   for (int i = 0; i < n; i++)
-    unserved += !h_submit_completed (p[i]);
+    unserved += !h_submit_completed (callers[i]);
   return unserved;
 }
 
 /* An instance joins and gets half of the upstreams, the store reassigns them,
-   and an instance is killed.  A quarter of the capacity is in use.  Capacity
-   that was handed over was in no instance's report for 0.3 s: jobs were
-   refused although they had time to wait, and the next owner stopped the runs
-   there.  */
+   and an instance is killed.  A quarter of the capacity is in use.  If
+   capacity that is handed over is in no instance's report for 0.3 s, jobs are
+   refused although they have time to wait; and if the next owner stops the
+   runs there, their jobs are lost.  */
 START_TEST (no_job_with_slack_is_refused_during_handovers)
 {
   h_start_nodes (8, 4, 2);
@@ -612,9 +617,10 @@
   ck_assert_int_eq (count_unserved (0, "join", 2000), 0);
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
                         "{\"deal_anew\":true}", NULL));
-  count_unserved (0, "deal", 2000); /* runs are stopped, see the next test */
+  count_unserved (0, "deal", 2000); /* reassignment_loses_no_job checks the
+                                       result */
   h_stop (h_instances[2], SIGKILL);
-  count_unserved (0, "kill", 2500); /* its runs are lost */
+  count_unserved (0, "kill", 2500); /* runs of the killed instance are lost */
   sleep_ms (50);
   ck_assert_int_eq (
       h_count_in_log (h_instances[0], "\"event\":\"job_refused\""), 0);
@@ -623,8 +629,8 @@
 }
 END_TEST
 
-/* The store reassigns the upstreams, and their next owners stopped the runs
-   there, so that jobs were lost.  */
+/* The store reassigns the upstreams while jobs run.  If the next owners stop
+   the runs that they find there, jobs are lost.  */
 START_TEST (reassignment_loses_no_job)
 {
   h_start_nodes (8, 4, 3);
@@ -637,7 +643,7 @@
 }
 END_TEST
 
-/* The state dump, metrics and log of an instance agree about its jobs.  */
+/* The state dump, metrics and log of an instance must agree about its jobs. */
 START_TEST (dump_metrics_and_log_agree)
 {
   h_start_nodes (1, 4, 1);
@@ -671,6 +677,8 @@
 }
 END_TEST
 
+/* A malformed job must be answered with 400 and an error, and a job for an
+   unknown queue with 404.  */
 START_TEST (bad_requests_get_typed_errors)
 {
   h_start_nodes (1, 4, 1);
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -195,9 +195,10 @@
 }
 END_TEST
 
-/* Neither an order nor its stops get an answer.  Until the order's deadline
-   has passed at the upstream, its capacity must not be used and the task must
-   not be started elsewhere.  */
+/* Neither an order nor its stops get an answer.  The order may still be
+   carried out late.  Until its deadline has passed at the upstream, the
+   capacity that it needs must not be used and the task must not be started
+   elsewhere.  */
 START_TEST (order_without_any_answer_is_waited_out)
 {
   fixture fx = fixture_create ();
@@ -222,8 +223,8 @@
 END_TEST
 
 /* Orders arrive at an upstream, but its answers do not come back.  The task
-   runs until its stop arrives.  Reported as not run, it would be started
-   again, though it may run at most once.  */
+   runs until its stop arrives.  If it were reported as not run, it would be
+   started again, though it may run at most once.  */
 START_TEST (task_whose_start_was_never_answered_is_not_reported_as_not_run)
 {
   fixture fx = fixture_create ();
@@ -353,9 +354,9 @@
 }
 END_TEST
 
-/* A caller's connection breaks, and it sends its job again while the tasks of
-   the first request are still being stopped.  They must not run twice at the
-   same time.  */
+/* A caller's connection breaks, and the caller sends its job again while the
+   tasks of the first request are still being stopped.  No task may run twice
+   at the same time.  */
 START_TEST (same_task_again_waits_for_the_end_of_its_first_run)
 {
   fixture fx = fixture_create ();
@@ -392,8 +393,9 @@
 }
 END_TEST
 
-/* Updates an upstream's entry in the list while an order is in flight that it
-   rejects for its run number.  Returns the number of starts that follow.  */
+/* Updates an upstream's entry in the list while an order is in flight that the
+   upstream rejects for its run number.  Returns the number of starts that
+   follow.  */
 static uint32_t
 starts_after_a_rejected_number (bool draining, int64_t cpu_milli)
 {
@@ -417,6 +419,8 @@
   return starts;
 }
 
+/* An order that was rejected for its run number is sent again with a higher
+   one.  It must not be sent if the upstream is listed as draining by then.  */
 START_TEST (start_with_a_higher_number_is_not_sent_to_a_draining_upstream)
 {
   ck_assert_uint_eq (
@@ -426,6 +430,9 @@
 }
 END_TEST
 
+/* An order that was rejected for its run number is sent again with a higher
+   one.  It must not be sent if the task exceeds the capacity that is listed
+   for the upstream by then.  */
 START_TEST (start_with_a_higher_number_is_not_sent_beyond_a_smaller_capacity)
 {
   ck_assert_uint_eq (starts_after_a_rejected_number (false, TASK_CPU_MILLI),
@@ -751,7 +758,7 @@
   fixture_add (&fx, "a");
   fixture_add (&fx, "b");
   fixture_run (&fx, 10);
-  outcome longest, more, s[SHORT];
+  outcome longest, more, short_tasks[SHORT];
   submit (&fx, &longest, "long", 0, LONG_MS);
   fixture_run (&fx, 50);
   mm_owner_freeze_upstream (fx.owner, "a");
@@ -761,15 +768,15 @@
   int in_time = 0;
   for (uint32_t i = 0; i < SHORT; i++)
     {
-      submit (&fx, &s[i], "short", i, SHORT_MS);
+      submit (&fx, &short_tasks[i], "short", i, SHORT_MS);
       fixture_run (&fx, 25);
     }
   ck_assert_uint_eq (more.answers, 0);
   fixture_run (&fx, LONG_MS - 25 * SHORT);
   ck_assert_int_eq (longest.how, MM_END_DONE);
   for (uint32_t i = 0; i < SHORT; i++)
-    in_time += s[i].answers == 1 && s[i].how == MM_END_DONE
-               && s[i].ended_ms <= longest.ended_ms;
+    in_time += short_tasks[i].answers == 1 && short_tasks[i].how == MM_END_DONE
+               && short_tasks[i].ended_ms <= longest.ended_ms;
   ck_assert_int_eq (in_time, SHORT);
   ck_assert (mm_owner_idle (fx.owner, "a") && mm_owner_idle (fx.owner, "b"));
   ck_assert_int_le (longest.ended_ms - handover_ms, LONG_MS);
@@ -851,9 +858,9 @@
 END_TEST
 
 /* A restarted instance owns an upstream that lists an end of a previous
-   owner's run, and is disconnected from the job's home.  It knows of no kept
-   job, but must hold the end until the home has answered: if it dropped the
-   end, the task would be started again.  */
+   owner's run, and is disconnected from the job's home.  The instance knows of
+   no kept job, but must hold the end until the home has answered: if it
+   dropped the end, the task would be started again.  */
 START_TEST (ends_of_a_previous_owner_are_held_until_their_home_has_answered)
 {
   for (int answered = 0; answered < 2; answered++)
@@ -908,7 +915,7 @@
 
 /* Ends that are not acknowledged fill the page that an upstream answers with.
    A task that has just ended is neither listed as running nor on that page.
-   Taken for lost, it would run a second time.  */
+   If it were taken for lost, it would run a second time.  */
 START_TEST (task_whose_end_is_on_a_later_page_is_not_lost)
 {
   fixture fx = fixture_create ();
@@ -993,7 +1000,7 @@
 
 /* On a link of 2 Mbit/s the last order of a job is sent 50 ms after the first
    one.  The time in this instance's own queue must not count towards the
-   timeout of its answer.  */
+   timeout of the order's answer.  */
 START_TEST (orders_in_the_uplink_queue_are_waited_for)
 {
   fixture fx = fixture_create ();
@@ -1021,17 +1028,19 @@
 END_TEST
 
 /* Slow answers of one upstream must not delay the detection of a lost order to
-   another one.  */
+   another one.  Only when two upstreams answer late does the minimum timeout
+   of all upstreams rise, for MM_RTO_FLOOR_TTL_MS.  */
 START_TEST (slow_answers_of_one_upstream_delay_no_other)
 {
-  mm_rto_floor f = { 0 };
+  mm_rto_floor rto_floor = { 0 };
   int a, b;
-  for (mm_time_ms t = 1000; t < 3000; t += 100)
-    mm_rto_floor_late (&f, &a, 200, t);
-  ck_assert_int_eq (mm_rto_floor_ms (&f, 3000), 0);
-  mm_rto_floor_late (&f, &b, 200, 3000);
-  ck_assert_int_ge (mm_rto_floor_ms (&f, 3000), 200);
-  ck_assert_int_eq (mm_rto_floor_ms (&f, 3000 + MM_RTO_FLOOR_TTL_MS), 0);
+  for (mm_time_ms now_ms = 1000; now_ms < 3000; now_ms += 100)
+    mm_rto_floor_late (&rto_floor, &a, 200, now_ms);
+  ck_assert_int_eq (mm_rto_floor_ms (&rto_floor, 3000), 0);
+  mm_rto_floor_late (&rto_floor, &b, 200, 3000);
+  ck_assert_int_ge (mm_rto_floor_ms (&rto_floor, 3000), 200);
+  ck_assert_int_eq (mm_rto_floor_ms (&rto_floor, 3000 + MM_RTO_FLOOR_TTL_MS),
+                    0);
 }
 END_TEST
 
