--- a/tests/test_ownership_changes.c
+++ b/tests/test_ownership_changes.c
@@ -13,8 +13,8 @@
 enum
 {
   UPSTREAMS = 6,
-  UPSTREAM_CPU = 32000, /* CPU of an upstream: four tasks */
-  TASK_CPU = 8000,
+  UPSTREAM_CPU_MILLI = 32000, /* four tasks fit */
+  TASK_CPU_MILLI = 8000,
   CALL_MAX_MS = 5, /* longest time that a call to an upstream takes */
   LONG_MS = 2000,
   SHORT_MS = 50
@@ -34,7 +34,7 @@
   mm_ownership *ownership;
   fake *upstreams[UPSTREAMS];
   partition partitions[UPSTREAMS];
-  uint64_t changes;
+  uint64_t changes; /* number of changes of partitions */
   uint64_t last_fence;
   bool list_fresh;
   uint32_t n_tasks;
@@ -122,7 +122,8 @@
     {
       char name[8];
       g_snprintf (name, sizeof name, "u%d", i);
-      fx->upstreams[i] = fakes_add (fx->fake_upstreams, name, UPSTREAM_CPU);
+      fx->upstreams[i]
+          = fakes_add (fx->fake_upstreams, name, UPSTREAM_CPU_MILLI);
       list_upstream (fx, i);
       assign (fx, i, MM_PARTITION_OWNED);
     }
@@ -146,14 +147,16 @@
 }
 
 static void
-submit (fixture *fx, mm_time_ms run_ms, mm_time_ms within_ms)
+submit (fixture *fx, mm_time_ms run_ms, mm_time_ms wait_max_ms)
 {
-  mm_task_request t = fakes_task ("job", fx->n_tasks++, TASK_CPU, run_ms);
-  t.start_within_ms = within_ms;
+  mm_task_request t
+      = fakes_task ("job", fx->n_tasks++, TASK_CPU_MILLI, run_ms);
+  t.start_within_ms = wait_max_ms;
   mm_owner_submit (fx->owner, &t, ignore_end, NULL);
 }
 
-/* Starts a long task on each upstream, so that a handover takes time.  */
+/* Starts a long task on each upstream, so that a handover takes time.  Short
+   tasks fill the rest of the capacity and have ended on return.  */
 static void
 start_long_tasks (fixture *fx)
 {
@@ -185,6 +188,8 @@
   return n;
 }
 
+/* Lists all upstreams as draining, waits for the calls that are in flight, and
+   asserts that no task starts from then on.  */
 static void
 assert_no_start_on_draining (fixture *fx)
 {
@@ -199,9 +204,8 @@
   ck_assert_uint_eq (total_starts (fx), starts);
 }
 
-/* The next three tests guard against tasks started on a draining upstream:
-   while its partition is owned, during a handover, and while the list is
-   stale.  */
+/* Guards against tasks started on a draining upstream while its partition is
+   owned: an order must not follow the list entry by more than a call.  */
 START_TEST (draining_is_in_force_while_partitions_are_owned)
 {
   fixture *fx = fixture_create ();
@@ -211,6 +215,8 @@
 }
 END_TEST
 
+/* Guards against tasks started on a draining upstream while its partition is
+   handed over, when short tasks still start there.  */
 START_TEST (draining_is_in_force_during_a_handover)
 {
   fixture *fx = fixture_create ();
@@ -225,6 +231,8 @@
 }
 END_TEST
 
+/* Guards against tasks started on a draining upstream while the upstream list
+   is stale.  */
 START_TEST (draining_is_in_force_while_the_list_is_not_fresh)
 {
   fixture *fx = fixture_create ();
@@ -272,12 +280,12 @@
   for (int i = 0; i < UPSTREAMS; i++)
     {
       assign (fx, i, MM_PARTITION_RELEASING);
-      fake_set_listed_cpu (fx->upstreams[i], 2 * TASK_CPU);
+      fake_set_listed_cpu (fx->upstreams[i], 2 * TASK_CPU_MILLI);
       list_upstream (fx, i);
     }
   run_for (fx, 2 * SHORT_MS);
   for (int i = 0; i < UPSTREAMS; i++)
-    fake_set_cpu (fx->upstreams[i], 2 * TASK_CPU);
+    fake_set_cpu (fx->upstreams[i], 2 * TASK_CPU_MILLI);
   uint32_t starts = total_starts (fx);
   submit_short_tasks (fx, 1000);
   ck_assert_uint_gt (total_starts (fx), starts);
@@ -332,6 +340,8 @@
     }
 }
 
+/* Guards against tasks started on a draining upstream after any order of list
+   changes, reassigned partitions and stale lists.  */
 START_TEST (random_changes_never_start_a_task_on_a_draining_upstream)
 {
   GRand *rnd = g_rand_new_with_seed ((guint32)_i);
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -9,8 +9,8 @@
 {
   UPSTREAMS = 6,
   SLOTS = 3,
-  MAX_CRASHES = 2, /* of upstreams by one task, which is then given up */
-  MAX_CRASHES_BESIDE_OTHERS = 3, /* the same while other jobs run too */
+  MAX_CRASHES = 2,               /* most before a poison task is given up */
+  MAX_CRASHES_BESIDE_OTHERS = 3, /* while other jobs run there too */
   CALLER_TIMEOUT_MS = 15000
 };
 
@@ -41,6 +41,8 @@
   h_start_nodes (UPSTREAMS, SLOTS, 2);
 }
 
+/* A poison task that is not idempotent crashes one upstream only.  The
+   upstream must be used again as a new incarnation.  */
 START_TEST (crashed_upstream_returns_as_new_incarnation)
 {
   start_cluster ();
@@ -54,6 +56,9 @@
 }
 END_TEST
 
+/* An idempotent poison task is run again after a crash, and without a limit
+   would crash one upstream after the other.  It must be given up and its job
+   must fail.  */
 START_TEST (poison_task_crashes_two_upstreams_at_most)
 {
   start_cluster ();
@@ -67,7 +72,7 @@
 END_TEST
 
 /* A poison job that failed is submitted again, also to an instance that has
-   just started and did not see the crashes: no upstream crashes again.  */
+   just started and did not see the crashes.  No upstream may crash again.  */
 START_TEST (resubmitted_poison_job_fails_at_once)
 {
   start_cluster ();
@@ -82,7 +87,7 @@
       mm_time_ms from_ms = mm_clock_now_ms ();
       pid_t caller = submit (i % 2, "poison-anew", 1, 500, true);
       ck_assert_int_eq (h_submit_status_class (caller),
-                        2); /* answered: failed */
+                        2); /* a complete answer: the job failed */
       ck_assert_int_lt (mm_clock_now_ms () - from_ms, 1000);
     }
   ck_assert_int_eq (count_crashes ("poison-anew"), before);
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -18,8 +18,10 @@
   mm_found_run found;
 } succession;
 
-#define REQUEST_MS 5 /* until a request arrives */
+#define REQUEST_MS 5 /* time until a request arrives */
 
+/* Handles a run that an owner has found: if the first owner has its task, that
+   owner transfers the task to the second one.  */
 static void
 on_found (void *ctx, const mm_found_run *r)
 {
@@ -32,6 +34,7 @@
         mm_owner_submit (s->next, &t, mm_owner_transferred_end, w));
 }
 
+/* Keeps a found run, which succession_run() handles REQUEST_MS later.  */
 static void
 on_found_later (void *ctx, const mm_found_run *r)
 {
@@ -115,10 +118,10 @@
 }
 END_TEST
 
-/* The next owner has taken a run over, and its first hold gets no answer.  It
-   has not renewed the lease yet, but must not take the run for expired at
-   once: the task would be started again elsewhere while the run goes on under
-   the lease of the previous owner.  */
+/* The next owner has taken a run over, and its first hold gets no answer.
+   That owner has not renewed the lease yet, but must not take the run for
+   expired at once: the task would be started again elsewhere while the run
+   goes on under the lease of the previous owner.  */
 START_TEST (run_taken_over_has_not_lapsed_while_its_first_lease_lasts)
 {
   succession s;
@@ -133,7 +136,8 @@
                        .cancel = on_cancel_transferred,
                        .ctx = &s };
   mm_owner_set_links (s.next, &l);
-  fake_mode_of (a)->lose_holds = 1; /* the hold after the one that finds it */
+  fake_mode_of (a)->lose_holds = 1; /* the hold after the one that finds
+                                        the run */
   succession_run (&s, 400);
   ck_assert_uint_eq (r.answers, 0);
   succession_run (&s, 600);
@@ -153,7 +157,8 @@
   fake *a = fixture_add (&s.fx, "a");
   succession_run (&s, 10);
   outcome r[3];
-  submit (&s.fx, &r[2], "before", 0, 900); /* a hold waits for its end */
+  submit (&s.fx, &r[2], "before", 0, 900); /* a hold waits for the
+                                               end of this task */
   succession_run (&s, 50);
   fake_mode_of (a)->start_answer_delay_ms = 20;
   submit (&s.fx, &r[0], "claimed", 0, 600);
@@ -172,6 +177,8 @@
 }
 END_TEST
 
+/* Handles a run that the first owner has found: if the second owner has its
+   task, that owner transfers the task to the first one.  */
 static void
 on_found_by_first (void *ctx, const mm_found_run *r)
 {
@@ -215,8 +222,8 @@
 
 /* Two tasks are started at the same time on an upstream that has a new owner,
    and both starts are refused.  The first refusal ends the session.  The
-   second must count as well, as its task would be taken for lost though it
-   has not run.  Both tasks run elsewhere at once.  */
+   second must count as well; otherwise its task is taken for lost though it
+   has not run.  Both tasks must run elsewhere at once.  */
 START_TEST (starts_refused_together_both_run_elsewhere)
 {
   succession s;
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -60,8 +60,8 @@
   mm_suspects_record (s, &l);
 }
 
-/* Records a list entry at the address of upstream @number; @name
-   NULL: its own entry.  */
+/* Records a list entry at the address of upstream @number.  @name: of the
+   listed upstream, NULL: upstream @number itself.  */
 static void
 record_listing (mm_suspects *s, int number, const char *name, bool draining)
 {
@@ -74,6 +74,9 @@
   mm_suspects_listed (s, &u);
 }
 
+/* A task whose upstream was lost is isolated.  After a second loss it waits
+   until other incarnations at both addresses prove two crashes, and is then
+   given up.  */
 START_TEST (task_is_given_up_after_two_crashes)
 {
   mm_suspects *s = suspects_setup ();
@@ -108,9 +111,10 @@
       mm_suspects_alive (s, name); /* reachable again */
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_RUN);
       record_loss (s, number + 1, MM_LOSS_OPEN, &id, 1);
-      record_listing (s, number + 1, NULL, true); /* it was draining */
+      record_listing (s, number + 1, NULL,
+                      true); /* the upstream was draining */
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_RUN);
-      record_loss (s, number + 2, MM_LOSS_OPEN, &id, 1); /* never answers */
+      record_loss (s, number + 2, MM_LOSS_OPEN, &id, 1); /* not seen again */
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_ISOLATE);
       now_ms += MM_SUSPECTS_OPEN_KEEP_MS;
       mm_suspects_tick (s);
@@ -343,8 +347,8 @@
 }
 END_TEST
 
-/* A second crash identifies the poison task only if that was the only task
-   there, so suspects run isolated.  */
+/* A second crash identifies the poison task only if no other task ran on that
+   upstream, so suspects must run isolated.  */
 START_TEST (suspect_runs_isolated)
 {
   fixture fx = fixture_create ();
