--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -26,7 +26,7 @@
 }
 
 /* Submits the job again and again, for @limit_ms at most, until the answer is
-   complete.  */
+   complete.  Returns whether it was.  */
 static bool
 submit_until_complete (int entry, const char *job, mm_time_ms limit_ms)
 {
@@ -44,7 +44,7 @@
   return false;
 }
 
-/* Returns the instance that runs the job, -1 for none.  */
+/* Returns the instance that runs the job, -1 if none does within about 1 s. */
 static int
 owner_of (const char *job_id)
 {
@@ -187,8 +187,9 @@
 
 /* Guards against unanswered or doubled jobs when one instance is disconnected
    from the platform and its peers are not: they drop it from the list and take
-   over its partitions.  Jobs that its callers submit must be answered, and
-   jobs submitted both there and at a peer must not start twice.  */
+   over its partitions.  Jobs submitted to the disconnected instance must be
+   answered, and jobs submitted both there and at a peer must not start
+   twice.  */
 START_TEST (instance_cut_off_from_the_platform_passes_its_jobs_on)
 {
   start_cluster ();
--- a/tests/test_thin_link.c
+++ b/tests/test_thin_link.c
@@ -7,7 +7,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define OWN_AGAIN_MS 2000 /* from the end of the outage to the first start */
+#define OWN_AGAIN_MS 2000 /* longest time from an outage to a start */
 #define AWAY_MS 10000     /* length of the outage */
 #define HEARTBEAT_MS 1500 /* time between two reports of an upstream */
 #define BATCH_MS 100      /* time between two batches of reports */
@@ -19,7 +19,7 @@
 typedef struct
 {
   int n_upstreams; /* number of upstreams */
-  int next;        /* the next one to report */
+  int next;        /* index of the next upstream to report */
   int seq;         /* sequence number of the next append */
 } other_upstreams;
 
@@ -69,8 +69,8 @@
   return age_ms > 0 && age_ms < READ_EACH_MS;
 }
 
-/* Returns the time until the instance knows its upstreams, while the other
-   upstreams go on reporting.  */
+/* Returns the time until the instance knows its upstreams, @limit_ms or more
+   if it does not.  The other upstreams go on reporting meanwhile.  */
 static mm_time_ms
 known_after_ms (other_upstreams *others, int node, mm_time_ms limit_ms)
 {
@@ -82,7 +82,8 @@
 }
 
 /* Returns the time from @start_ms to the submission of the first job that is
-   answered.  A caller submits one each 100 ms.  */
+   answered completely, 3 * OWN_AGAIN_MS or more if none is.  A caller submits
+   a job, waits for its answer, and submits the next one 100 ms later.  */
 static mm_time_ms
 served_after_ms (other_upstreams *others, mm_time_ms start_ms)
 {
@@ -120,7 +121,7 @@
    partitions again, but the changes of ten seconds take longer than the
    timeout of a call on a link of low bandwidth.  If every read of the list
    times out, the instances own upstreams and start no task there from then on.
- */
+   @store_fault: an additional fault of the store, or NULL.  */
 static void
 check_outage (int kbps, int n_others, const char *store_fault)
 {
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -79,17 +79,17 @@
   g_clear_error (&e);
   mm_job *j = mm_job_parse_json (big, strlen (big), 11, &e);
   ck_assert (j && j->n_tasks == 11 && j->tasks[3].idempotent);
-  GByteArray *b = g_byte_array_new ();
-  mm_job_pack (j, b);
-  mm_job *k = mm_job_unpack (b->data, b->len, 11, &e);
-  ck_assert (k && k->n_tasks == 11);
-  ck_assert_str_eq (k->tasks[10].id, j->tasks[10].id);
-  ck_assert (!mm_job_unpack (b->data, b->len / 2, 11, &e));
+  GByteArray *packed = g_byte_array_new ();
+  mm_job_pack (j, packed);
+  mm_job *unpacked = mm_job_unpack (packed->data, packed->len, 11, &e);
+  ck_assert (unpacked && unpacked->n_tasks == 11);
+  ck_assert_str_eq (unpacked->tasks[10].id, j->tasks[10].id);
+  ck_assert (!mm_job_unpack (packed->data, packed->len / 2, 11, &e));
   ck_assert (g_error_matches (e, MM_ERROR, MM_ERROR_DECODE));
   g_clear_error (&e);
   mm_job_destroy (j);
-  mm_job_destroy (k);
-  g_byte_array_free (b, TRUE);
+  mm_job_destroy (unpacked);
+  g_byte_array_free (packed, TRUE);
   g_free (big);
 }
 END_TEST
@@ -150,6 +150,8 @@
 }
 END_TEST
 
+/* When one of three members leaves, only the keys that it owned, about a
+   third, may get another owner.  */
 START_TEST (rendezvous_moves_only_the_keys_of_a_leaving_member)
 {
   char *three[] = { "a", "b", "c" };
@@ -177,21 +179,21 @@
 START_TEST (snapshot_does_not_override_an_operators_change)
 {
   mm_cfg *follower = mm_cfg_create ("lima"), *joining = mm_cfg_create ("lima");
-  char *a = mm_cfg_make_record ("config", -1, "", NULL, NULL);
-  ck_assert (mm_cfg_apply (follower, 4, a, NULL));
+  char *first = mm_cfg_make_record ("config", -1, "", NULL, NULL);
+  ck_assert (mm_cfg_apply (follower, 4, first, NULL));
   char *snapshot = mm_cfg_snapshot_record (follower);
   ck_assert (mm_cfg_apply (follower, 5, snapshot, NULL));
   ck_assert (mm_cfg_adopt (joining, 5, snapshot, NULL));
-  char *b = mm_cfg_make_record ("config", 4, "[dispatch]\nretry_budget = 9\n",
-                                NULL, NULL);
-  ck_assert (mm_cfg_apply (follower, 6, b, NULL));
-  ck_assert (mm_cfg_apply (joining, 6, b, NULL));
+  char *change = mm_cfg_make_record (
+      "config", 4, "[dispatch]\nretry_budget = 9\n", NULL, NULL);
+  ck_assert (mm_cfg_apply (follower, 6, change, NULL));
+  ck_assert (mm_cfg_apply (joining, 6, change, NULL));
   ck_assert_int_eq (mm_cfg_current (joining)->retry_budget, 9);
   char *stale = mm_cfg_make_record ("config", 5, "", NULL, NULL);
   ck_assert (!mm_cfg_apply (follower, 7, stale, NULL));
   ck_assert (!mm_cfg_apply (joining, 7, stale, NULL));
-  free (a);
-  free (b);
+  free (first);
+  free (change);
   free (snapshot);
   free (stale);
   mm_cfg_destroy (follower);
@@ -212,12 +214,12 @@
   mm_task tasks[2] = { { .id = "a", .payload = "", .deadline_ms = 1 },
                        { .id = "a", .payload = "", .deadline_ms = 1 } };
   mm_job job = { .id = "j", .team = "t", .n_tasks = 2, .tasks = tasks };
-  GByteArray *b = g_byte_array_new ();
-  mm_job_pack (&job, b);
-  ck_assert (!mm_job_unpack (b->data, b->len, 10, &e));
+  GByteArray *packed = g_byte_array_new ();
+  mm_job_pack (&job, packed);
+  ck_assert (!mm_job_unpack (packed->data, packed->len, 10, &e));
   ck_assert (g_error_matches (e, MM_ERROR, MM_ERROR_BAD_REQUEST));
   g_error_free (e);
-  g_byte_array_free (b, TRUE);
+  g_byte_array_free (packed, TRUE);
 }
 END_TEST
 
@@ -332,28 +334,32 @@
   mm_quota_add (a, "big", 30);
   mm_quota_add (a, "small", 2);
   mm_quota_add (b, "big", 40);
-  GByteArray *r = g_byte_array_new ();
-  ck_assert (mm_quota_report (a, 2, quota_100, NULL, r));
-  ck_assert (mm_quota_apply_report (b, "a", r->data, r->len, 0, NULL));
+  GByteArray *report = g_byte_array_new ();
+  ck_assert (mm_quota_report (a, 2, quota_100, NULL, report));
+  ck_assert (
+      mm_quota_apply_report (b, "a", report->data, report->len, 0, NULL));
   ck_assert_int_eq (mm_quota_used (b, "big", 100), 70);
   ck_assert_int_eq (mm_quota_used (b, "small", 100), 0);
   GError *e = NULL;
-  ck_assert (!mm_quota_apply_report (b, "a", r->data, r->len - 1, 0, &e));
+  ck_assert (
+      !mm_quota_apply_report (b, "a", report->data, report->len - 1, 0, &e));
   ck_assert (g_error_matches (e, MM_ERROR, MM_ERROR_DECODE));
   g_error_free (e);
   ck_assert_int_eq (mm_quota_used (b, "big", 100), 70);
   ck_assert_int_eq (mm_quota_used (b, "big", 5000), 40);
   mm_quota_add (a, "big", -30);
-  g_byte_array_set_size (r, 0);
-  ck_assert (mm_quota_report (a, 2, quota_100, NULL, r));
-  g_byte_array_set_size (r, 0);
-  ck_assert (!mm_quota_report (a, 2, quota_100, NULL, r));
-  g_byte_array_free (r, TRUE);
+  g_byte_array_set_size (report, 0);
+  ck_assert (mm_quota_report (a, 2, quota_100, NULL, report));
+  g_byte_array_set_size (report, 0);
+  ck_assert (!mm_quota_report (a, 2, quota_100, NULL, report));
+  g_byte_array_free (report, TRUE);
   mm_quota_destroy (a);
   mm_quota_destroy (b);
 }
 END_TEST
 
+/* A decoder may crash on a malformed body.  Runs fuzz_decoders, which feeds
+   mutated bodies to the decoders: none may crash.  */
 START_TEST (decoders_survive_fuzzing)
 {
   char *cmd
