--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -192,7 +192,7 @@
 
 /* Sixty tasks of a less urgent queue wait.  An urgent job goes before them
    and must not be refused because of them; a job of their own queue must.  */
-START_TEST (nobody_is_refused_for_tasks_that_stand_behind)
+START_TEST (urgent_job_is_not_refused_for_less_urgent_tasks)
 {
   mm_capacity_report r
       = { .places = 100, .waiting = 60, .waiting_by_priority = { 0, 0, 60 } };
@@ -432,7 +432,7 @@
   tcase_add_test (c, overload_is_refused_rather_than_served_late);
   tcase_add_test (c, jobs_sent_again_after_an_outage_do_not_displace_new_jobs);
   tcase_add_test (c, remaining_timeout_shows_that_a_job_was_sent_before);
-  tcase_add_test (c, nobody_is_refused_for_tasks_that_stand_behind);
+  tcase_add_test (c, urgent_job_is_not_refused_for_less_urgent_tasks);
   tcase_add_test (c, task_goes_to_the_nearest_owner_with_free_capacity);
   tcase_add_test (c, task_goes_last_to_the_owner_that_returned_it);
   tcase_add_test (c, task_goes_to_the_shortest_queue_when_all_owners_are_full);
--- a/tests/test_logs.c
+++ b/tests/test_logs.c
@@ -277,7 +277,7 @@
 /* Guards against log lines that are lost in the buffer of an instance which is
    killed right after it answered a caller.  Without them the outcome of the
    job can't be explained.  */
-START_TEST (killed_instance_leaves_the_lines_of_what_it_has_answered)
+START_TEST (log_lines_of_answered_jobs_survive_a_kill)
 {
   enum
   {
@@ -325,7 +325,7 @@
   suite_add_tcase (s, c);
   c = tcase_create ("kill");
   tcase_set_timeout (c, 60);
-  tcase_add_test (c, killed_instance_leaves_the_lines_of_what_it_has_answered);
+  tcase_add_test (c, log_lines_of_answered_jobs_survive_a_kill);
   suite_add_tcase (s, c);
   return h_run_suite (s);
 }
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -150,7 +150,7 @@
    runs expire within 1.3 s: the accepting instance must run the tasks again
    after that and answer late but completely, and no task may run twice at the
    same time.  */
-START_TEST (job_is_answered_whole_though_an_owner_of_its_tasks_dies)
+START_TEST (job_is_answered_completely_though_an_owner_dies)
 {
   h_start_nodes (4, 4, 2);
   int killed = owns_no_upstream (1) ? 0 : 1;
@@ -716,7 +716,7 @@
   TCase *c = tcase_create ("faults");
   tcase_set_timeout (c, 60);
   tcase_add_test (c, killed_instance_leaves_no_task_running_twice);
-  tcase_add_test (c, job_is_answered_whole_though_an_owner_of_its_tasks_dies);
+  tcase_add_test (c, job_is_answered_completely_though_an_owner_dies);
   tcase_add_test (c, frozen_instance_starts_no_queued_task);
   tcase_add_test (c, late_starts_do_not_exceed_capacity);
   tcase_add_test (c, graceful_stop_interrupts_no_job);
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -34,7 +34,7 @@
    tasks where two fit, and bookings on that machine fail.  The capacity must
    stay reserved until the order is certain to have expired, and the task must
    run elsewhere at once, and only once.  */
-START_TEST (order_carried_out_late_finds_its_room_free)
+START_TEST (late_order_finds_its_capacity_free)
 {
   fixture fx = fixture_create ();
   fake *a = fixture_add (&fx, "a");
@@ -62,7 +62,7 @@
 /* An order is carried out, but its answer is lost, and the task is stopped
    soon after.  It must not be reported as not run: a task that may run only
    once would be started a second time.  */
-START_TEST (task_that_ran_before_its_stop_is_not_called_unrun)
+START_TEST (task_that_ran_before_its_stop_is_not_reported_as_not_run)
 {
   fixture fx = fixture_create ();
   fake *a = fixture_add (&fx, "a");
@@ -267,7 +267,7 @@
 /* Calls arrive at an upstream, but its answers are lost.  If the owner went on
    renewing the lease, a task that is about to run elsewhere would never
    stop.  */
-START_TEST (answers_lost_one_way_do_not_prolong_leases)
+START_TEST (answers_lost_one_way_do_not_renew_leases)
 {
   fixture fx = fixture_create ();
   fake *a = fixture_add (&fx, "a");
@@ -332,7 +332,7 @@
 /* A caller leaves and its task is stopped.  The capacity is not free before
    the upstream lists the end: a task that was started earlier would not
    fit.  */
-START_TEST (cancelled_task_keeps_its_room_until_it_has_ended)
+START_TEST (cancelled_task_keeps_its_capacity_until_it_has_ended)
 {
   fixture fx = fixture_create ();
   fixture_add (&fx, "a");
@@ -746,7 +746,7 @@
    Tasks that end before the running one must start there meanwhile; a longer
    one must not, and the handover must not wait for tasks that started after
    it began.  */
-START_TEST (upstreams_that_are_handed_over_run_short_tasks_meanwhile)
+START_TEST (upstreams_run_short_tasks_during_their_handover)
 {
   enum
   {
@@ -1051,8 +1051,8 @@
   TCase *c = tcase_create ("faults");
   tcase_set_timeout (c, 60);
   tcase_add_test (c, tasks_wait_for_free_capacity_and_all_end);
-  tcase_add_test (c, order_carried_out_late_finds_its_room_free);
-  tcase_add_test (c, task_that_ran_before_its_stop_is_not_called_unrun);
+  tcase_add_test (c, late_order_finds_its_capacity_free);
+  tcase_add_test (c, task_that_ran_before_its_stop_is_not_reported_as_not_run);
   tcase_add_test (c, order_that_comes_after_its_stop_does_not_run);
   tcase_add_test (c, tasks_are_in_time_though_orders_get_no_answer);
   tcase_add_test (c, average_place_time_counts_runs_that_were_not_done);
@@ -1060,10 +1060,10 @@
   tcase_add_test (
       c, task_whose_start_was_never_answered_is_not_reported_as_not_run);
   tcase_add_test (c, disconnected_upstream_loses_its_task_with_the_lease);
-  tcase_add_test (c, answers_lost_one_way_do_not_prolong_leases);
+  tcase_add_test (c, answers_lost_one_way_do_not_renew_leases);
   tcase_add_test (c, new_owner_stops_what_it_finds_before_it_starts);
   tcase_add_test (c, fenced_owner_reports_its_tasks_once_and_starts_no_more);
-  tcase_add_test (c, cancelled_task_keeps_its_room_until_it_has_ended);
+  tcase_add_test (c, cancelled_task_keeps_its_capacity_until_it_has_ended);
   tcase_add_test (c, same_task_again_waits_for_the_end_of_its_first_run);
   tcase_add_test (c, task_that_ended_there_gets_a_higher_run_number);
   tcase_add_test (
@@ -1080,7 +1080,7 @@
   tcase_add_test (c, end_of_a_kept_task_stays_listed_until_acknowledged);
   tcase_add_test (
       c, ends_of_a_stopped_job_stay_listed_until_its_outcome_is_stored);
-  tcase_add_test (c, upstreams_that_are_handed_over_run_short_tasks_meanwhile);
+  tcase_add_test (c, upstreams_run_short_tasks_during_their_handover);
   tcase_add_test (c, kept_task_out_of_contact_is_in_doubt_not_lost);
   tcase_add_test (c, stop_that_is_refused_at_once_is_not_sent_without_a_pause);
   tcase_add_test (c, next_owner_finds_the_ends_of_the_previous_owner);
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -251,7 +251,7 @@
 /* An upstream gets another owner, and the two owners are disconnected.  The
    next owner stops runs that are not claimed.  The first owner must notice the
    stop, or give the run up, well before the job is sent again.  */
-START_TEST (runs_that_nobody_asks_for_are_stopped)
+START_TEST (unclaimed_runs_are_stopped)
 {
   succession s;
   succession_init (&s, true);
@@ -282,7 +282,7 @@
   tcase_add_test (c, task_claimed_before_its_start_is_answered_ends_once);
   tcase_add_test (c, outranked_owner_claims_nothing_of_the_next);
   tcase_add_test (c, starts_refused_together_both_run_elsewhere);
-  tcase_add_test (c, runs_that_nobody_asks_for_are_stopped);
+  tcase_add_test (c, unclaimed_runs_are_stopped);
   suite_add_tcase (s, c);
   return h_run_suite (s);
 }
