--- a/src/mm_event.c
+++ b/src/mm_event.c
@@ -19,7 +19,7 @@
 {
   const char *name;
   rate_limit rate;
-  const char *fields;  /* names, separated by spaces */
+  const char *fields;  /* names of the fields, separated by spaces */
   const char *meaning; /* for operators, shown in docs/LOGS.md */
 } event_row;
 
@@ -229,8 +229,8 @@
 typedef struct
 {
   mm_time_ms second; /* mm_clock_now_ms() / 1000 */
-  uint32_t written;  /* in this second */
-  uint64_t left_out; /* since the last written line */
+  uint32_t written;  /* lines written in this second */
+  uint64_t left_out; /* lines left out since the last written one */
 } line_budget;
 
 static line_budget budgets[MM_EV_COUNT];
@@ -305,8 +305,8 @@
  * @fields: values in the order of the table; an MM_TASK value fills the two
  *     fields "job" and "task".
  * @n: number of values.
- * @left_out: number of lines of this event that the rate limit left out before
- *     this one.
+ * @left_out: number of lines of this event that the rate limit left out since
+ *     the last written one.
  *
  * Return: a newly allocated line without newline, free with g_free().
  */
--- a/src/mm_explain.c
+++ b/src/mm_explain.c
@@ -59,6 +59,7 @@
   g_free (x);
 }
 
+/* Returns the text of a field, "" when the line has no such text field.  */
 static const char *
 text_of (const line *l, const char *name)
 {
@@ -67,6 +68,7 @@
   return t ? t : "";
 }
 
+/* Returns the number in a field, 0 when the line has no such number field.  */
 static long long
 number_of (const line *l, const char *name)
 {
@@ -124,7 +126,8 @@
     line_free (l);
 }
 
-/* Returns whether the line has the outcome of a job, kept or not.  */
+/* Returns whether the line has the outcome of a job, whether its caller waited
+   for the outcome or the job was kept.  */
 static bool
 is_outcome (const line *l)
 {
@@ -148,7 +151,7 @@
 /* Selects the context lines of a job.  */
 typedef struct
 {
-  mm_time_ms from_ms;  /* time of the first line of the job */
+  mm_time_ms from_ms;  /* time of the first line of the job, or G_MAXINT64 */
   mm_time_ms to_ms;    /* time of its last line */
   GHashTable *names;   /* upstreams and instances that the job's lines name */
   GHashTable *sources; /* logs that have lines of the job */
@@ -177,7 +180,7 @@
 
 /* Returns whether the line is of the job or of its context.  */
 static bool
-belongs (const scope *s, const line *l)
+in_scope (const scope *s, const line *l)
 {
   if (l->own)
     return true;
@@ -218,8 +221,8 @@
   g_string_append_c (out, '\n');
 }
 
-/* Returns the job's last line of @event before line @end_line.  Unless @field
-   is NULL, that field must have @value.  */
+/* Returns the last line of @event of the job before line @end_line, or NULL.
+   Unless @field is NULL, that field must have @value.  */
 static const line *
 last_own (const mm_explain *x, guint end_line, const char *event,
           const char *field, const char *value)
@@ -234,8 +237,8 @@
   return NULL;
 }
 
-/* Returns the first context line of @event.  Unless @field is NULL, that field
-   must have @value.  */
+/* Returns the first context line of @event, or NULL.  Unless @field is NULL,
+   that field must have @value.  */
 static const line *
 first_context (const mm_explain *x, const scope *s, const char *event,
                const char *field, const char *value)
@@ -243,7 +246,7 @@
   for (guint i = 0; i < x->lines->len; i++)
     {
       const line *l = x->lines->pdata[i];
-      if (!l->own && belongs (s, l) && is_event (l, event)
+      if (!l->own && in_scope (s, l) && is_event (l, event)
           && (!field || strcmp (text_of (l, field), value) == 0))
         return l;
     }
@@ -268,20 +271,21 @@
 cause_of_unknown_outcome (const mm_explain *x, const scope *s, guint end_line,
                           GString *out)
 {
-  const line *t = last_own (x, end_line, "task_failed", "how", "unknown");
-  const line *handed
-      = t ? last_own (x, end_line, "task_handed", "task", text_of (t, "task"))
-          : NULL;
-  const line *peer = handed ? first_context (x, s, "peer_lost", "peer",
-                                             text_of (handed, "owner"))
-                            : NULL;
+  const line *failed = last_own (x, end_line, "task_failed", "how", "unknown");
+  const line *dispatched = failed ? last_own (x, end_line, "task_handed",
+                                              "task", text_of (failed, "task"))
+                                  : NULL;
+  const line *peer = dispatched ? first_context (x, s, "peer_lost", "peer",
+                                                 text_of (dispatched, "owner"))
+                                : NULL;
   const line *fenced = first_context (x, s, "upstream_fenced", NULL, NULL);
   const line *stalled = first_context (x, s, "stalled", NULL, NULL);
   g_string_append (out, "its outcome was out of sight: ");
   if (peer)
-    g_string_append_printf (
-        out, "instance %s, which ran task %s, was lost (%s)",
-        text_of (peer, "peer"), text_of (t, "task"), text_of (peer, "why"));
+    g_string_append_printf (out,
+                            "instance %s, which ran task %s, was lost (%s)",
+                            text_of (peer, "peer"), text_of (failed, "task"),
+                            text_of (peer, "why"));
   else if (stalled)
     g_string_append_printf (out, "its instance stood still for %lld ms",
                             number_of (stalled, "gap_ms"));
@@ -289,8 +293,8 @@
     g_string_append_printf (out, "another instance took over upstream %s",
                             text_of (fenced, "upstream"));
   else
-    g_string_append (out,
-                     t ? text_of (t, "why") : "no log line has the reason");
+    g_string_append (out, failed ? text_of (failed, "why")
+                                 : "no log line has the reason");
   g_string_append (out, ". Its caller was told to send it again; what ran "
                         "of it is stopped or lapses within a second.");
 }
@@ -310,8 +314,8 @@
           text_of (given_up, "upstreams"));
       return;
     }
-  const line *t = last_own (x, end_line, "task_failed", "how", "failed");
-  if (!t)
+  const line *failed = last_own (x, end_line, "task_failed", "how", "failed");
+  if (!failed)
     {
       g_string_append (out, "failed; the logs have no line of a failed task.");
       return;
@@ -319,7 +323,8 @@
   g_string_append_printf (out,
                           "task %s failed in every attempt, last on "
                           "upstream %s",
-                          text_of (t, "task"), text_of (t, "upstream"));
+                          text_of (failed, "task"),
+                          text_of (failed, "upstream"));
   const line *excluded = first_context (x, s, "upstream_excluded", NULL, NULL);
   if (excluded)
     g_string_append_printf (
@@ -350,16 +355,17 @@
 }
 
 static void
-cause_of_answer (const mm_explain *x, const scope *s, guint at, GString *out)
+cause_of_answer (const mm_explain *x, const scope *s, guint answer_line,
+                 GString *out)
 {
-  const line *l = x->lines->pdata[at];
+  const line *l = x->lines->pdata[answer_line];
   const char *outcome = text_of (l, "outcome");
   if (strcmp (outcome, "completed") == 0)
-    cause_of_success (x, at, out);
+    cause_of_success (x, answer_line, out);
   else if (strcmp (outcome, "unknown") == 0)
-    cause_of_unknown_outcome (x, s, at, out);
+    cause_of_unknown_outcome (x, s, answer_line, out);
   else if (strcmp (outcome, "failed") == 0)
-    cause_of_failure (x, s, at, out);
+    cause_of_failure (x, s, answer_line, out);
   else
     g_string_append_printf (out, "%s after %lld ms: %s.", outcome,
                             number_of (l, "took_ms"), text_of (l, "why"));
@@ -376,11 +382,11 @@
       const line *l = x->lines->pdata[i];
       bool answered = l->own && is_outcome (l);
       bool refused = l->own && is_event (l, "job_refused");
-      bool left = l->own && is_event (l, "job_caller_left");
-      bool kept
+      bool caller_left = l->own && is_event (l, "job_caller_left");
+      bool kept_unaccepted
           = l->own
             && (is_event (l, "kept_refused") || is_event (l, "kept_unsure"));
-      if (!answered && !refused && !left && !kept)
+      if (!answered && !refused && !caller_left && !kept_unaccepted)
         continue;
       any = true;
       g_string_append (out, "cause: ");
@@ -388,7 +394,7 @@
         cause_of_answer (x, s, i, out);
       else if (refused)
         cause_of_refusal (out, l);
-      else if (kept)
+      else if (kept_unaccepted)
         g_string_append_printf (
             out, "%s: %s.",
             is_event (l, "kept_refused")
@@ -423,7 +429,7 @@
     {
       g_string_append_printf (out, "job %s\n", x->job);
       for (guint i = 0; i < x->lines->len; i++)
-        if (belongs (&s, x->lines->pdata[i]))
+        if (in_scope (&s, x->lines->pdata[i]))
           append_line (x, out, x->lines->pdata[i], s.from_ms);
       append_causes (x, &s, out);
     }
--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -20,7 +20,7 @@
 {
   mm_kept_answered answered;
   void *ctx;
-  mm_time_ms expires_ms; /* answered as in doubt then */
+  mm_time_ms expires_ms; /* when the request is answered as in doubt */
 } waiter;
 
 typedef struct
@@ -49,9 +49,8 @@
   bool fenced;
   GHashTable *jobs;       /* id -> job */
   GHashTable *unfinished; /* set of the jobs whose outcome is not stored */
-  GQueue *ended;          /* the other jobs, oldest outcome first */
-  mm_read_barrier
-      *read_barrier; /* requests about jobs that are not known here */
+  GQueue *ended;          /* jobs whose outcome is stored, oldest first */
+  mm_read_barrier *read_barrier; /* requests about unknown jobs */
   uint32_t n_open_jobs;
 };
 
@@ -63,6 +62,8 @@
   GArray *acks; /* mm_end_ack of the ends in the record, or NULL */
 } pending_write;
 
+/* Answers the waiters whose time expires by @expired_by_ms; G_MAXINT64 answers
+   all of them.  */
 static void
 answer_waiters (job *j, mm_kept_status status, mm_time_ms expired_by_ms)
 {
@@ -138,8 +139,9 @@
   return w;
 }
 
-/* Return: the job that was written, NULL when it is no longer here or the
-   write has failed.  */
+/* Frees @w after the write has ended, and reports the ends in the record as
+   stored if it has succeeded.  Returns the job that was written, NULL when the
+   job is no longer here or the write has failed.  */
 static job *
 pending_write_finish (pending_write *w, bool ok)
 {
@@ -368,7 +370,7 @@
 /**
  * mm_home_submit() - accept a job.
  * @h: the job's home.
- * @rec: the job; taken.
+ * @rec: the job; ownership is taken.
  * @answered: called once the job is stored, or at once if it is refused or
  * already stored.
  * @ctx: for @answered.
@@ -464,8 +466,9 @@
     }
   if (!j->ended_ms)
     {
-      /* Answered only once the outcome is stored, also when the job was
-         cancelled before: until then, the next home would continue it.  */
+      /* The request is answered only once the outcome is stored, also when
+         the job was cancelled before: until the outcome is stored, the next
+         home would continue the job.  */
       add_waiter (j, answered, ctx);
       if (!mm_job_phase_ended (j->rec->phase))
         end_job (j, MM_JOB_CANCELLED);
@@ -494,7 +497,8 @@
 
 /* ---- time ------------------------------------------------------------- */
 
-/* Drops outcomes that are older than MM_KEPT_OUTCOME_TTL_MS.  */
+/* Drops outcomes that are older than MM_KEPT_OUTCOME_TTL_MS: callers do not
+   request them any more.  */
 static void
 drop_expired_outcomes (mm_home *h, mm_time_ms now)
 {
--- a/src/mm_home_directory.c
+++ b/src/mm_home_directory.c
@@ -16,13 +16,14 @@
   mm_store_port port;
   mm_mesh *mesh;
   mm_predecessors *predecessors; /* borrowed */
-  char *self;
+  char *self;                    /* member name of this instance */
   uint32_t n_partitions;
   char **home; /* member name for each partition, NULL: not known */
   bool in_flight;
   mm_time_ms poll_due_ms;
   mm_time_ms last_poll_ms; /* when the last call was sent */
-  mm_time_ms last_used_ms; /* 0: not for MM_KEPT_HOMES_IDLE_MS */
+  mm_time_ms last_used_ms; /* when a home was last needed, 0: not within
+                              MM_KEPT_HOMES_IDLE_MS */
   bool loaded;             /* the store has answered at least once */
   bool failing;            /* the last call has failed */
   bool complete;           /* every partition has a home */
@@ -77,8 +78,8 @@
   return h->home[partition];
 }
 
-/* Adds a home to the mesh.  A home need not be a neighbour: the link is kept
-   only while kept jobs are in use.  */
+/* Adds a home to the mesh.  A home need not be a neighbour of this instance,
+   so a link to the home is required while kept jobs are in use.  */
 static void
 add_peer (mm_home_directory *h, const char *member)
 {
--- a/src/mm_job_codec.c
+++ b/src/mm_job_codec.c
@@ -79,15 +79,16 @@
   if (object->type != MSGPACK_OBJECT_ARRAY || object->via.array.size != 5)
     return false;
   const msgpack_object *fields = object->via.array.ptr;
-  int64_t run, deadline;
+  int64_t parsed_run_ms, parsed_deadline_ms;
   if (fields[4].type != MSGPACK_OBJECT_BOOLEAN
-      || !unpack_int (&fields[2], &run) || !unpack_int (&fields[3], &deadline)
-      || run < 0 || deadline <= 0)
+      || !unpack_int (&fields[2], &parsed_run_ms)
+      || !unpack_int (&fields[3], &parsed_deadline_ms) || parsed_run_ms < 0
+      || parsed_deadline_ms <= 0)
     return false;
   task->id = unpack_str (&fields[0]);
   task->payload = unpack_str (&fields[1]);
-  task->run_ms = run;
-  task->deadline_ms = deadline;
+  task->run_ms = parsed_run_ms;
+  task->deadline_ms = parsed_deadline_ms;
   task->idempotent = fields[4].via.boolean;
   task->state = MM_TASK_PENDING;
   task->upstream = -1;
--- a/src/mm_job_log.c
+++ b/src/mm_job_log.c
@@ -42,8 +42,8 @@
   bool in_flight;   /* a call to the store is not answered yet */
   bool in_contact;
   mm_time_ms failing_since_ms; /* 0: the last call has succeeded */
-  mm_time_ms pause_ms;         /* between appends, 0: the store refuses none */
-  mm_time_ms next_call_ms;     /* no call is sent before this time */
+  mm_time_ms pause_ms; /* pause between appends, 0: the store refuses none */
+  mm_time_ms next_call_ms; /* no call is sent before this time */
 };
 
 static void
@@ -101,11 +101,12 @@
     l->stage = STAGE_READING;
 }
 
-/* Return: the pause until the next append.  */
+/* Returns how long to wait before the next call when the last append ended
+   with @last_verdict; 0: no wait.  */
 static mm_time_ms
-delay_after (mm_job_log *l, mm_append_verdict v)
+delay_after (mm_job_log *l, mm_append_verdict last_verdict)
 {
-  switch (v)
+  switch (last_verdict)
     {
     case MM_APPEND_OK:
       l->pause_ms = l->pause_ms * 7 / 8;
@@ -145,8 +146,8 @@
     become_fenced (l);
   else if (res->verdict == MM_APPEND_OUT_OF_SEQ)
     {
-      /* The store expects the next number: an earlier transmission of this
-         append was executed.  */
+      /* When the store expects the number after this append's, an earlier
+         transmission of the append was executed.  */
       if (res->expected_seq == l->seq + 1 && l->n_sending)
         on_appended (l);
       else
@@ -195,7 +196,7 @@
   log_unref (l);
 }
 
-/* Selects as many of the waiting entries as fit into one append.  */
+/* Selects as many waiting entries as fit into one append, at least one.  */
 static void
 fill_batch (mm_job_log *l)
 {
@@ -295,7 +296,9 @@
   e->done = done;
   e->ctx = ctx;
   g_queue_push_tail (l->entries, e);
-  if (l->stage == STAGE_OPEN) /* not while a page is being read */
+  /* While a page of stored records is being read, a tick would request the
+     page again.  */
+  if (l->stage == STAGE_OPEN)
     mm_job_log_tick (l);
 }
 
--- a/src/mm_job_record.c
+++ b/src/mm_job_record.c
@@ -1,5 +1,5 @@
-/* mm_job_record: packed with msgpack as [phase, queue, service, priority,
-   attempts, objective_ms, submission or nil,
+/* mm_job_record: the stored record of a kept job, packed with msgpack as
+   [phase, queue, service, priority, attempts, objective_ms, submission or nil,
    [[done, [hash of a failed run, ...]], ...]].  */
 #include "mm_job_record.h"
 
@@ -55,6 +55,8 @@
   g_free (r);
 }
 
+/* Only the outcome of an ended job is kept: the submission and the progress
+   are freed.  */
 void
 mm_job_record_set_outcome (mm_job_record *r, mm_job_phase p)
 {
@@ -104,7 +106,7 @@
 }
 
 static bool
-unpack_task (const msgpack_object *o, mm_task_progress *p)
+unpack_task_progress (const msgpack_object *o, mm_task_progress *p)
 {
   if (!mm_mp_is_array (o, PROGRESS_FIELDS))
     return false;
@@ -132,7 +134,7 @@
     return false;
   r->progress = g_new0 (mm_task_progress, (size_t)n + 1);
   for (uint32_t i = 0; i < n; i++)
-    if (!unpack_task (&f[7].via.array.ptr[i], &r->progress[i]))
+    if (!unpack_task_progress (&f[7].via.array.ptr[i], &r->progress[i]))
       return false;
   return true;
 }
@@ -155,12 +157,12 @@
 }
 
 /**
- * mm_job_record_unpack() - read a kept job.
+ * mm_job_record_unpack() - decode the stored record of a kept job.
  * @data: output of mm_job_record_pack().
- * @len: number of bytes.
- * @error: MM_ERROR_DECODE.
+ * @len: length of @data in bytes.
+ * @error: set to MM_ERROR_DECODE when @data is not a valid record.
  *
- * Return: the record, or NULL; free with mm_job_record_destroy().
+ * Return: the record, or NULL on error; free with mm_job_record_destroy().
  */
 mm_job_record *
 mm_job_record_unpack (const void *data, size_t len, GError **error)
