--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -21,14 +21,15 @@
   job *job;
   mm_task_id id;
   mm_ticket *ticket; /* dispatched to an owner; or NULL */
-  uint32_t failures;
+  uint32_t n_failures;
   mm_time_ms dispatched_ms; /* when last dispatched */
   char *avoid_upstream;     /* where the last unsuccessful run was; or NULL */
-  char *returned_by; /* owner that returned it unstarted, "": this instance */
+  char *returned_by;        /* owner that returned the task unstarted, "": this
+                               instance; or NULL */
   bool undispatched; /* no owner could be reached at the last dispatch */
   bool deferred;     /* may crash upstreams: not dispatched for now */
   bool isolated;     /* dispatched as a task that may crash upstreams */
-  mm_time_ms redispatch_ms; /* of a task in doubt; 0: not in doubt */
+  mm_time_ms redispatch_ms; /* next dispatch of a task in doubt, else 0 */
   bool done;
 } task;
 
@@ -42,8 +43,8 @@
   uint32_t attempts;
   mm_time_ms submitted_ms;
   mm_time_ms deadline_ms;      /* when the caller stops waiting */
-  mm_time_ms on_time_start_ms; /* tasks started by then meet the objective */
-  mm_time_ms latest_start_ms;  /* tasks not started by then come too late */
+  mm_time_ms on_time_start_ms; /* latest start that meets the objective */
+  mm_time_ms latest_start_ms;  /* a task that starts later is too late */
   task *tasks;
   uint32_t n_tasks;
   mm_steps *steps;
@@ -203,7 +204,7 @@
           .avoid_upstream = t->avoid_upstream,
           .resources = step->resources,
           .isolated = action == MM_SUSPECT_ISOLATE,
-          .attempt = t->failures,
+          .attempt = t->n_failures,
           .priority = b->priority,
           .estimate_ms = step->estimate_ms,
           .waited_ms = now - b->submitted_ms,
@@ -259,21 +260,21 @@
 {
   job *b = t->job;
   set_avoid_upstream (t, upstream);
-  t->failures++;
-  if (t->failures >= b->attempts || runs_once (t))
+  t->n_failures++;
+  if (t->n_failures >= b->attempts || runs_once (t))
     answer (b, MM_ANSWER_FAILED, "a task failed in every attempt", 0);
   else
     dispatch (t);
 }
 
-/* The time until which a task may be dispatched again after such an end.  */
+/* Returns until when a task that ended as @how may be dispatched again.  */
 static mm_time_ms
 latest_redispatch_ms (const job *b, mm_end how)
 {
   return how == MM_END_NOT_RUN ? b->latest_start_ms : b->deadline_ms;
 }
 
-/* What happens next with a task after such an end, for the log.  */
+/* Returns a log text: what happens next to a task that ended as @how.  */
 static const char *
 next_action (const task *t, mm_end how, mm_time_ms now)
 {
@@ -283,8 +284,8 @@
   if (how == MM_END_UNKNOWN)
     return "caller is asked to send the job again";
   if (how == MM_END_FAILED)
-    return t->failures + 1 < b->attempts ? "another attempt"
-                                         : "job fails: no attempt left";
+    return t->n_failures + 1 < b->attempts ? "another attempt"
+                                           : "job fails: no attempt left";
   if (how == MM_END_LOST
       && mm_fleet_decide (b->jobs->fleet, &t->id) == MM_SUSPECT_WAIT)
     return "waits: upstreams were lost while running it";
@@ -444,14 +445,14 @@
 sent_again_too_late (mm_jobs *j, const mm_route *route,
                      mm_time_ms caller_timeout_ms, mm_time_ms chain_ms)
 {
-  mm_caller_wait *p = g_hash_table_lookup (j->caller_wait, route->name);
-  if (!p)
+  mm_caller_wait *wait = g_hash_table_lookup (j->caller_wait, route->name);
+  if (!wait)
     {
-      p = g_new0 (mm_caller_wait, 1);
-      g_hash_table_insert (j->caller_wait, g_strdup (route->name), p);
+      wait = g_new0 (mm_caller_wait, 1);
+      g_hash_table_insert (j->caller_wait, g_strdup (route->name), wait);
     }
   return mm_caller_wait_is_too_late (
-      p, caller_timeout_ms,
+      wait, caller_timeout_ms,
       mm_admission_useful_ms (route->stretch, route->slo_ms, chain_ms));
 }
 
@@ -499,15 +500,15 @@
                                     : mm_submission_unsupported_reason (s);
   mm_load load = mm_fleet_load (j->fleet, route->service, route->priority);
   mm_time_ms chain_ms = mm_submission_chain_ms (s);
-  mm_time_ms slack
+  mm_time_ms start_slack_ms
       = mm_admission_slack_ms (route->stretch, route->slo_ms, chain_ms);
-  /* The job of such a caller may only use free capacity: it must not wait in
-     a queue ahead of jobs whose answers are still of use.  */
+  /* A job that was sent again too late may only use free capacity: it must not
+     wait in a queue ahead of jobs whose answers are still of use.  */
   if (MM_WITH_PATIENCE
       && sent_again_too_late (j, route, caller_timeout_ms, chain_ms))
-    slack = 0;
+    start_slack_ms = 0;
   uint32_t tasks = mm_submission_first_tasks (s);
-  mm_admission admission = mm_admission_decide (&load, tasks, slack);
+  mm_admission admission = mm_admission_decide (&load, tasks, start_slack_ms);
   if (!refusal.why && !admission.accept)
     {
       refusal.why = "would come too late";
@@ -517,11 +518,12 @@
     {
       mm_metrics_count (admission.accept ? MM_CT_JOBS_REFUSED_KIND
                                          : MM_CT_JOBS_REFUSED_LATE);
-      mm_log_event (
-          MM_EV_JOB_REFUSED, MM_TEXT (s->id), MM_TEXT (route->name),
-          MM_INT (route->config_version), MM_INT (tasks), MM_INT (load.places),
-          MM_INT (load.free), MM_INT (load.waiting), MM_INT (load.age_ms),
-          MM_INT (admission.wait_ms), MM_INT (slack), MM_TEXT (refusal.why));
+      mm_log_event (MM_EV_JOB_REFUSED, MM_TEXT (s->id), MM_TEXT (route->name),
+                    MM_INT (route->config_version), MM_INT (tasks),
+                    MM_INT (load.places), MM_INT (load.free),
+                    MM_INT (load.waiting), MM_INT (load.age_ms),
+                    MM_INT (admission.wait_ms), MM_INT (start_slack_ms),
+                    MM_TEXT (refusal.why));
       answered (ctx, &refusal);
       mm_submission_free (s);
       return NULL;
@@ -530,8 +532,8 @@
                 MM_INT (route->config_version), MM_INT (tasks),
                 MM_INT (load.places), MM_INT (load.free),
                 MM_INT (load.waiting), MM_INT (load.age_ms),
-                MM_INT (admission.wait_ms), MM_INT (slack));
-  b = job_create (j, s, route, caller_timeout_ms, slack);
+                MM_INT (admission.wait_ms), MM_INT (start_slack_ms));
+  b = job_create (j, s, route, caller_timeout_ms, start_slack_ms);
   mm_caller *c = add_caller (b, answered, ctx);
   if (b->n_tasks == 0)
     {
--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -8,7 +8,8 @@
 
 /* ---- homes at this instance ------------------------------------------- */
 
-/* The ends are stored: acknowledges each to the owner that reported it.  */
+/* Acknowledges stored ends to the owners that reported them.  An empty owner
+   name is this instance.  */
 static void
 on_stored (void *ctx, const GArray *acks)
 {
@@ -85,8 +86,8 @@
       uint64_t epoch = 0;
       mm_partition_state state
           = mm_partitions_state (k->partitions, i, &epoch);
-      bool changed = k->home[i] && mm_home_epoch (k->home[i]) != epoch;
-      if (k->home[i] && (state == MM_PARTITION_ELSEWHERE || changed))
+      bool epoch_changed = k->home[i] && mm_home_epoch (k->home[i]) != epoch;
+      if (k->home[i] && (state == MM_PARTITION_ELSEWHERE || epoch_changed))
         close_home (k, i);
       if (!k->home[i] && state == MM_PARTITION_OWNED && !k->leaving)
         open_home (k, i, epoch);
@@ -217,9 +218,9 @@
 
 /**
  * mm_kept_create() - accept and run kept jobs at this instance.
- * @p: its dependencies; copied.
+ * @p: the modules and settings that kept jobs need; copied.
  *
- * Return: free with mm_kept_destroy().
+ * Return: the new object; free with mm_kept_destroy().
  */
 mm_kept *
 mm_kept_create (const mm_kept_deps *p)
--- a/src/mm_kept_foreign.c
+++ b/src/mm_kept_foreign.c
@@ -1,12 +1,12 @@
 /* mm_kept_foreign: decides which ends of an earlier owner's runs can be
    acknowledged.
 
-   A new owner finds ends at its upstreams that were never acknowledged.  Those
-   of kept jobs must stay listed until the job's home has requested them.  The
-   others should be acknowledged soon, because an upstream that lists an end
-   answers every hold at once.  So the home of each job is sent a request.  An
-   owner that has just started knows of no kept jobs, and the home may be
-   unreachable for seconds: a missing answer must not lead to an
+   A new owner finds ends at its upstreams that were never acknowledged.  The
+   ends of kept jobs must stay listed until the job's home has requested them.
+   The ends of other jobs should be acknowledged soon, because an upstream that
+   lists an end answers every hold at once.  So the home of each job is sent a
+   request.  An owner that has just started knows of no kept jobs, and the home
+   may be unreachable for seconds: a missing answer must not lead to an
    acknowledgement.  */
 #include "mm_kept_priv.h"
 
--- a/src/mm_kept_peer.c
+++ b/src/mm_kept_peer.c
@@ -24,7 +24,8 @@
 {
   mm_kept *kept;
   mm_kept_answer total;
-  uint32_t outstanding; /* homes that have not answered yet */
+  uint32_t outstanding; /* homes that have not answered yet, plus one while
+                           requests are being sent */
   mm_kept_answered answered;
   void *ctx;
 } pending_count;
@@ -159,16 +160,16 @@
 handle_search (mm_kept *k, const void *data, size_t len,
                mm_mesh_inbound_request *reply)
 {
-  mm_search_result c = mm_search_result_init ();
+  mm_search_result result = mm_search_result_init ();
   GHashTable *tasks = mm_task_set_read (data, len);
   if (tasks)
-    mm_owner_search (k->deps.owner, tasks, &c);
+    mm_owner_search (k->deps.owner, tasks, &result);
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
-  mm_search_result_pack (&b, &c);
+  mm_search_result_pack (&b, &result);
   mm_mesh_answer (reply, b.data, b.size);
   msgpack_sbuffer_destroy (&b);
-  mm_search_result_clear (&c);
+  mm_search_result_clear (&result);
   if (tasks)
     g_hash_table_destroy (tasks);
 }
@@ -179,7 +180,8 @@
   mm_owner_acknowledge_end (ctx, task, run_hash);
 }
 
-/* @text: @data as a string: the job id or queue name of most requests.  */
+/* Answers a request of another instance.  @text is @data as a string, for the
+   verbs whose data is a job id or the name of a queue.  */
 static void
 handle_request (mm_kept *k, uint32_t verb, const char *text, const void *data,
                 size_t len, mm_mesh_inbound_request *reply)
--- a/src/mm_kept_request.c
+++ b/src/mm_kept_request.c
@@ -20,7 +20,7 @@
   GBytes *record; /* MM_KEPT_REQUEST_SUBMIT: the packed job, else NULL */
   mm_kept_answered answered;
   void *ctx;
-  mm_time_ms expires_ms; /* refused if the home is not found by then */
+  mm_time_ms expires_ms; /* time by which the home must be found */
   bool in_doubt;         /* a home may have executed the request already */
 };
 
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_run.c
@@ -27,7 +27,8 @@
   mm_time_ms dispatched_ms;
   mm_time_ms in_doubt_since_ms;
   char *avoid_upstream; /* upstream of the last failure, or NULL */
-  char *returned_by;    /* owner that did not start it, "": this instance */
+  char *returned_by;    /* owner that returned the task unstarted, "": this
+                           instance; or NULL */
   bool isolated;        /* dispatched as a task that may crash upstreams */
 } task;
 
@@ -45,8 +46,8 @@
   bool may_start; /* whether tasks may be started, as of the last tick */
   bool started;   /* a task is known to have been started */
   bool finished;
-  mm_time_ms latest_start_ms; /* tasks that start by then meet the objective */
-  GArray *acks;               /* mm_end_ack of ends not yet taken */
+  mm_time_ms latest_start_ms; /* latest start that meets the objective */
+  GArray *acks;               /* mm_end_ack, until mm_kept_run_take_acks() */
 };
 
 static void
@@ -162,7 +163,8 @@
   return t->run->rec->submission->steps[t->id.step].once;
 }
 
-/* A run has failed; @next_state: the task's state if the job goes on.  */
+/* Records a failed run of the task.  @next_state is the state of the task if
+   the job goes on.  */
 static void
 on_task_failed (task *t, uint32_t run_hash, task_state next_state)
 {
@@ -183,9 +185,9 @@
   t->avoid_upstream = g_strdup (upstream);
 }
 
-/* An owner did not start the task.  When the same owner returns it twice in a
-   row, no other owner has free capacity, and at this owner only the upstream
-   to avoid has: the task may run there.  */
+/* Handles a task that an owner returned unstarted.  When the same owner
+   returns it twice in a row, no other owner has free capacity, and at this
+   owner only the upstream to avoid has: the task may run there.  */
 static void
 on_returned (task *t, const char *owner)
 {
@@ -301,7 +303,8 @@
   r->n_isolated += t->isolated;
 }
 
-/* Return: false when the job has failed and @r may have been freed.  */
+/* Dispatches the waiting tasks.  Returns false when the job has failed and @r
+   may have been freed.  */
 static bool
 dispatch_waiting (mm_kept_run *r)
 {
@@ -357,7 +360,9 @@
   return r->n_in_doubt;
 }
 
-/* An upstream that has left the list has no owner that answers for it, but it
+/* Adds the tasks in doubt that can be searched for now to @tasks.
+
+   An upstream that has left the list has no owner that answers for it, but it
    may still run tasks under its last lease.  So a task in doubt is searched
    for only after every such lease must have lapsed.  */
 void
@@ -402,7 +407,8 @@
         continue;
       t->state = t->ready ? TASK_WAITING : TASK_BLOCKED;
       r->n_in_doubt--;
-      /* Whether the task ran and was stopped cannot be determined.  */
+      /* The task may have run and been stopped: this cannot be determined, so
+         a task that runs only once must not run again.  */
       if (runs_once (t))
         {
           finish (r, MM_JOB_FAILED); /* @r may have been freed */
--- a/src/mm_keyed_log.c
+++ b/src/mm_keyed_log.c
@@ -6,10 +6,10 @@
 
 struct mm_keyed_log
 {
-  GArray *history; /* mm_keyed_record */
-  uint64_t first_offset;
-  uint64_t end_offset;
-  GTree *newest; /* key -> mm_keyed_record */
+  GArray *history;       /* mm_keyed_record, oldest first */
+  uint64_t first_offset; /* offset of the first record of the history */
+  uint64_t end_offset;   /* offset of the next record */
+  GTree *newest;         /* key -> mm_keyed_record */
 };
 
 static void
