--- a/src/mm_log_sink.c
+++ b/src/mm_log_sink.c
@@ -16,7 +16,7 @@
 static int sink_fd = -1;
 static int old_flags; /* of sink_fd, before it was set non-blocking */
 static GByteArray *buffer;
-static uint64_t dropped; /* lines */
+static uint64_t dropped; /* number of lines dropped */
 
 void
 mm_log_sink_open (int fd)
--- a/src/mm_metrics.c
+++ b/src/mm_metrics.c
@@ -176,8 +176,8 @@
 typedef struct
 {
   uint64_t in_bucket[N_BOUNDS + 1]; /* the last one: above all bounds */
-  uint64_t n_observations;          /* number of observations */
-  int64_t sum_ms;                   /* of all observations */
+  uint64_t n_observations;
+  int64_t sum_ms; /* sum of all observations */
 } histogram;
 
 static uint64_t counters[MM_CT_COUNT];
--- a/src/mm_native_exec.c
+++ b/src/mm_native_exec.c
@@ -4,6 +4,8 @@
 
 #include <string.h>
 
+/* Returns the verdict in the body of an answer, MM_CALL_NO_ANSWER when the
+   body has no known verdict.  */
 static mm_call_verdict
 verdict_of (long status, const cJSON *body)
 {
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -175,7 +175,7 @@
   mm_http_request *req;
   unsigned ok_status; /* HTTP status of the answer on success */
   char *name;         /* id of the job, or name of the queue */
-  bool is_count;      /* requests the number of jobs of a queue */
+  bool is_count;      /* whether the request counts the jobs of a queue */
 } home_request;
 
 static home_request *
@@ -268,6 +268,8 @@
 
 /* ---- jobs whose callers wait ------------------------------------------ */
 
+/* Returns the queue that the body names, or the first queue if the body names
+   none.  NULL: no such queue.  */
 static const mm_route *
 find_queue (const mm_routes *routes, const char *body, size_t len)
 {
--- a/src/mm_native_store.c
+++ b/src/mm_native_store.c
@@ -16,10 +16,10 @@
 }
 
 static double
-number_field (const cJSON *o, const char *name, double def)
+number_field (const cJSON *o, const char *name, double fallback)
 {
   const cJSON *f = cJSON_GetObjectItemCaseSensitive (o, name);
-  return cJSON_IsNumber (f) ? f->valuedouble : def;
+  return cJSON_IsNumber (f) ? f->valuedouble : fallback;
 }
 
 static mm_upstream_info *
@@ -326,7 +326,8 @@
 }
 
 /**
- * mm_native_store_port() - the stand-in's store as a port of the core.
+ * mm_native_store_port() - make an mm_store_port that calls the stand-in's
+ * store.
  * @s: HTTP client of the store; must outlive the port.
  */
 mm_store_port
--- a/src/mm_read_barrier.c
+++ b/src/mm_read_barrier.c
@@ -1,4 +1,5 @@
-/* mm_read_barrier: one stored record confirms all requests received before it.
+/* mm_read_barrier: stores a record to confirm that a job does not exist.  One
+   stored record confirms all requests received before it.
 
    The record is a tombstone for one of the requested ids.  However many
    requests arrive, at most one record is in flight, and records are sent at
@@ -19,7 +20,7 @@
 {
   mm_job_log *log;
   GQueue *requests; /* in the order of arrival */
-  guint n_covered;  /* confirmed by the record in flight, 0: none is */
+  guint n_covered;  /* requests that the record in flight confirms, or 0 */
   mm_time_ms record_sent_ms;
 };
 
--- a/src/mm_submission_codec.c
+++ b/src/mm_submission_codec.c
@@ -1,6 +1,7 @@
 /* mm_submission_codec: a job is encoded as [id, payload, [step, ...]], and a
    step as [count, cpu_milli, mem_mb, gpus, estimate_ms, payload, once, label,
-   data_label, [after, ...]].
+   data_label, [after, ...]], where each "after" is the number of a step that
+   must end first.
 
    Fields of kinds of jobs that are not served are left out: jobs that
    mm_submission_unsupported_reason() rejects are not encoded.  */
@@ -45,7 +46,7 @@
 }
 
 static bool
-unpack_after (const msgpack_object *o, uint32_t step_no, mm_step *s)
+unpack_dependencies (const msgpack_object *o, uint32_t step_number, mm_step *s)
 {
   if (!mm_mp_is_array (o, 0))
     return false;
@@ -53,7 +54,7 @@
   for (uint32_t i = 0; i < o->via.array.size; i++)
     {
       if (!mm_mp_read_u32 (&o->via.array.ptr[i], &s->depends_on[i])
-          || s->depends_on[i] >= step_no)
+          || s->depends_on[i] >= step_number)
         return false;
       s->n_dependencies++;
     }
@@ -61,7 +62,7 @@
 }
 
 static bool
-unpack_step (const msgpack_object *o, uint32_t step_no, mm_step *s)
+unpack_step (const msgpack_object *o, uint32_t step_number, mm_step *s)
 {
   if (!mm_mp_is_array (o, STEP_FIELDS))
     return false;
@@ -75,7 +76,7 @@
          && mm_mp_read_bool (&f[6], &s->once)
          && mm_mp_read_text (&f[7], true, &s->label)
          && mm_mp_read_text (&f[8], true, &s->data_label)
-         && unpack_after (&f[9], step_no, s);
+         && unpack_dependencies (&f[9], step_number, s);
 }
 
 /**
--- a/src/mm_task_search.c
+++ b/src/mm_task_search.c
@@ -1,5 +1,5 @@
-/* mm_task_search: one round of requests to all owners at a time; no result is
-   carried over from one round to the next.  */
+/* mm_task_search: searches for tasks in doubt at all owners, in one round of
+   requests at a time.  No result is carried over to the next round.  */
 #include "mm_task_search.h"
 
 #include "config.h"
@@ -18,7 +18,8 @@
                                   tasks runs there */
   uint32_t n_present;          /* tasks found waiting or running */
   bool complete;               /* the catalog named every upstream */
-  uint32_t outstanding;        /* requests not answered yet */
+  uint32_t outstanding; /* requests not answered yet, plus one while they are
+                           being sent */
 };
 
 typedef struct
@@ -70,16 +71,18 @@
 }
 
 static void
-add_result (mm_task_search *s, const mm_search_result *c, const char *owner)
+add_result (mm_task_search *s, const mm_search_result *result,
+            const char *owner)
 {
-  s->n_present += c->present;
-  for (guint i = 0; i < c->clear_upstreams->len; i++)
+  s->n_present += result->present;
+  for (guint i = 0; i < result->clear_upstreams->len; i++)
     g_hash_table_add (
         s->clear_upstreams,
-        g_memdup2 (&g_array_index (c->clear_upstreams, uint64_t, i),
+        g_memdup2 (&g_array_index (result->clear_upstreams, uint64_t, i),
                    sizeof (uint64_t)));
-  for (guint i = 0; i < c->ends->len; i++)
-    s->ev.end (s->ev.ctx, &g_array_index (c->ends, mm_found_end, i), owner);
+  for (guint i = 0; i < result->ends->len; i++)
+    s->ev.end (s->ev.ctx, &g_array_index (result->ends, mm_found_end, i),
+               owner);
 }
 
 static bool
@@ -111,12 +114,12 @@
 {
   search_request *req = ctx;
   mm_task_search *s = req->search;
-  mm_search_result c = mm_search_result_init ();
-  /* A missing answer does not end the round: the peer's upstreams are reported
-     by their present owner, or stay missing from clear_upstreams.  */
-  if (!s->closed && ok && mm_search_result_read (data, len, &c))
-    add_result (s, &c, req->peer);
-  mm_search_result_clear (&c);
+  mm_search_result result = mm_search_result_init ();
+  /* A round can succeed without the answer of a peer: the peer's upstreams are
+     reported by their present owner, or stay missing from clear_upstreams.  */
+  if (!s->closed && ok && mm_search_result_read (data, len, &result))
+    add_result (s, &result, req->peer);
+  mm_search_result_clear (&result);
   s->outstanding--;
   if (!s->closed && s->outstanding == 0)
     end_round (s);
