--- a/src/mm_catalog.c
+++ b/src/mm_catalog.c
@@ -21,7 +21,7 @@
 {
   GHashTable *by_name; /* name -> entry */
   size_t n_missing;    /* entries with missing_since_ms set */
-  uint64_t changes;
+  uint64_t changes;    /* number of changes so far */
   mm_catalog_listed listed;
   void *ctx;
 };
@@ -77,10 +77,10 @@
   entry *e = g_hash_table_lookup (c->by_name, u->name);
   if (e && same_entry (e->info, u))
     {
-      bool back = e->missing_since_ms != 0;
-      c->n_missing -= back;
+      bool reappeared = e->missing_since_ms != 0;
+      c->n_missing -= reappeared;
       e->missing_since_ms = 0;
-      return back;
+      return reappeared;
     }
   if (!e || e->info->draining != u->draining)
     mm_log_event (MM_EV_UPSTREAM_LISTED, MM_TEXT (u->name),
--- a/src/mm_datacentres.c
+++ b/src/mm_datacentres.c
@@ -19,7 +19,7 @@
 {
   char *datacentre;
   char *group;
-  bool own;
+  bool own;                  /* the data centre of this instance */
   mm_partitions *partitions; /* NULL: not a member */
   bool retiring;             /* leaves the group once its upstreams are idle */
   mm_time_ms retiring_since_ms;
@@ -35,11 +35,14 @@
   mm_datacentres_events ev;
   membership *memberships;
   size_t n_memberships;
-  uint64_t changes; /* without those that the memberships count themselves */
+  /* Changes so far, besides those that the current memberships count.  */
+  uint64_t changes;
   bool leaving;
-  mm_time_ms checked_ms;     /* when standby was last checked */
-  mm_time_ms alone_after_ms; /* leaving: end of the wait without a peer */
-  mm_time_ms release_by_ms;  /* leaving: end of the wait in any case */
+  mm_time_ms checked_ms; /* when standby was last checked */
+  /* Leaving: end of the wait for an instance that takes over, while no peer is
+     connected and in any case.  */
+  mm_time_ms alone_after_ms;
+  mm_time_ms release_by_ms;
 };
 
 static void
@@ -108,6 +111,8 @@
   g_free (dcs);
 }
 
+/* Begins to leave the group; its partitions are released once their upstreams
+   are idle, or after MM_HANDOVER_MS.  */
 static void
 retire (mm_datacentres *dcs, membership *m)
 {
@@ -118,6 +123,8 @@
   m->retiring_since_ms = mm_clock_now_ms ();
 }
 
+/* Returns a hash by which all instances order the standby candidates of a data
+   centre; the highest ranks first.  */
 static uint64_t
 rank_of (const char *instance, const char *datacentre)
 {
@@ -183,6 +190,7 @@
     mm_partitions_leave (m->partitions);
   if (!mm_partitions_has_left (m->partitions) || m->own)
     return;
+  /* Keeps the sum of all changes from falling when the membership ends.  */
   dcs->changes += 1 + mm_partitions_changes (m->partitions);
   mm_partitions_destroy (m->partitions);
   m->partitions = NULL;
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -1,4 +1,4 @@
-/* mm_fleet: dispatches each task to the owner that mm_spread chooses.  */
+/* mm_fleet: dispatches each task to the owner that mm_dispatch chooses.  */
 #include "mm_fleet.h"
 
 #include "config.h"
--- a/src/mm_group_table.c
+++ b/src/mm_group_table.c
@@ -6,7 +6,7 @@
 typedef struct
 {
   char *name;
-  uint64_t joined_generation; /* the highest generation it joined with */
+  uint64_t joined_generation; /* the highest generation that it joined with */
   mm_time_ms expires_ms;
 } member;
 
@@ -75,6 +75,8 @@
   return best;
 }
 
+/* Assigns a partition to @to, which becomes its holder once the current holder
+   has released it.  */
 static void
 set_target (mm_group_table *g, partition *p, member *to)
 {
@@ -105,7 +107,9 @@
     }
 }
 
-/* Gives the partitions that their holders have released to their targets.  */
+/* Moves the partitions that their holders have released to their targets.  A
+   holder has released a partition once it joins with a generation in which the
+   partition is no longer listed for it.  */
 static void
 complete_moves (mm_group_table *g)
 {
--- a/src/mm_link.c
+++ b/src/mm_link.c
@@ -20,8 +20,8 @@
   int fd;
   ev_io read_io;
   ev_io write_io;
-  msgpack_unpacker in;
-  GByteArray *out;
+  msgpack_unpacker in; /* received bytes that are not decoded yet */
+  GByteArray *out;     /* bytes that are not sent yet */
   mm_link_events ev;
   mm_time_ms received_ms; /* when bytes were last received */
   bool in_callback;       /* read_cb frees the link after the callback */
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -1,4 +1,7 @@
-/* mm_list_share: which instance reads next, and which changes it sends on.  */
+/* mm_list_share: follows the upstream list together with the other instances.
+
+   The instances take turns to read the list from the store, and each sends the
+   changes that it reads or receives to the instances linked to it.  */
 #include "mm_list_share.h"
 
 #include "config.h"
@@ -21,8 +24,9 @@
   uint64_t round;       /* number of shared reads so far */
   mm_time_ms own_reads_until_ms; /* until then updates of peers are ignored */
   mm_time_ms notified_as_of_ms;  /* time of the view last sent to all */
-  mm_time_ms contact_since_ms;   /* start of contact, 0: not read yet */
-  bool complete;
+  /* Start of the contact with the store, 0: the list was not read yet.  */
+  mm_time_ms contact_since_ms;
+  bool complete; /* the list names every upstream */
 };
 
 /* ---- read order ------------------------------------------------------- */
@@ -71,6 +75,7 @@
   return update.to_offset;
 }
 
+/* Sends an update to all connected instances but @except (NULL: to all).  */
 static void
 notify (mm_list_share *l, const char *except)
 {
@@ -80,6 +85,8 @@
 
 /* ---- own reads -------------------------------------------------------- */
 
+/* Applies a change to the catalog; @u is NULL for an upstream that is no
+   longer listed.  Returns whether the catalog changed.  */
 static bool
 apply (mm_list_share *l, const char *name, const mm_upstream_info *u,
        const mm_catalog_origin *from)
@@ -133,7 +140,7 @@
     }
   g_array_set_size (l->changes_read, 0);
   if (!all)
-    return;
+    return; /* the rest of the changes is read next */
   l->round++;
   notify (l, NULL);
 }
@@ -200,7 +207,8 @@
 }
 
 /**
- * mm_list_share_create() - follows the upstream list with the other instances.
+ * mm_list_share_create() - follows the upstream list together with the
+ * other instances.
  * @port: the store.
  * @catalog: filled from own reads and from updates of peers; must outlive
  *           the returned object.
@@ -261,6 +269,8 @@
   if (l->complete || !l->contact_since_ms)
     return;
   mm_time_ms now = mm_clock_now_ms ();
+  /* While the store is unreachable, entries expire from the list: the time of
+     contact is counted from the end of the last outage.  */
   if (now - mm_stream_known_as_of_ms (l->stream) >= MM_STREAM_CONTACT_MS)
     l->contact_since_ms = now;
   l->complete = now - l->contact_since_ms >= MM_LIST_DROP_MS;
--- a/src/mm_list_update.c
+++ b/src/mm_list_update.c
@@ -1,4 +1,5 @@
-/* mm_list_update: packs and reads the message.  */
+/* mm_list_update: packs and reads the updates of the upstream list that
+   instances send each other.  */
 #include "mm_list_update.h"
 
 #include "mm_msgpack.h"
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -139,6 +139,8 @@
   members_unref (m);
 }
 
+/* Passes the members of all groups to the mesh as its peers.  A member of the
+   group of another data centre than its own is standby there.  */
 static void
 publish (mm_members *m)
 {
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -99,7 +99,7 @@
     mm_mesh_handle_loss (in->mesh, &msg);
   else if (ok && msg.kind == MM_MESH_HELLO)
     handle_hello (in, &msg);
-  else
+  else /* a release is ignored when no callback is set */
     ok = ok && (msg.kind == MM_MESH_HEARTBEAT || msg.kind == MM_MESH_RELEASED);
   mm_mesh_msg_clear (&msg);
   return ok;
@@ -266,7 +266,7 @@
 
 /* Records when the peer itself closed its link.  A process that ends closes
    its links; one that is disconnected, frozen or without power leaves them
-   open and unresponsive, so these do not count.  */
+   open and unresponsive.  Links closed for that reason are not recorded.  */
 static void
 record_closed (mm_mesh_peer *p, const char *why)
 {
@@ -481,8 +481,8 @@
  * @group: group of the partitions.
  *
  * Without the notification, the next owner learns of its partitions with its
- * next call to the store, and these calls are 300 ms apart.  Notified, it
- * calls the store at once.
+ * next call to the store, and these calls are 300 ms apart.  With the
+ * notification, it calls the store at once.
  */
 void
 mm_mesh_notify_released (mm_mesh *m, const char *group)
@@ -502,6 +502,9 @@
   m->leaving = true;
 }
 
+/* Returns the capacity that a peer last reported.  Tasks dispatched to the
+   peer that the report does not count yet take free capacity or count as
+   waiting.  */
 static mm_capacity_report
 capacity_of_peer (const mm_mesh_peer *p, const char *service)
 {
@@ -512,8 +515,8 @@
   uint64_t unseen = p->last_number - p->seen_number;
   uint32_t used = (uint32_t)MIN (unseen, r.free);
   r.free -= used;
-  /* Their priority is not known: at level 0 they count as waiting ahead of
-     tasks of every priority.  */
+  /* The priority of the unseen tasks is not known: at level 0 they count as
+     waiting ahead of tasks of every priority.  */
   r.waiting += (uint32_t)(unseen - used);
   r.waiting_by_priority[0] += (uint32_t)(unseen - used);
   return r;
--- a/src/mm_mesh_adopt.c
+++ b/src/mm_mesh_adopt.c
@@ -18,9 +18,9 @@
 }
 
 static void
-on_cancel (void *ctx, void *passed_on)
+on_cancel (void *ctx, void *remote_task)
 {
-  mm_mesh_cancel (ctx, passed_on);
+  mm_mesh_cancel (ctx, remote_task);
 }
 
 void
--- a/src/mm_mesh_loss.c
+++ b/src/mm_mesh_loss.c
@@ -7,7 +7,7 @@
 
 /* Sends a loss over the links of both directions.  An instance that receives a
    task's end over its own link to this instance must receive the loss before
-   it, or it runs the task again.  */
+   that end, or it runs the task again.  */
 static void
 on_changed (void *ctx, const mm_loss *l)
 {
--- a/src/mm_mesh_peers.c
+++ b/src/mm_mesh_peers.c
@@ -65,8 +65,8 @@
 }
 
 /* Returns whether the peer may have capacity.  An instance that owns no
-   upstreams has none.  A joining instance may own some before the list names
-   it.  */
+   upstreams has none.  A joining instance may own upstreams before the member
+   list names it.  */
 static bool
 may_have_capacity (const mm_mesh_peer *p, mm_time_ms now)
 {
--- a/src/mm_mesh_request.c
+++ b/src/mm_mesh_request.c
@@ -8,7 +8,7 @@
   mm_mesh_inbound_request *request = NULL;
   if (!mesh->request_received)
     return;
-  if (msg->number)
+  if (msg->number) /* 0: the sender expects no answer */
     {
       request = g_new (mm_mesh_inbound_request, 1);
       *request = (mm_mesh_inbound_request){ .to = in, .number = msg->number };
@@ -29,7 +29,7 @@
 mm_mesh_answer (mm_mesh_inbound_request *request, const void *data, size_t len)
 {
   mm_mesh_inbound_link *in = request->to;
-  if (in)
+  if (in) /* NULL: the link of the request has closed */
     {
       in->requests = g_list_remove (in->requests, request);
       msgpack_sbuffer b;
--- a/src/mm_mesh_update.c
+++ b/src/mm_mesh_update.c
@@ -4,8 +4,9 @@
 
 #include <string.h>
 
-/* Returns whether the sender must be skipped on its inbound link: it has not
-   sent its name yet, or it gets its updates over the outbound link to it.  */
+/* Returns whether no update is sent over an inbound link: its peer has not
+   sent its name yet, or already gets the updates over this instance's outbound
+   link to the peer.  */
 static bool
 skips_inbound (const mm_mesh_inbound_link *in)
 {
@@ -36,11 +37,12 @@
   msgpack_sbuffer_destroy (&update);
 }
 
-/* Called for each link, with the offset up to which its peer knows the list.
- */
+/* Called for each link, with the offset up to which its peer knows the
+   upstream list.  */
 typedef void (*link_visitor) (mm_link *link, const char *name,
                               uint64_t *known_upto, void *ctx);
 
+/* Calls @fn for a link to each connected instance whose name is known.  */
 static void
 for_each_link (mm_mesh *m, link_visitor fn, void *ctx)
 {
--- a/src/mm_neighbours.c
+++ b/src/mm_neighbours.c
@@ -77,9 +77,9 @@
  * @self: the name of this instance.
  * @own_datacentre: the data centre of this instance.
  * @candidates: the other known instances.
- * @n: their number.
+ * @n: number of @candidates.
  * @now: the current time.
- * @chosen: set for each of them.
+ * @chosen: @n values; set to whether each candidate gets a link.
  *
  * Chooses at most MM_NEIGHBOURS_NEAR instances of the own data centre,
  * MM_NEIGHBOURS_FAR of all others together and MM_NEIGHBOURS_FAR_EACH of each
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -41,10 +41,10 @@
   mm_ownership *ownership;
   mm_suspects *suspects;
   mm_time_ms leaving_ms; /* when the shutdown began, 0: not yet */
-  mm_time_ms
-      list_needed_ms; /* when it began to own partitions, 0: owns none */
-  mm_time_ms
-      list_behind_since_ms; /* when the list went out of date, 0: current */
+  /* When this instance began to own partitions, 0: it owns none.  */
+  mm_time_ms list_needed_ms;
+  /* When the upstream list went out of date, 0: it is current.  */
+  mm_time_ms list_behind_since_ms;
 };
 
 #define F(field) offsetof (mm_node_settings, field)
@@ -116,7 +116,7 @@
 {
   mm_node *n = ctx;
   if (!item->routes)
-    return;
+    return; /* a deleted configuration stays in force */
   if (n->routes && item->routes->version <= n->routes->version)
     {
       if (item->routes->version < n->routes->version)
@@ -163,7 +163,7 @@
 }
 
 /* Returns the age of the upstream list, counted only while this instance owns
-   partitions.  */
+   partitions; 0 if it owns none.  */
 static mm_time_ms
 list_age_ms (const mm_node *n, mm_time_ms now)
 {
@@ -289,8 +289,8 @@
   return member;
 }
 
-/* Partitions of a group were released, or are to be assigned to a joining
-   instance.  */
+/* Called when partitions of @group were released or an instance joins it.
+   @group is NULL when the member list was read again.  */
 static void
 on_group_changed (void *ctx, const char *group)
 {
@@ -413,8 +413,8 @@
   g_free (n);
 }
 
-/* Ready once a job can be accepted: its queue is known, and this instance or a
-   connected peer has capacity for it.  */
+/* Returns whether a job can be accepted: its queue is known, and this instance
+   or a connected peer has capacity for it.  */
 bool
 mm_node_ready (const mm_node *n)
 {
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -1,4 +1,5 @@
-/* mm_ownership: reconciles sessions with the list and the partitions.  */
+/* mm_ownership: keeps a session with each listed upstream whose partition this
+   instance owns, and closes the others.  */
 #include "mm_ownership.h"
 
 #include "config.h"
@@ -87,6 +88,8 @@
     return;
   if (mm_owner_fenced (w->owner, u->name))
     {
+      /* Another owner's fencing token was seen at the upstream: this instance
+         needs a higher one.  */
       w->partitions.renew_fence (w->partitions.ctx, u);
       state_of (w, u, &fence);
     }
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -22,7 +22,7 @@
 typedef struct
 {
   uint64_t fence;    /* fencing token; 0: not owned by this instance */
-  bool is_releasing; /* no longer assigned to this instance */
+  bool is_releasing; /* the store no longer lists it for this instance */
 } partition;
 
 struct mm_partitions
@@ -44,7 +44,7 @@
   bool quitting;           /* leaving the group */
   bool has_left;
   mm_time_ms next_call_ms; /* when the next call is due */
-  uint64_t changes;        /* of any partition */
+  uint64_t changes;        /* changes of partition states so far */
   mm_time_ms created_ms;
   uint64_t sent_generation; /* generation that the call in flight confirms */
   bool release_pending;     /* the next join hands over partitions */
@@ -114,7 +114,7 @@
   mm_log_event (MM_EV_GROUP_CHANGED, MM_TEXT (set->group),
                 MM_INT (res->generation), MM_INT (n_owned),
                 MM_INT (n_releasing));
-  if (!n_releasing)
+  if (!n_releasing) /* nothing has to be released before the next join */
     set->confirmed_generation = res->generation;
   else if (!set->releasing_since_ms)
     set->releasing_since_ms = mm_clock_now_ms ();
@@ -140,6 +140,7 @@
     mm_store_record_contact (&set->in_contact, res->ok, set->group, res->why);
   if (res->ok)
     set->confirmed_ms = set->call_sent_ms;
+  /* Only a join that was sent after the release confirms the release.  */
   if (res->ok && set->release_pending
       && set->sent_generation == set->confirmed_generation)
     {
@@ -168,8 +169,8 @@
 
 /* Returns the time between joins.  A joining instance without a partition
    polls fast: partitions of an instance that is known to be dead are
-   reassigned one call after its removal, and until then no instance can start
-   tasks on their upstreams.  */
+   reassigned one call after the removal of that instance, and until then no
+   instance can start tasks on their upstreams.  */
 static mm_time_ms
 join_interval_ms (const mm_partitions *set, mm_time_ms now)
 {
@@ -182,6 +183,7 @@
 mm_partitions_tick (mm_partitions *set)
 {
   mm_time_ms now = mm_clock_now_ms ();
+  /* A handover waits for running tasks no longer than MM_HANDOVER_MS.  */
   if (set->releasing_since_ms
       && now - set->releasing_since_ms > MM_HANDOVER_MS)
     mm_partitions_release (set);
@@ -265,6 +267,8 @@
   return set->confirmed_ms;
 }
 
+/* Raises the fencing token of an owned partition to the generation in the last
+   answer.  */
 static void
 renew_fence (mm_partitions *set, partition *p)
 {
--- a/src/mm_platform.c
+++ b/src/mm_platform.c
@@ -75,6 +75,7 @@
   GHashTable *link_busy; /* member -> mm_time_ms, end of its last answer */
 };
 
+/* An answer that is sent when its timer expires.  */
 typedef struct
 {
   ev_timer timer;
@@ -130,9 +131,10 @@
   if (p->link_kbps <= 0 || !member)
     return 0;
   mm_time_ms now = mm_clock_now_ms ();
-  const mm_time_ms *busy = g_hash_table_lookup (p->link_busy, member);
+  const mm_time_ms *last_busy_until_ms
+      = g_hash_table_lookup (p->link_busy, member);
   mm_time_ms *busy_until_ms = g_new (mm_time_ms, 1);
-  *busy_until_ms = MAX (now, busy ? *busy : 0)
+  *busy_until_ms = MAX (now, last_busy_until_ms ? *last_busy_until_ms : 0)
                    + (mm_time_ms)bytes * 8 / (mm_time_ms)p->link_kbps;
   mm_time_ms took_ms = *busy_until_ms - now;
   g_hash_table_replace (p->link_busy, g_strdup (member), busy_until_ms);
@@ -224,8 +226,9 @@
     }
   cJSON_Delete (record);
   log_stream *s = get_stream (p, stream);
-  const char *epoch_s = mm_http_request_query (req, "epoch");
-  int64_t epoch = epoch_s ? g_ascii_strtoll (epoch_s, NULL, 10) : s->epoch;
+  const char *epoch_text = mm_http_request_query (req, "epoch");
+  int64_t epoch
+      = epoch_text ? g_ascii_strtoll (epoch_text, NULL, 10) : s->epoch;
   if (epoch < s->epoch)
     {
       mm_counters_add (p->counters, "log_appends_fenced", 1);
@@ -235,8 +238,8 @@
                                s->epoch));
       return;
     }
-  const char *at_s = mm_http_request_query (req, "at");
-  if (at_s && g_ascii_strtoll (at_s, NULL, 10) != s->head)
+  const char *at_text = mm_http_request_query (req, "at");
+  if (at_text && g_ascii_strtoll (at_text, NULL, 10) != s->head)
     {
       answer (p, req, 412,
               g_strdup_printf ("{\"end\":%" G_GINT64_FORMAT "}", s->head));
@@ -268,11 +271,11 @@
 {
   log_stream *s = get_stream (p, stream);
   apply_retention (p, s, mm_clock_now_ms ());
-  const char *from_s = mm_http_request_query (req, "from");
-  const char *max_s = mm_http_request_query (req, "max");
-  int64_t from = from_s ? g_ascii_strtoll (from_s, NULL, 10) : 0;
-  int64_t max
-      = max_s ? g_ascii_strtoll (max_s, NULL, 10) : MM_DEFAULT_LOG_READ_MAX;
+  const char *from_text = mm_http_request_query (req, "from");
+  const char *max_text = mm_http_request_query (req, "max");
+  int64_t from = from_text ? g_ascii_strtoll (from_text, NULL, 10) : 0;
+  int64_t max = max_text ? g_ascii_strtoll (max_text, NULL, 10)
+                         : MM_DEFAULT_LOG_READ_MAX;
   max = CLAMP (max, 1, MM_DEFAULT_LOG_READ_MAX);
   cJSON *o = cJSON_CreateObject ();
   cJSON_AddNumberToObject (o, "first", (double)s->first);
@@ -450,6 +453,8 @@
   mm_http_reply (req, 200, "{\"status\":\"ok\"}", 0);
 }
 
+/* Returns whether a fault makes the stand-in unavailable for the sender of a
+   request: it is down, or the sender is disconnected.  */
 static bool
 is_unavailable (const mm_platform *p, const mm_http_request *req)
 {
@@ -466,9 +471,9 @@
 handle (mm_http_request *req, void *ctx)
 {
   mm_platform *p = ctx;
-  const char *m = mm_http_request_method (req);
+  const char *method = mm_http_request_method (req);
   const char *path = mm_http_request_path (req);
-  if (g_str_equal (path, "/v1/faults") && g_str_equal (m, "POST"))
+  if (g_str_equal (path, "/v1/faults") && g_str_equal (method, "POST"))
     set_faults (p, req);
   else if (g_str_equal (path, "/v1/state"))
     {
@@ -488,13 +493,13 @@
     return;
   else if (g_str_has_prefix (path, "/v1/log/") && path[8])
     {
-      if (g_str_equal (m, "POST"))
+      if (g_str_equal (method, "POST"))
         log_append (p, req, path + 8);
       else
         log_read (p, req, path + 8);
     }
   else if (g_str_has_prefix (path, "/v1/members/") && path[12]
-           && g_str_equal (m, "PUT"))
+           && g_str_equal (method, "PUT"))
     member_put (p, req, path + 12);
   else if (g_str_equal (path, "/v1/members"))
     members_get (p, req);
--- a/src/mm_predecessors.c
+++ b/src/mm_predecessors.c
@@ -1,4 +1,5 @@
-/* mm_predecessors: leaves groups on behalf of a dead member.
+/* mm_predecessors: leaves groups on behalf of previous incarnations of this
+   instance.
 
    Guards against upstreams without an owner after a restart: otherwise, the
    upstreams of a killed process would be idle for the rest of its membership,
@@ -76,6 +77,8 @@
   g_free (call);
 }
 
+/* Returns whether a member listens on the address of this instance under
+   another name.  */
 static bool
 is_previous_incarnation (const mm_predecessors *p, const char *member)
 {
@@ -87,6 +90,7 @@
   return same_addr;
 }
 
+/* Removes a member from a group, unless a call for that is in flight.  */
 static void
 remove_member (mm_predecessors *p, const char *group, const char *member)
 {
--- a/src/mm_queue_delay.c
+++ b/src/mm_queue_delay.c
@@ -10,7 +10,8 @@
  * @sent_ms: when the message was sent, by the sender's clock.
  * @now_ms: when the message was received, by this instance's clock.
  *
- * Return: how much longer the message took than the fastest recent one.
+ * Return: how much longer the message took than the fastest recent message of
+ * this sender, in ms.
  */
 mm_time_ms
 mm_queue_delay_record_ms (mm_queue_delay *t, mm_time_ms sent_ms,
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -4,12 +4,12 @@
    The store may drop the history at any time, but keeps the newest records.
    These are then read again, and keys that are not among them no longer exist.
 
-   The records appended while the store was unreachable can be more than our
-   link carries within the timeout of a call.  Each call would then fail, and
-   the next would have more to read.  The records are therefore read in chunks,
-   one after another without a pause, or skipped by reading the newest records
-   again where that is less to read.  For an answer that cannot be split, the
-   timeout grows with each failure.  */
+   The records appended while the store was unreachable can be more than the
+   link of this instance carries within the timeout of a call.  Each call would
+   then fail, and the next would have more to read.  The records are therefore
+   read in chunks, one after another without a pause, or skipped by reading the
+   newest records again where that is less to read.  For an answer that cannot
+   be split, the timeout grows with each failure.  */
 #include "mm_stream.h"
 
 #include "config.h"
@@ -30,8 +30,8 @@
   mm_time_ms paused_ms;  /* time of the last pause, 0: never */
   bool current;          /* read up to the end since the last pause */
   bool sent_after_pause; /* the call in flight was sent after the last pause */
-  mm_time_ms sent_ms;    /* when the call in flight was sent */
-  uint64_t sent_from;    /* its offset */
+  mm_time_ms sent_ms;    /* when the last call was sent */
+  uint64_t sent_from;    /* offset from which the last call read */
   mm_time_ms first_page_ms; /* when the first page of newest was requested */
   /* When the last read that reached the end was sent, here or by another
      instance.  */
@@ -39,7 +39,7 @@
   uint64_t next_offset; /* offset of the next record to read */
   size_t chunk_bytes;   /* maximum size of one answer with changes */
   uint32_t failures;    /* consecutive failed calls */
-  GHashTable *keys;     /* found in this read of the newest records */
+  GHashTable *keys;     /* keys found in the last read of newest */
   char *after; /* last key of the newest records read so far, or NULL */
   mm_time_ms next_read_ms; /* when the next read is due */
 };
@@ -109,7 +109,8 @@
   mm_store_record_contact (&s->in_contact, res->ok, names[s->kind], res->why);
 }
 
-/* All records that existed at @as_of_ms are known.  */
+/* Sets the time as of which all records of the stream are known.
+   @after_pause: whether @as_of_ms is after the last pause.  */
 static void
 reached_end (mm_stream *s, mm_time_ms as_of_ms, bool after_pause)
 {
@@ -143,6 +144,7 @@
     s->ev.changes (s->ev.ctx, !behind);
   if (!behind)
     schedule_next_read (s);
+  /* No progress means that the next record is larger than a chunk.  */
   if (no_progress)
     s->chunk_bytes = MIN (s->chunk_bytes * 2, MM_STORE_ANSWER_MAX_BYTES);
   else if (behind
@@ -190,8 +192,8 @@
     restart_from_newest (s);
   else
     record_contact (s, res);
-  /* Changes from another instance arrived after the call was sent, and
-     reached a later offset.  */
+  /* An answer is outdated when another instance sent changes up to a later
+     offset while the call was in flight; it is ignored.  */
   bool outdated = res->ok && s->tailing && res->next_offset < s->next_offset;
   for (size_t i = 0; res->ok && !outdated && i < res->n_items; i++)
     {
--- a/src/mm_stream_server.c
+++ b/src/mm_stream_server.c
@@ -19,7 +19,7 @@
   uint64_t next_seq;  /* sequence number of the next append of that epoch */
 } stream;
 
-/* A read that waits for a record, at most until the given time.  */
+/* A read that waits for a record, at most until answer_by_ms.  */
 typedef struct
 {
   mm_http_request *req;
@@ -175,7 +175,7 @@
   const char *after = mm_http_request_query (req, "after");
   cJSON *o = cJSON_CreateObject ();
   cJSON *list = cJSON_AddArrayToObject (o, "items");
-  const mm_keyed_record *r = NULL;
+  const mm_keyed_record *last = NULL;
   for (int i = 0; i < MM_STREAM_PAGE; i++)
     {
       const mm_keyed_record *next = mm_keyed_log_next_key (t->log, after);
@@ -183,10 +183,10 @@
         break;
       add_record (list, next);
       after = next->key;
-      r = next;
+      last = next;
     }
-  if (r && mm_keyed_log_next_key (t->log, r->key))
-    cJSON_AddStringToObject (o, "after", r->key);
+  if (last && mm_keyed_log_next_key (t->log, last->key))
+    cJSON_AddStringToObject (o, "after", last->key);
   cJSON_AddNumberToObject (o, "next", (double)mm_keyed_log_end (t->log));
   answer_json (s, req, 200, o);
 }
@@ -225,6 +225,8 @@
    because its answer was lost does not take effect twice.  */
 #define REMEMBERED_APPENDS 5
 
+/* Refuses an append.  The answer names the expected sequence number, unless
+   the epoch of the append was too low (@fenced).  */
 static void
 refuse_append (mm_stream_server *s, mm_http_request *req, const stream *t,
                bool fenced)
@@ -252,7 +254,8 @@
 }
 
 /* Appends records for the writer that holds an epoch, in order.  An append
-   with a lower epoch or with an unexpected sequence number is refused.  */
+   with a lower epoch or with an unexpected sequence number is refused.  A
+   recent append that is sent again is answered but not applied again.  */
 static void
 append_records (mm_stream_server *s, mm_http_request *req, const char *name)
 {
@@ -442,6 +445,7 @@
   return true;
 }
 
+/* Deletes the values whose ttl has passed.  */
 static void
 expire_values (stream *t, mm_time_ms now)
 {
@@ -456,6 +460,7 @@
       }
 }
 
+/* Answers the waiting reads that have a record or whose time is up.  */
 static void
 answer_reads (mm_stream_server *s, mm_time_ms now)
 {
--- a/src/mm_upstream.c
+++ b/src/mm_upstream.c
@@ -69,6 +69,7 @@
   GHashTable *tasks; /* task id -> task_record */
 } job_record;
 
+/* A running task, and the request that started it and awaits its end.  */
 struct run
 {
   ev_timer timer;
