--- a/src/mm_datacentres.c
+++ b/src/mm_datacentres.c
@@ -147,6 +147,8 @@
   return n_before < MM_STANDBY_COUNT;
 }
 
+/* Becomes standby for a data centre that no instance serves, and ends being
+   standby once one of its own instances serves it.  */
 static void
 update_standby (mm_datacentres *dcs, membership *m, mm_time_ms now)
 {
@@ -233,6 +235,8 @@
     }
 }
 
+/* Returns the membership in the group of an upstream's data centre, or NULL
+   when this instance is not a member.  */
 static membership *
 membership_of (const mm_datacentres *dcs, const mm_upstream_info *u)
 {
--- a/src/mm_group_table.c
+++ b/src/mm_group_table.c
@@ -62,6 +62,7 @@
   return n;
 }
 
+/* Returns the member with the fewest partitions, or NULL without members.  */
 static member *
 least_loaded (const mm_group_table *g)
 {
--- a/src/mm_link.c
+++ b/src/mm_link.c
@@ -98,6 +98,8 @@
     link_free (link);
 }
 
+/* Sends as many of the buffered bytes as the socket takes; the rest follows
+   once the socket is writable.  */
 static void
 flush (mm_link *link)
 {
@@ -155,6 +157,7 @@
   return link;
 }
 
+/* Parses "ip:port".  Returns false when @addr is malformed.  */
 static bool
 parse_addr (const char *addr, struct sockaddr_in *out)
 {
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -31,6 +31,8 @@
 
 /* ---- read order ------------------------------------------------------- */
 
+/* Returns a hash that orders the instances in a round; the lowest reads
+   first.  */
 static uint64_t
 rank_of (const char *name, uint64_t round)
 {
@@ -59,6 +61,8 @@
 
 /* ---- updates sent ----------------------------------------------------- */
 
+/* Writes the update for a peer that knows the list up to @known_upto.  Returns
+   the offset up to which the peer knows the list with this update.  */
 static uint64_t
 pack_update_for (void *ctx, uint64_t known_upto, msgpack_sbuffer *out)
 {
@@ -159,6 +163,8 @@
     mm_mesh_notify_peer (l->mesh, peer, pack_update_for, l);
 }
 
+/* Applies an update of a peer, and sends it on when the update changed the
+   catalog or MM_LIST_NOTIFY_MS have passed since the last notification.  */
 static void
 apply_update (mm_list_share *l, const char *peer, const mm_list_update *update)
 {
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -183,6 +183,8 @@
   members_unref (m);
 }
 
+/* Requests the members of a group of a data centre, unless a call for it is in
+   flight.  */
 static void
 request_members (datacentre *dc)
 {
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -105,6 +105,8 @@
   return ok;
 }
 
+/* Stops the tasks received over a link that has closed, as their callers may
+   send the job again to another instance.  */
 static void
 on_inbound_closed (void *ctx, const char *why)
 {
@@ -147,6 +149,8 @@
   m->inbound = g_list_prepend (m->inbound, in);
 }
 
+/* Fills @out with the capacity of this instance for each service.  Returns the
+   number of services, MM_MESH_MAX_SERVICES at most.  */
 static size_t
 read_capacities (mm_owner *o, mm_mesh_service_capacity *out)
 {
@@ -310,6 +314,8 @@
   mm_requests_fail_all (p->requests);
 }
 
+/* Opens a link to a peer, unless the last try was less than
+   MM_MESH_RECONNECT_MS ago.  */
 static void
 peer_connect (mm_mesh_peer *p, mm_time_ms now)
 {
--- a/src/mm_neighbours.c
+++ b/src/mm_neighbours.c
@@ -25,6 +25,8 @@
   uint32_t position; /* rank within its data centre, from 0 */
 } candidate;
 
+/* Returns the hash by which an instance ranks another; the highest is chosen
+   first.  */
 static uint64_t
 rank_of (const char *self, const char *name)
 {
@@ -32,6 +34,7 @@
                                XXH3_64bits (self, strlen (self)));
 }
 
+/* Sorts candidates by falling rank, those with a recently lost link last.  */
 static int
 by_rank (const void *a, const void *b)
 {
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -111,6 +111,8 @@
   ev_feed_event (n->loop, &n->tick, EV_TIMER);
 }
 
+/* Applies a configuration, unless its version is not newer than the one in
+   force.  */
 static void
 on_config (void *ctx, const mm_stream_item *item)
 {
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -80,6 +80,7 @@
   g_list_free (owned);
 }
 
+/* Opens a session with an upstream if this instance owns its partition.  */
 static void
 own_if_assigned (mm_ownership *w, const mm_upstream_info *u)
 {
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -95,6 +95,8 @@
   return false;
 }
 
+/* Applies the store's list of partitions that are assigned to this instance.
+   An owned partition that is not listed any more is releasing from now on.  */
 static void
 apply_assignment (mm_partitions *set, const mm_join_result *res)
 {
--- a/src/mm_platform.c
+++ b/src/mm_platform.c
@@ -213,6 +213,7 @@
     }
 }
 
+/* Handles POST /v1/log/STREAM?epoch=N&at=N.  */
 static void
 log_append (mm_platform *p, mm_http_request *req, const char *stream)
 {
@@ -266,6 +267,7 @@
           g_strdup_printf ("{\"offset\":%" G_GINT64_FORMAT "}", r->offset));
 }
 
+/* Handles GET /v1/log/STREAM?from=N&max=M.  */
 static void
 log_read (mm_platform *p, mm_http_request *req, const char *stream)
 {
@@ -300,6 +302,7 @@
   answer (p, req, 200, text);
 }
 
+/* Handles PUT /v1/members/NAME, a heartbeat.  */
 static void
 member_put (mm_platform *p, mm_http_request *req, const char *name)
 {
--- a/src/mm_store_http.c
+++ b/src/mm_store_http.c
@@ -34,6 +34,7 @@
   g_free (s);
 }
 
+/* Sends a call; @done receives a copy of @call.  Takes ownership of @path.  */
 static void
 send_call (mm_store_http *s, const char *method, char *path,
            const mm_http_call *body, mm_time_ms timeout_ms, mm_http_done done,
@@ -109,6 +110,7 @@
   return holders;
 }
 
+/* Returns why a call failed, free with g_free(), or NULL when it succeeded. */
 static char *
 failure_reason (bool ok, const mm_http_result *res)
 {
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -90,6 +90,7 @@
   stream_unref (s);
 }
 
+/* Makes the next read start with the first page of the newest records.  */
 static void
 restart_from_newest (mm_stream *s)
 {
--- a/src/mm_stream_server.c
+++ b/src/mm_stream_server.c
@@ -101,6 +101,7 @@
   cJSON_AddItemToArray (list, row);
 }
 
+/* Returns a number in the query of a request, 0 when it is missing.  */
 static uint64_t
 query_number (mm_http_request *req, const char *name)
 {
@@ -127,6 +128,8 @@
   return n;
 }
 
+/* Answers with the records from offset @from on, or with 410 when the history
+   no longer has them.  */
 static void
 answer_records (mm_stream_server *s, mm_http_request *req, const stream *t,
                 uint64_t from)
@@ -149,6 +152,8 @@
   answer_json (s, req, 200, o);
 }
 
+/* Handles GET /v1/streams/S.  A read from the end of the stream waits for a
+   record for up to wait_ms.  */
 static void
 get_records (mm_stream_server *s, mm_http_request *req, const char *name)
 {
@@ -168,6 +173,8 @@
   s->reads = g_list_prepend (s->reads, r);
 }
 
+/* Handles GET /v1/streams/S/newest: one page of the newest records, of the
+   keys after the one in the query.  */
 static void
 get_newest (mm_stream_server *s, mm_http_request *req, const char *name)
 {
@@ -357,6 +364,7 @@
   answer_json (s, req, 200, o);
 }
 
+/* Handles POST /v1/groups/G/join and /leave.  */
 static void
 change_group (mm_stream_server *s, mm_http_request *req, const char *name,
               const char *verb)
--- a/src/mm_upstream.c
+++ b/src/mm_upstream.c
@@ -175,6 +175,7 @@
   cJSON_Delete (o);
 }
 
+/* Ends a run and answers the request that started it.  */
 static void
 answer_run (run *r)
 {
@@ -209,6 +210,8 @@
   answer_run (r);
 }
 
+/* Handles POST /v1/tasks.  With more running tasks than slots, the run time of
+   the new task is multiplied by running/slots.  */
 static void
 start_task (mm_upstream *u, mm_http_request *req)
 {
