--- a/src/mm_link.c
+++ b/src/mm_link.c
@@ -20,8 +20,8 @@
   int fd;
   ev_io read_io;
   ev_io write_io;
-  msgpack_unpacker in;
-  GByteArray *out;
+  msgpack_unpacker in; /* received bytes that are not decoded yet */
+  GByteArray *out;     /* bytes that are not sent yet */
   mm_link_events ev;
   mm_time_ms received_ms; /* when bytes were last received */
   bool in_callback;       /* read_cb frees the link after the callback */
@@ -98,6 +98,8 @@
     link_free (link);
 }
 
+/* Sends as many of the buffered bytes as the socket takes; the rest follows
+   once the socket is writable.  */
 static void
 flush (mm_link *link)
 {
@@ -155,6 +157,7 @@
   return link;
 }
 
+/* Parses "ip:port".  Returns false when @addr is malformed.  */
 static bool
 parse_addr (const char *addr, struct sockaddr_in *out)
 {
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -1,4 +1,7 @@
-/* mm_list_share: which instance reads next, and which changes it sends on.  */
+/* mm_list_share: follows the upstream list together with the other instances.
+
+   The instances take turns to read the list from the store, and each sends the
+   changes that it reads or receives to the instances linked to it.  */
 #include "mm_list_share.h"
 
 #include "config.h"
@@ -21,12 +24,15 @@
   uint64_t round;       /* number of shared reads so far */
   mm_time_ms own_reads_until_ms; /* until then updates of peers are ignored */
   mm_time_ms notified_as_of_ms;  /* time of the view last sent to all */
-  mm_time_ms contact_since_ms;   /* start of contact, 0: not read yet */
-  bool complete;
+  /* Start of the contact with the store, 0: the list was not read yet.  */
+  mm_time_ms contact_since_ms;
+  bool complete; /* the list names every upstream */
 };
 
 /* ---- read order ------------------------------------------------------- */
 
+/* Returns a hash that orders the instances in a round; the lowest reads
+   first.  */
 static uint64_t
 rank_of (const char *name, uint64_t round)
 {
@@ -55,6 +61,8 @@
 
 /* ---- updates sent ----------------------------------------------------- */
 
+/* Writes the update for a peer that knows the list up to @known_upto.  Returns
+   the offset up to which the peer knows the list with this update.  */
 static uint64_t
 pack_update_for (void *ctx, uint64_t known_upto, msgpack_sbuffer *out)
 {
@@ -71,6 +79,7 @@
   return update.to_offset;
 }
 
+/* Sends an update to all connected instances but @except (NULL: to all).  */
 static void
 notify (mm_list_share *l, const char *except)
 {
@@ -80,6 +89,8 @@
 
 /* ---- own reads -------------------------------------------------------- */
 
+/* Applies a change to the catalog; @u is NULL for an upstream that is no
+   longer listed.  Returns whether the catalog changed.  */
 static bool
 apply (mm_list_share *l, const char *name, const mm_upstream_info *u,
        const mm_catalog_origin *from)
@@ -133,7 +144,7 @@
     }
   g_array_set_size (l->changes_read, 0);
   if (!all)
-    return;
+    return; /* the rest of the changes is read next */
   l->round++;
   notify (l, NULL);
 }
@@ -152,6 +163,8 @@
     mm_mesh_notify_peer (l->mesh, peer, pack_update_for, l);
 }
 
+/* Applies an update of a peer, and sends it on when the update changed the
+   catalog or MM_LIST_NOTIFY_MS have passed since the last notification.  */
 static void
 apply_update (mm_list_share *l, const char *peer, const mm_list_update *update)
 {
@@ -200,7 +213,8 @@
 }
 
 /**
- * mm_list_share_create() - follows the upstream list with the other instances.
+ * mm_list_share_create() - follows the upstream list together with the
+ * other instances.
  * @port: the store.
  * @catalog: filled from own reads and from updates of peers; must outlive
  *           the returned object.
@@ -261,6 +275,8 @@
   if (l->complete || !l->contact_since_ms)
     return;
   mm_time_ms now = mm_clock_now_ms ();
+  /* While the store is unreachable, entries expire from the list: the time of
+     contact is counted from the end of the last outage.  */
   if (now - mm_stream_known_as_of_ms (l->stream) >= MM_STREAM_CONTACT_MS)
     l->contact_since_ms = now;
   l->complete = now - l->contact_since_ms >= MM_LIST_DROP_MS;
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -139,6 +139,8 @@
   members_unref (m);
 }
 
+/* Passes the members of all groups to the mesh as its peers.  A member of the
+   group of another data centre than its own is standby there.  */
 static void
 publish (mm_members *m)
 {
@@ -181,6 +183,8 @@
   members_unref (m);
 }
 
+/* Requests the members of a group of a data centre, unless a call for it is in
+   flight.  */
 static void
 request_members (datacentre *dc)
 {
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -99,12 +99,14 @@
     mm_mesh_handle_loss (in->mesh, &msg);
   else if (ok && msg.kind == MM_MESH_HELLO)
     handle_hello (in, &msg);
-  else
+  else /* a release is ignored when no callback is set */
     ok = ok && (msg.kind == MM_MESH_HEARTBEAT || msg.kind == MM_MESH_RELEASED);
   mm_mesh_msg_clear (&msg);
   return ok;
 }
 
+/* Stops the tasks received over a link that has closed, as their callers may
+   send the job again to another instance.  */
 static void
 on_inbound_closed (void *ctx, const char *why)
 {
@@ -147,6 +149,8 @@
   m->inbound = g_list_prepend (m->inbound, in);
 }
 
+/* Fills @out with the capacity of this instance for each service.  Returns the
+   number of services, MM_MESH_MAX_SERVICES at most.  */
 static size_t
 read_capacities (mm_owner *o, mm_mesh_service_capacity *out)
 {
@@ -266,7 +270,7 @@
 
 /* Records when the peer itself closed its link.  A process that ends closes
    its links; one that is disconnected, frozen or without power leaves them
-   open and unresponsive, so these do not count.  */
+   open and unresponsive.  Links closed for that reason are not recorded.  */
 static void
 record_closed (mm_mesh_peer *p, const char *why)
 {
@@ -310,6 +314,8 @@
   mm_requests_fail_all (p->requests);
 }
 
+/* Opens a link to a peer, unless the last try was less than
+   MM_MESH_RECONNECT_MS ago.  */
 static void
 peer_connect (mm_mesh_peer *p, mm_time_ms now)
 {
@@ -481,8 +487,8 @@
  * @group: group of the partitions.
  *
  * Without the notification, the next owner learns of its partitions with its
- * next call to the store, and these calls are 300 ms apart.  Notified, it
- * calls the store at once.
+ * next call to the store, and these calls are 300 ms apart.  With the
+ * notification, it calls the store at once.
  */
 void
 mm_mesh_notify_released (mm_mesh *m, const char *group)
@@ -502,6 +508,9 @@
   m->leaving = true;
 }
 
+/* Returns the capacity that a peer last reported.  Tasks dispatched to the
+   peer that the report does not count yet take free capacity or count as
+   waiting.  */
 static mm_capacity_report
 capacity_of_peer (const mm_mesh_peer *p, const char *service)
 {
@@ -512,8 +521,8 @@
   uint64_t unseen = p->last_number - p->seen_number;
   uint32_t used = (uint32_t)MIN (unseen, r.free);
   r.free -= used;
-  /* Their priority is not known: at level 0 they count as waiting ahead of
-     tasks of every priority.  */
+  /* The priority of the unseen tasks is not known: at level 0 they count as
+     waiting ahead of tasks of every priority.  */
   r.waiting += (uint32_t)(unseen - used);
   r.waiting_by_priority[0] += (uint32_t)(unseen - used);
   return r;
--- a/src/mm_neighbours.c
+++ b/src/mm_neighbours.c
@@ -25,6 +25,8 @@
   uint32_t position; /* rank within its data centre, from 0 */
 } candidate;
 
+/* Returns the hash by which an instance ranks another; the highest is chosen
+   first.  */
 static uint64_t
 rank_of (const char *self, const char *name)
 {
@@ -32,6 +34,7 @@
                                XXH3_64bits (self, strlen (self)));
 }
 
+/* Sorts candidates by falling rank, those with a recently lost link last.  */
 static int
 by_rank (const void *a, const void *b)
 {
@@ -77,9 +80,9 @@
  * @self: the name of this instance.
  * @own_datacentre: the data centre of this instance.
  * @candidates: the other known instances.
- * @n: their number.
+ * @n: number of @candidates.
  * @now: the current time.
- * @chosen: set for each of them.
+ * @chosen: @n values; set to whether each candidate gets a link.
  *
  * Chooses at most MM_NEIGHBOURS_NEAR instances of the own data centre,
  * MM_NEIGHBOURS_FAR of all others together and MM_NEIGHBOURS_FAR_EACH of each
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -1,5 +1,5 @@
-/* mm_ownership: keeps a session with each upstream that is listed and belongs
-   to a partition that this instance owns.  */
+/* mm_ownership: keeps a session with each listed upstream whose partition this
+   instance owns, and closes the others.  */
 #include "mm_ownership.h"
 
 #include "config.h"
@@ -80,6 +80,7 @@
   g_list_free (owned);
 }
 
+/* Opens a session with an upstream if this instance owns its partition.  */
 static void
 own_if_assigned (mm_ownership *w, const mm_upstream_info *u)
 {
@@ -88,6 +89,8 @@
     return;
   if (mm_owner_fenced (w->owner, u->name))
     {
+      /* Another owner's fencing token was seen at the upstream: this instance
+         needs a higher one.  */
       w->partitions.renew_fence (w->partitions.ctx, u);
       state_of (w, u, &fence);
     }
