--- a/src/mm_breaker.c
+++ b/src/mm_breaker.c
@@ -10,33 +10,33 @@
 
 /**
  * mm_breaker_record() - record the outcome of a run.
- * @t: the upstream's circuit breaker.
+ * @b: the upstream's circuit breaker.
  * @ok: true when the task succeeded; false when it failed or could not start.
  * @now_ms: the current time.
  */
 void
-mm_breaker_record (mm_breaker *t, bool ok, mm_time_ms now_ms)
+mm_breaker_record (mm_breaker *b, bool ok, mm_time_ms now_ms)
 {
   if (ok)
     {
-      *t = (mm_breaker){ 0 };
+      *b = (mm_breaker){ 0 };
       return;
     }
-  t->consecutive_failures++;
-  if (!t->on_trial && t->consecutive_failures < MM_BREAKER_FAILURES)
+  b->consecutive_failures++;
+  if (!b->on_trial && b->consecutive_failures < MM_BREAKER_FAILURES)
     return;
-  t->excluded_until_ms = now_ms + (MM_BREAKER_OPEN_MS << t->doublings);
-  if (t->doublings < MM_BREAKER_MAX_DOUBLINGS)
-    t->doublings++;
-  t->on_trial = true;
+  b->excluded_until_ms = now_ms + (MM_BREAKER_OPEN_MS << b->doublings);
+  if (b->doublings < MM_BREAKER_MAX_DOUBLINGS)
+    b->doublings++;
+  b->on_trial = true;
 }
 
 bool
-mm_breaker_allows (mm_breaker *t, size_t running, mm_time_ms now_ms)
+mm_breaker_allows (mm_breaker *b, size_t running, mm_time_ms now_ms)
 {
   if (!MM_WITH_TRUST)
     return true;
-  if (now_ms < t->excluded_until_ms)
+  if (now_ms < b->excluded_until_ms)
     return false;
-  return !t->on_trial || running == 0;
+  return !b->on_trial || running == 0;
 }
--- a/src/mm_breaker.h
+++ b/src/mm_breaker.h
@@ -4,19 +4,19 @@
 
 #include "masticmill.h"
 
-/* Closed while excluded_until_ms is 0, open until that time, half-open after.
- */
+/* The breaker is closed while excluded_until_ms is 0, open until that time,
+   and half-open after it.  */
 typedef struct
 {
-  uint32_t consecutive_failures; /* consecutive failures */
+  uint32_t consecutive_failures; /* reset to 0 by a success */
   uint32_t doublings;            /* of the time for which it opens next */
   mm_time_ms excluded_until_ms;  /* open until this time, 0: closed */
   bool on_trial;                 /* half-open: one task at a time */
 } mm_breaker;
 
 /* Records whether a run at the upstream succeeded (@ok).  */
-void mm_breaker_record (mm_breaker *t, bool ok, mm_time_ms now_ms);
+void mm_breaker_record (mm_breaker *b, bool ok, mm_time_ms now_ms);
 /* Returns whether another task may start while @running tasks run there.  */
-bool mm_breaker_allows (mm_breaker *t, size_t running, mm_time_ms now_ms);
+bool mm_breaker_allows (mm_breaker *b, size_t running, mm_time_ms now_ms);
 
 #endif /* MM_BREAKER_H */
--- a/src/mm_exec_priv.h
+++ b/src/mm_exec_priv.h
@@ -108,6 +108,9 @@
 void mm_exec_unref (mm_exec *x);
 
 /* mm_exec_hold.c */
+/* Sends a hold that may wait @wait_ms for an end.  @renew: renews the leases
+   if the upstream's clock is known.  Does nothing if the session is fenced or
+   the upstream was replaced.  */
 void mm_exec_send_hold (mm_exec *x, mm_time_ms wait_ms, bool renew);
 
 /* mm_exec_call.c */
--- a/src/mm_job_record.c
+++ b/src/mm_job_record.c
@@ -55,8 +55,6 @@
   g_free (r);
 }
 
-/* Only the outcome of an ended job is kept: the submission and the progress
-   are freed.  */
 void
 mm_job_record_set_outcome (mm_job_record *r, mm_job_phase p)
 {
--- a/src/mm_list_update.h
+++ b/src/mm_list_update.h
@@ -1,10 +1,20 @@
 /* mm_list_update: message with changes of the upstream list, sent between
    instances.
 
-   A msgpack array: [round, from_offset, to_offset, age_ms, [change, ...]]; a
-   change is [name] for an upstream that is not listed any more, or
-   [name, addr, service, datacentre, [label, ...], cpu_milli, mem_mb, gpus,
-    slots, draining].  */
+   The message is a msgpack array:
+
+   - [round, from_offset, to_offset, age_ms, [change, ...]]
+
+   A change is one of:
+
+   - [name]
+
+     The upstream is not listed any more.
+
+   - [name, addr, service, datacentre, [label, ...], cpu_milli, mem_mb, gpus,
+     slots, draining]
+
+     The upstream is new in the list, or its entry has changed.  */
 #ifndef MM_LIST_UPDATE_H
 #define MM_LIST_UPDATE_H
 
--- a/src/mm_mesh_msg.h
+++ b/src/mm_mesh_msg.h
@@ -2,33 +2,60 @@
 
    From the instance that opened the link, which dispatches tasks, to the owner
    of upstreams at the other end:
-     [HELLO, name]
-         The first message: the sender's member name.
-     [RUN, number, job, step, index, service, payload, label, data_label,
-      avoid_upstream, cpu_milli, mem_mb, gpus, priority, estimate_ms,
-   due_within_ms, start_within_ms, kept, running_at, run, ran_ms, isolated] A
-   task to run. [CANCEL, number] The task is to be stopped. [HEARTBEAT]
-     [REQUEST, number, verb, bytes]
-         A request about kept jobs; number 0: a notification.
-     [RELEASED, group]
-         Partitions of the group were released: they have a new owner.
-     [FOUND, upstream, run, job, step, index, fence]
-         The sender found this run at an upstream that it owns.  The instance
-         that has the task dispatches it to the sender.
+
+   - [HELLO, name]
+
+     The first message: the sender's member name.
+
+   - [RUN, number, job, step, index, service, payload, label, data_label,
+     avoid_upstream, cpu_milli, mem_mb, gpus, priority, estimate_ms,
+     due_within_ms, start_within_ms, kept, running_at, run, ran_ms, isolated]
+
+     A task to run.
+
+   - [CANCEL, number]
+
+     The task is to be stopped.
+
+   - [HEARTBEAT]
+
+   - [REQUEST, number, verb, bytes]
+
+     A request about kept jobs; number 0: a notification.
+
+   - [RELEASED, group]
+
+     Partitions of the group were released: they have a new owner.
+
+   - [FOUND, upstream, run, job, step, index, fence]
+
+     The sender found this run at an upstream that it owns.  The instance that
+     has the task dispatches it to the sender.
+
    In the other direction:
-     [ENDED, number, how, upstream, ran_ms, why, run]
-         The outcome of a task.
-     [ANSWER, number, bytes]
-         The answer to a request.
-     [REPORT, seen_number, name, leaving,
-      [[service, places, free, waiting, task_ms, [waiting of each priority]],
-       ...]]
-         The capacity at the owner, with the tasks up to seen_number counted.
+
+   - [ENDED, number, how, upstream, ran_ms, why, run]
+
+     The outcome of a task.
+
+   - [ANSWER, number, bytes]
+
+     The answer to a request.
+
+   - [REPORT, seen_number, name, leaving, [[service, places, free, waiting,
+     task_ms, [waiting of each priority]], ...]]
+
+     The capacity at the owner, with the tasks up to seen_number counted.
+
    In both directions:
-     [UPDATE, sent_ms, bytes]
-         A change of the upstream list; sent_ms is by the sender's clock.
-     [LOSS, upstream, addr, verdict, unresponsive_for_ms, [task hash, ...]]
-         An upstream was lost while it ran these tasks.  */
+
+   - [UPDATE, sent_ms, bytes]
+
+     A change of the upstream list; sent_ms is by the sender's clock.
+
+   - [LOSS, upstream, addr, verdict, unresponsive_for_ms, [task hash, ...]]
+
+     An upstream was lost while it ran these tasks.  */
 #ifndef MM_MESH_MSG_H
 #define MM_MESH_MSG_H
 
--- a/src/mm_native_store.c
+++ b/src/mm_native_store.c
@@ -120,10 +120,11 @@
 
 static void
 native_newest (void *ctx, mm_stream_kind kind, const char *after,
-               mm_time_ms timeout_ms, mm_stream_answered done, void *done_ctx)
+               mm_time_ms timeout_ms, mm_stream_answered answered,
+               void *answered_ctx)
 {
   mm_store_call call
-      = { .kind = kind, .stream_answered = done, .ctx = done_ctx };
+      = { .kind = kind, .stream_answered = answered, .ctx = answered_ctx };
   char *key = after ? g_uri_escape_string (after, NULL, FALSE) : NULL;
   char *path
       = g_strdup_printf ("/v1/streams/%s/newest%s%s", stream_names[kind],
@@ -133,13 +134,13 @@
 }
 
 static void
-native_tail (void *ctx, const mm_tail *t, mm_stream_answered done,
-             void *done_ctx)
+native_tail (void *ctx, const mm_tail *t, mm_stream_answered answered,
+             void *answered_ctx)
 {
   mm_store_call call = { .kind = t->kind,
                          .from_offset = t->from_offset,
-                         .stream_answered = done,
-                         .ctx = done_ctx };
+                         .stream_answered = answered,
+                         .ctx = answered_ctx };
   char *path = g_strdup_printf (
       "/v1/streams/%s?from=%" G_GUINT64_FORMAT "&wait_ms=%" G_GINT64_FORMAT
       "&max_bytes=%" G_GSIZE_FORMAT,
@@ -169,9 +170,9 @@
 static void
 native_join (void *ctx, const char *group, const char *member,
              uint64_t generation, mm_time_ms ttl_ms, mm_time_ms timeout_ms,
-             mm_join_answered done, void *done_ctx)
+             mm_join_answered answered, void *answered_ctx)
 {
-  mm_store_call call = { .join_answered = done, .ctx = done_ctx };
+  mm_store_call call = { .join_answered = answered, .ctx = answered_ctx };
   cJSON *request = cJSON_CreateObject ();
   cJSON_AddStringToObject (request, "member", member);
   cJSON_AddNumberToObject (request, "generation", (double)generation);
@@ -183,9 +184,10 @@
 
 static void
 native_leave (void *ctx, const char *group, const char *member,
-              mm_time_ms timeout_ms, mm_join_answered done, void *done_ctx)
+              mm_time_ms timeout_ms, mm_join_answered answered,
+              void *answered_ctx)
 {
-  mm_store_call call = { .join_answered = done, .ctx = done_ctx };
+  mm_store_call call = { .join_answered = answered, .ctx = answered_ctx };
   cJSON *request = cJSON_CreateObject ();
   cJSON_AddStringToObject (request, "member", member);
   mm_store_http_send (ctx, "POST",
@@ -224,9 +226,9 @@
 
 static void
 native_members (void *ctx, const char *group, mm_time_ms timeout_ms,
-                mm_members_answered done, void *done_ctx)
+                mm_members_answered answered, void *answered_ctx)
 {
-  mm_store_call call = { .members_answered = done, .ctx = done_ctx };
+  mm_store_call call = { .members_answered = answered, .ctx = answered_ctx };
   mm_store_http_send (ctx, "GET", g_strdup_printf ("/v1/groups/%s", group),
                       NULL, timeout_ms, on_members, &call);
 }
@@ -252,10 +254,10 @@
 }
 
 static void
-native_append (void *ctx, const mm_append *a, mm_append_answered done,
-               void *done_ctx)
+native_append (void *ctx, const mm_append *a, mm_append_answered answered,
+               void *answered_ctx)
 {
-  mm_store_call call = { .append_answered = done, .ctx = done_ctx };
+  mm_store_call call = { .append_answered = answered, .ctx = answered_ctx };
   cJSON *request = cJSON_CreateObject ();
   cJSON_AddNumberToObject (request, "epoch", (double)a->epoch);
   cJSON_AddNumberToObject (request, "seq", (double)a->seq);
@@ -313,10 +315,10 @@
 
 static void
 native_records (void *ctx, uint32_t partition, const char *after,
-                mm_time_ms timeout_ms, mm_records_answered done,
-                void *done_ctx)
+                mm_time_ms timeout_ms, mm_records_answered answered,
+                void *answered_ctx)
 {
-  mm_store_call call = { .records_answered = done, .ctx = done_ctx };
+  mm_store_call call = { .records_answered = answered, .ctx = answered_ctx };
   char *key = after ? g_uri_escape_string (after, NULL, FALSE) : NULL;
   char *path = g_strdup_printf ("/v1/streams/jobs-%u/newest%s%s", partition,
                                 key ? "?after=" : "", key ? key : "");
--- a/src/mm_placement.h
+++ b/src/mm_placement.h
@@ -7,7 +7,7 @@
 /* An upstream to which a task may be sent.  */
 typedef struct
 {
-  mm_resources free_capacity; /* free capacity */
+  mm_resources free_capacity;
   bool allowed; /* usable, circuit breaker closed, right service and label */
   double slowness;     /* observed run time / estimate, 1: as estimated */
   uint32_t contention; /* weight of the runs beside it: less is better */
--- a/src/mm_steps.h
+++ b/src/mm_steps.h
@@ -12,7 +12,7 @@
 
 mm_steps *mm_steps_create (const mm_submission *s); /* @s must outlive it */
 void mm_steps_destroy (mm_steps *t);
-mm_task_id mm_steps_task_id (const mm_steps *t, uint32_t task); /* its id */
+mm_task_id mm_steps_task_id (const mm_steps *t, uint32_t task);
 /* The number of the task with this id, -1 if the job has no such task.  */
 int64_t mm_steps_task_number (const mm_steps *t, const mm_task_id *id);
 void mm_steps_task_done (mm_steps *t, uint32_t task);
--- a/src/mm_stream.h
+++ b/src/mm_stream.h
@@ -13,9 +13,9 @@
   /* All newest records were read; other keys no longer exist.  May be
      NULL.  */
   void (*loaded) (void *ctx, GHashTable *keys);
-  /* Changes were read, and item() was called for each; @all: up to the end of
-     the stream.  May be NULL.  */
-  void (*changes) (void *ctx, bool all);
+  /* Changes were read, and item() was called for each.  @at_end: all
+     records up to the end of the stream are read.  May be NULL.  */
+  void (*changes) (void *ctx, bool at_end);
   /* Returns the time from sending a read to sending the next.  NULL: the next
      read is sent at once and waits at the store for a new record.  */
   mm_time_ms (*poll_interval_ms) (void *ctx);
--- a/src/mm_task.h
+++ b/src/mm_task.h
@@ -60,7 +60,7 @@
   const char *avoid_upstream; /* name of an upstream not to use, or NULL */
   mm_resources resources;
   bool kept;                /* of a kept job: its home acknowledges its end */
-  bool isolated;            /* isolated: may crash its upstream */
+  bool isolated;            /* suspected of crashing its upstreams */
   uint32_t attempt;         /* earlier failed attempts */
   uint32_t priority;        /* 0 is the highest */
   mm_time_ms estimate_ms;   /* declared run time, not binding */
