--- a/src/config.h
+++ b/src/config.h
@@ -1,6 +1,6 @@
-/* Compile-time defaults of masticmill, gathered in one place.  Every
-   value here can be overridden by a daemon's TOML settings unless it
-   says otherwise.  */
+/* Compile-time constants of masticmill, gathered in one place.  A value named
+   MM_DEFAULT_* is the default of a TOML setting, unless its comment says that
+   it is fixed.  No setting overrides the other values.  */
 #ifndef MM_CONFIG_H
 #define MM_CONFIG_H
 
@@ -31,8 +31,8 @@
 /* Entry instance.  */
 #define MM_DEFAULT_ENTRY_PORT 7100          /* HTTP port for callers */
 #define MM_DEFAULT_MAX_TASKS_PER_JOB 290    /* largest job that is accepted */
-#define MM_DEFAULT_MAX_BODY_BYTES (4 << 20) /* largest request body */
-#define MM_DEFAULT_TASK_DEADLINE_MS 10000   /* for tasks without one */
+#define MM_DEFAULT_MAX_BODY_BYTES (4 << 20) /* largest request body; fixed */
+#define MM_DEFAULT_TASK_DEADLINE_MS 10000   /* for tasks without one; fixed */
 #define MM_DEFAULT_RETRY_BUDGET 2           /* retries per task */
 #define MM_DEFAULT_RETRY_AFTER_S 1          /* Retry-After of refused calls */
 /* Timeout of a call to an upstream.  */
@@ -89,7 +89,7 @@
 #define MM_DEFAULT_RETENTION_MS 600000 /* log records are kept this long */
 #define MM_DEFAULT_MEMBER_TTL_MS 3000  /* members without heartbeat expire */
 #define MM_DEFAULT_MEMBER_LAG_MS 1000  /* delay of the member list */
-#define MM_DEFAULT_LOG_READ_MAX 512    /* records per read */
+#define MM_DEFAULT_LOG_READ_MAX 512    /* records per read; fixed */
 
 /* Upstream stand-in.  */
 #define MM_DEFAULT_UPSTREAM_PORT 7200
@@ -160,9 +160,8 @@
 /* How long the circuit breaker stays open the first time.  */
 #define MM_BREAKER_OPEN_MS 1000
 #define MM_BREAKER_MAX_DOUBLINGS 3u /* longest: 8 times the first */
-#define MM_SLOWNESS_GAIN                                                      \
-  0.2 /* weight of one run in an upstream's slowness                          \
-       */
+/* Weight of one run in an upstream's slowness.  */
+#define MM_SLOWNESS_GAIN 0.2
 /* Weight of one task in the average task size.  */
 #define MM_AVERAGE_GAIN 0.05
 /* Upstreams whose speeds differ by less count as equally fast, as run time
--- a/src/mm_accepted_jobs.h
+++ b/src/mm_accepted_jobs.h
@@ -9,14 +9,14 @@
 typedef struct mm_accepted_jobs mm_accepted_jobs;
 mm_accepted_jobs *mm_accepted_jobs_create (void);
 void mm_accepted_jobs_destroy (mm_accepted_jobs *k);
-/* @fingerprint: mm_pool_list_fingerprint() when the job was accepted.  */
+/* Adds a job, in place of an older entry.  @fingerprint:
+   mm_pool_list_fingerprint() when the job was accepted.  */
 void mm_accepted_jobs_add (mm_accepted_jobs *k, const char *job_id,
-                           uint64_t fingerprint,
-                           mm_time_ms now); /* replaces an older entry */
+                           uint64_t fingerprint, mm_time_ms now);
 bool mm_accepted_jobs_find (const mm_accepted_jobs *k, const char *job_id,
                             uint64_t *fingerprint); /* false: not in the set */
-void mm_accepted_jobs_expire (mm_accepted_jobs *k,
-                              mm_time_ms before); /* drop jobs added earlier */
+/* Drops the jobs that were added before the time @before.  */
+void mm_accepted_jobs_expire (mm_accepted_jobs *k, mm_time_ms before);
 uint32_t mm_accepted_jobs_count (const mm_accepted_jobs *k);
 
 #endif /* MM_ACCEPTED_JOBS_H */
--- a/src/mm_admission.h
+++ b/src/mm_admission.h
@@ -15,7 +15,6 @@
 } mm_load;
 
 /* The decision on a job.  */
-
 typedef struct
 {
   bool accept;            /* whether the job is accepted */
--- a/src/mm_catalog.h
+++ b/src/mm_catalog.h
@@ -30,8 +30,8 @@
 /* Drops upstreams that have been missing for MM_LIST_DROP_MS; time without
    contact with the store does not count.  */
 void mm_catalog_tick (mm_catalog *c, bool in_contact);
-GList *mm_catalog_all (
-    const mm_catalog *c); /* mm_upstream_info; free the list only */
+/* Returns a list of mm_upstream_info; the caller frees the list only.  */
+GList *mm_catalog_all (const mm_catalog *c);
 const mm_upstream_info *mm_catalog_find (const mm_catalog *c,
                                          const char *name);
 uint64_t mm_catalog_changes (const mm_catalog *c); /* rises with each change */
--- a/src/mm_cfg.h
+++ b/src/mm_cfg.h
@@ -36,9 +36,9 @@
 const char *mm_cfg_head_record (const mm_cfg *c);        /* JSON, or NULL */
 char *mm_cfg_snapshot_record (const mm_cfg *c); /* a copy of the head */
 uint64_t mm_cfg_rejected (const mm_cfg *c);     /* records refused */
-char *
-mm_cfg_make_record (const char *kind, int64_t parent, const char *base,
-                    const char *const *sites,
-                    const char *const *overlays); /* JSON text, unchecked */
+/* Returns the JSON text of a record, which is not checked.  */
+char *mm_cfg_make_record (const char *kind, int64_t parent, const char *base,
+                          const char *const *sites,
+                          const char *const *overlays);
 
 #endif /* MM_CFG_H */
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -183,8 +183,8 @@
 /* Time until the last run ends, estimated from declared run times and the
    slowness of the upstream.  */
 mm_time_ms mm_exec_longest_remaining_ms (const mm_exec *x, mm_time_ms now);
-size_t
-mm_exec_count_in_doubt (const mm_exec *x); /* runs whose start had no answer */
+/* Number of runs whose start had no answer.  */
+size_t mm_exec_count_in_doubt (const mm_exec *x);
 const mm_upstream_info *mm_exec_info (const mm_exec *x);
 uint64_t mm_exec_fence (const mm_exec *x);
 void mm_exec_start (mm_exec *x, const mm_task_request *t,
--- a/src/mm_home_directory.h
+++ b/src/mm_home_directory.h
@@ -8,11 +8,11 @@
 
 typedef struct mm_home_directory mm_home_directory;
 
-mm_home_directory *
-mm_home_directory_create (const mm_store_port *port, mm_mesh *mesh,
-                          const char *self /* member name */,
-                          uint32_t n_partitions,
-                          mm_predecessors *predecessors);
+/* @self: member name of this instance.  */
+mm_home_directory *mm_home_directory_create (const mm_store_port *port,
+                                             mm_mesh *mesh, const char *self,
+                                             uint32_t n_partitions,
+                                             mm_predecessors *predecessors);
 void mm_home_directory_destroy (mm_home_directory *h);
 uint32_t mm_home_directory_partition_of (const mm_home_directory *h,
                                          const char *job_id);
--- a/src/mm_kept.h
+++ b/src/mm_kept.h
@@ -53,7 +53,7 @@
    MM_HANDOVER_MS.  */
 void mm_kept_leave (mm_kept *k);
 bool mm_kept_left (const mm_kept *k);
-uint32_t
-mm_kept_open_jobs (const mm_kept *k); /* unfinished jobs of the homes here */
+/* Number of unfinished jobs of the homes here.  */
+uint32_t mm_kept_open_jobs (const mm_kept *k);
 
 #endif /* MM_KEPT_H */
--- a/src/mm_list_share.h
+++ b/src/mm_list_share.h
@@ -8,7 +8,7 @@
 
    The order in which linked instances read follows from their names and the
    number of the round; each waits MM_LIST_RANK_DELAY_MS longer than the one
-   before. If the first instance is gone, disconnected, or refused by the
+   before.  If the first instance is gone, disconnected, or refused by the
    store, the next one reads.  So no instance's view is older than
    MM_LIST_POLL_MS and MM_LIST_RANK_MAX such waits, whichever instance dies: an
    upstream that is draining gets no start later than that.  */
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -28,8 +28,8 @@
 {
   const char *name;
   const char *datacentre;
-  mm_capacity_report
-      capacity;      /* less the tasks dispatched to it since the report */
+  /* As reported, less the tasks dispatched to it since the report.  */
+  mm_capacity_report capacity;
   mm_time_ms age_ms; /* age of the report */
 } mm_mesh_peer_capacity;
 
@@ -37,14 +37,14 @@
                          const char *datacentre, const char *host,
                          uint16_t port, mm_owner *owner, GError **error);
 void mm_mesh_destroy (mm_mesh *m);
+/* An instance has opened a link to this one.  */
 typedef void (*mm_mesh_hello) (void *ctx, const char *name);
-void mm_mesh_on_hello (mm_mesh *m, mm_mesh_hello hello,
-                       void *ctx); /* called when an instance opens a link */
+void mm_mesh_on_hello (mm_mesh *m, mm_mesh_hello hello, void *ctx);
 /* The instance that owned partitions of a group has released them.  */
 typedef void (*mm_mesh_released) (void *ctx, const char *group);
 void mm_mesh_on_released (mm_mesh *m, mm_mesh_released released, void *ctx);
-void mm_mesh_notify_released (mm_mesh *m,
-                              const char *group); /* notifies all peers */
+/* Notifies all peers that this instance has released partitions of @group.  */
+void mm_mesh_notify_released (mm_mesh *m, const char *group);
 /* Exchanges lost upstreams with the peers; @s must outlive the mesh.  */
 void mm_mesh_set_suspects (mm_mesh *m, mm_suspects *s);
 void mm_mesh_set_leaving (mm_mesh *m); /* reports the shutdown to peers */
@@ -86,12 +86,12 @@
                      const char *except); /* NULL: to all */
 void mm_mesh_notify_peer (mm_mesh *m, const char *peer,
                           mm_mesh_build_update build, void *ctx);
-/* The peer knows the list up to @known_upto, whatever was sent to it before.
- */
+/* Records that the peer knows the list up to @known_upto, whatever was sent to
+   it before.  */
 void mm_mesh_set_known_upto (mm_mesh *m, const char *peer,
                              uint64_t known_upto);
 /* @queue_delay_ms: how much longer the update took than the fastest recent
- * one.  */
+   one.  */
 typedef void (*mm_mesh_updated) (void *ctx, const char *peer, const void *data,
                                  size_t len, mm_time_ms queue_delay_ms);
 void mm_mesh_on_update (mm_mesh *m, mm_mesh_updated updated, void *ctx);
@@ -116,8 +116,8 @@
 mm_mesh_presence mm_mesh_presence_in (const mm_mesh *m,
                                       const char *datacentre);
 uint32_t mm_mesh_connected (const mm_mesh *m); /* number of connected peers */
-uint32_t
-mm_mesh_inbound (const mm_mesh *m); /* number of links from other instances */
+/* Number of links from other instances.  */
+uint32_t mm_mesh_inbound (const mm_mesh *m);
 /* Least time between reports on each of so many inbound links.  */
 mm_time_ms mm_mesh_report_pause_ms (uint32_t links);
 void mm_mesh_close_links (mm_mesh *m); /* closes all links, after a stall */
--- a/src/mm_mesh_priv.h
+++ b/src/mm_mesh_priv.h
@@ -26,13 +26,13 @@
   uint64_t last_number;     /* number of the last task sent over this link */
   uint64_t seen_number;     /* highest task number that its report counts */
   GHashTable *remote_tasks; /* task number -> mm_remote_task */
-  mm_mesh_service_capacity
-      *capacities; /* its last report, one entry per service */
+  /* Its last report, one entry per service.  */
+  mm_mesh_service_capacity *capacities;
   size_t n_capacities;
   mm_time_ms report_ms; /* when the last report was received */
   uint64_t known_upto;  /* list offset up to which it was sent updates */
-  mm_queue_delay
-      queue_delay; /* queueing delay of the updates received over it */
+  /* Queueing delay of the updates received over it.  */
+  mm_queue_delay queue_delay;
 } mm_mesh_peer;
 
 struct mm_remote_task
@@ -55,8 +55,8 @@
   mm_time_ms report_ms; /* when the last report was sent */
   GByteArray *last_report; /* the bytes of that report */
   uint64_t known_upto;     /* list offset up to which it was sent updates */
-  mm_queue_delay
-      queue_delay; /* queueing delay of the updates received over it */
+  /* Queueing delay of the updates received over it.  */
+  mm_queue_delay queue_delay;
 } mm_mesh_inbound_link;
 
 struct mm_mesh_inbound_request
--- a/src/mm_node.h
+++ b/src/mm_node.h
@@ -35,12 +35,12 @@
                          const mm_exec_port *exec, const mm_store_port *store,
                          GError **error);
 void mm_node_destroy (mm_node *n);
-bool mm_node_ready (
-    const mm_node *n); /* whether the balancer may send it callers */
-bool
-mm_node_accepts_jobs (const mm_node *n); /* false shortly before the exit */
-const mm_routes *
-mm_node_routes (const mm_node *n); /* NULL: no configuration was read yet */
+/* Returns whether the balancer may send callers to the instance.  */
+bool mm_node_ready (const mm_node *n);
+/* Returns whether jobs are accepted: false shortly before the exit.  */
+bool mm_node_accepts_jobs (const mm_node *n);
+/* Returns the routes, NULL while no configuration was read yet.  */
+const mm_routes *mm_node_routes (const mm_node *n);
 mm_jobs *mm_node_jobs (mm_node *n);
 mm_kept *mm_node_kept (mm_node *n);
 void mm_node_leave (mm_node *n); /* begins a graceful shutdown */
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -38,9 +38,8 @@
   uint32_t task_ms; /* average time that places were in use for each task that
                        was done, 0: unknown */
   uint32_t waiting; /* tasks that wait for free capacity */
-  uint32_t
-      waiting_by_priority[MM_PRIORITY_LEVELS]; /* of these, by priority; the
-                                         last level counts all beyond it */
+  /* Waiting tasks by priority; the last level counts all beyond it.  */
+  uint32_t waiting_by_priority[MM_PRIORITY_LEVELS];
 } mm_capacity_report;
 
 /* Number of waiting tasks that go before a new task of this priority: those
--- a/src/mm_pool.h
+++ b/src/mm_pool.h
@@ -9,8 +9,8 @@
   MM_UPSTREAM_LIVE,    /* accepts new tasks */
   MM_UPSTREAM_LEAVING, /* drains: gets no new tasks, answers are awaited */
   MM_UPSTREAM_EJECTED, /* failed too often: gets no new tasks for a while */
-  MM_UPSTREAM_ON_TRIAL /* ejected before: one task at a time until one is done
-                        */
+  /* Ejected before: gets one task at a time until one is done.  */
+  MM_UPSTREAM_ON_TRIAL
 } mm_upstream_state;
 
 typedef enum
@@ -56,11 +56,11 @@
 void mm_pool_set_state (mm_pool *p, int i, mm_upstream_state s,
                         int64_t seq);          /* if seq is newer */
 int mm_pool_pick (mm_pool *p, mm_time_ms now); /* -1: no free slot */
-void mm_pool_task_sent (mm_pool *p, int i);    /* a task was sent */
+void mm_pool_task_sent (mm_pool *p, int i);    /* counts it as in flight */
 bool mm_pool_task_ended (mm_pool *p, int i, mm_outcome o, int64_t seq,
                          mm_time_ms now, uint32_t eject_after,
                          mm_time_ms eject_ms);
-void mm_pool_put_on_trial (mm_pool *p, int i); /* put on trial */
+void mm_pool_put_on_trial (mm_pool *p, int i);
 uint32_t mm_pool_size (const mm_pool *p);
 const mm_pool_member *mm_pool_at (const mm_pool *p, int i);
 uint32_t mm_pool_free_slots (const mm_pool *p, mm_time_ms now); /* live */
--- a/src/mm_search_result.h
+++ b/src/mm_search_result.h
@@ -27,7 +27,7 @@
 
 uint64_t mm_upstream_hash (const char *upstream);
 mm_search_result mm_search_result_init (void); /* empty */
-void mm_search_result_clear (
-    mm_search_result *result); /* frees the arrays, not @result */
+/* Frees the arrays, not @result.  */
+void mm_search_result_clear (mm_search_result *result);
 
 #endif /* MM_SEARCH_RESULT_H */
--- a/src/mm_shard.h
+++ b/src/mm_shard.h
@@ -63,12 +63,13 @@
 bool mm_shard_accepted_before (const mm_shard *s, const char *job_id);
 bool mm_shard_unclean_takeover (const mm_shard *s); /* not released before */
 bool mm_shard_unobserved (const mm_shard *s);       /* outage may be unknown */
-bool mm_shard_recently_fenced (const mm_shard *s,
-                               mm_time_ms now); /* fenced recently */
+/* Returns whether this instance was fenced in the last MM_SHARD_HOLD_DOWN_MS.
+ */
+bool mm_shard_recently_fenced (const mm_shard *s, mm_time_ms now);
 const char *mm_shard_owner (const mm_shard *s); /* last known owner, or NULL */
-void mm_shard_end_hold_down (mm_shard *s);      /* end the hold-down */
-void mm_shard_retry (mm_shard *s);              /* after a failed call */
-void mm_shard_serve_unrecorded (mm_shard *s);   /* start without records */
+void mm_shard_end_hold_down (mm_shard *s); /* may take it over again at once */
+void mm_shard_retry (mm_shard *s);         /* after a failed call */
+void mm_shard_serve_unrecorded (mm_shard *s); /* start without records */
 void mm_shard_redirect_waiting (mm_shard *s,
                                 const char *target); /* answer all MOVED */
 bool mm_shard_has_waiting (const mm_shard *s);       /* accepts pending */
