--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -68,8 +68,8 @@
 /* A request of a peer that has no answer yet.  */
 typedef struct mm_mesh_inbound_request mm_mesh_inbound_request;
 /* A request was received, or a notification (@request NULL).  A request must
-   be answered exactly once with mm_mesh_answer(), during the call or later.
- */
+   be answered exactly once with mm_mesh_answer(), during the call or after
+   it.  */
 typedef void (*mm_mesh_request_received) (void *ctx, uint32_t verb,
                                           const void *data, size_t len,
                                           mm_mesh_inbound_request *request);
--- a/src/mm_shard.h
+++ b/src/mm_shard.h
@@ -63,8 +63,8 @@
 bool mm_shard_accepted_before (const mm_shard *s, const char *job_id);
 bool mm_shard_unclean_takeover (const mm_shard *s); /* not released before */
 bool mm_shard_unobserved (const mm_shard *s);       /* outage may be unknown */
-/* Returns whether this instance was fenced in the last MM_SHARD_HOLD_DOWN_MS.
- */
+/* Returns whether this instance was fenced less than MM_SHARD_HOLD_DOWN_MS
+   ago.  */
 bool mm_shard_recently_fenced (const mm_shard *s, mm_time_ms now);
 const char *mm_shard_owner (const mm_shard *s); /* last known owner, or NULL */
 void mm_shard_end_hold_down (mm_shard *s); /* may take it over again at once */
