--- a/tests/test_thin_link.c
+++ b/tests/test_thin_link.c
@@ -233,7 +233,6 @@
   Suite *s = suite_create ("thin_link");
   TCase *c = tcase_create ("thin_link");
   tcase_set_timeout (c, 60);
-  tcase_add_test (c, recovers_on_25_mbit_with_1100_upstreams);
   tcase_add_test (c, recovers_after_the_history_was_dropped);
   tcase_add_test (c, instance_without_the_store_gets_list_updates_from_a_peer);
   tcase_add_test (c, large_configuration_is_in_force_on_a_thin_link);
@@ -244,5 +243,10 @@
   tcase_set_timeout (c, 60);
   tcase_add_test (c, recovers_on_2_mbit_with_120_upstreams);
   suite_add_tcase (s, c);
+  c = tcase_create ("wide_link");
+  tcase_set_tags (c, "wide");
+  tcase_set_timeout (c, 60);
+  tcase_add_test (c, recovers_on_25_mbit_with_1100_upstreams);
+  suite_add_tcase (s, c);
   return h_run_suite (s);
 }
