--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -43,6 +43,8 @@
   g_hash_table_remove (in->tasks, &t->number);
 }
 
+/* Submits a task that a peer dispatched to this instance.  A number that is in
+   use for another task on the link is ignored.  */
 static void
 handle_run (mm_mesh_inbound_link *in, const mm_mesh_msg *msg)
 {
@@ -77,6 +79,8 @@
     in->mesh->hello (in->mesh->hello_ctx, msg->name);
 }
 
+/* Handles a message from the instance that opened the link.  Returning false
+   closes the link as malformed.  */
 static bool
 on_inbound_object (void *ctx, const msgpack_object *o)
 {
@@ -99,7 +103,7 @@
     mm_mesh_handle_loss (in->mesh, &msg);
   else if (ok && msg.kind == MM_MESH_HELLO)
     handle_hello (in, &msg);
-  else /* a release is ignored when no callback is set */
+  else /* a RELEASED message is ignored when no callback is set */
     ok = ok && (msg.kind == MM_MESH_HEARTBEAT || msg.kind == MM_MESH_RELEASED);
   mm_mesh_msg_clear (&msg);
   return ok;
@@ -179,8 +183,9 @@
   return CLAMP (pause_ms, MM_MESH_REPORT_MS, MM_MESH_HEARTBEAT_MS);
 }
 
-/* Sends a report of the capacity when it changed, and as a heartbeat each
-   MM_MESH_HEARTBEAT_MS.  */
+/* Sends a report of the capacity over a link when the report has changed, and
+   in any case each MM_MESH_HEARTBEAT_MS, as a heartbeat.  Sends nothing within
+   mm_mesh_report_pause_ms() after the last report.  */
 static void
 send_report (mm_mesh_inbound_link *in,
              const mm_mesh_service_capacity *capacities, size_t n,
@@ -221,10 +226,10 @@
   g_free (r);
 }
 
-/* Returns false when the report is of another instance than this peer.  After
-   a restart the member list still names the previous incarnation for a while,
-   and the new one answers at its address: its capacity would count twice,
-   under both names.  */
+/* Stores a report.  Returns false, which closes the link, when the report is
+   of another instance than this peer.  After a restart the member list still
+   names the previous incarnation for a while, and the new incarnation answers
+   at the same address: its capacity would count twice, under both names.  */
 static bool
 handle_report (mm_mesh_peer *p, mm_mesh_msg *msg)
 {
@@ -243,6 +248,8 @@
   return true;
 }
 
+/* Handles a message from a peer to which this instance opened the link.
+   Returning false closes the link as malformed.  */
 static bool
 on_peer_object (void *ctx, const msgpack_object *o)
 {
@@ -265,12 +272,13 @@
   return ok;
 }
 
+/* Outcome of the tasks on a link that has closed.  */
 static const mm_work_result out_of_contact
     = { .how = MM_END_UNKNOWN, .why = "owner out of contact" };
 
-/* Records when the peer itself closed its link.  A process that ends closes
-   its links; one that is disconnected, frozen or without power leaves them
-   open and unresponsive.  Links closed for that reason are not recorded.  */
+/* Records when the peer closed its link.  A process that ends closes its
+   links. A peer that is disconnected, stalled or without power does not: this
+   instance closes the link as unresponsive, and that is not recorded.  */
 static void
 record_closed (mm_mesh_peer *p, const char *why)
 {
@@ -282,6 +290,7 @@
                         now);
 }
 
+/* Ends the tasks on the closed link as in doubt and fails its requests.  */
 static void
 on_peer_closed (void *ctx, const char *why)
 {
@@ -363,9 +372,10 @@
   g_free (p);
 }
 
-/* Returns whether the link can be closed.  A link that is no longer wanted is
-   kept until all wanted ones are connected, as its replacement may lead to an
-   instance that is gone.  */
+/* Returns whether the link to a peer is not wanted any more and can be closed.
+   Such a link is kept until all wanted links are connected, as the link that
+   replaces it may lead to an instance that is gone, and until the tasks on it
+   have ended.  */
 static bool
 can_close (const mm_mesh_peer *p)
 {
@@ -373,6 +383,8 @@
          && g_hash_table_size (p->remote_tasks) == 0;
 }
 
+/* Closes or opens the link to a peer as needed, and sends the heartbeat over
+   it.  */
 static void
 peer_tick (mm_mesh_peer *p, mm_time_ms now)
 {
@@ -508,9 +520,9 @@
   m->leaving = true;
 }
 
-/* Returns the capacity that a peer last reported.  Tasks dispatched to the
-   peer that the report does not count yet take free capacity or count as
-   waiting.  */
+/* Returns the capacity that a peer last reported for a service.  Tasks that
+   were dispatched to the peer and that its report does not count yet take free
+   capacity, or count as waiting when there is none left.  */
 static mm_capacity_report
 capacity_of_peer (const mm_mesh_peer *p, const char *service)
 {
@@ -614,7 +626,8 @@
       mm_link_close (((mm_mesh_peer *)v)->link, "this instance stood still");
 }
 
-/* Returns the peers that a tick has work for: a few of the hundreds known.  */
+/* Returns the peers that have a link or to which one is wanted; free the list.
+   Of hundreds of known peers these are few, and a tick handles no others.  */
 static GList *
 linked_or_wanted (const mm_mesh *m)
 {
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -13,6 +13,7 @@
 typedef struct mm_mesh mm_mesh;
 typedef struct mm_remote_task mm_remote_task; /* a task dispatched to a peer */
 
+/* An instance, as the member list describes it.  */
 typedef struct
 {
   char *name;       /* member name, of this incarnation */
@@ -37,7 +38,7 @@
                          const char *datacentre, const char *host,
                          uint16_t port, mm_owner *owner, GError **error);
 void mm_mesh_destroy (mm_mesh *m);
-/* An instance has opened a link to this one.  */
+/* An instance has opened a link to this one; @name is its member name.  */
 typedef void (*mm_mesh_hello) (void *ctx, const char *name);
 void mm_mesh_on_hello (mm_mesh *m, mm_mesh_hello hello, void *ctx);
 /* The instance that owned partitions of a group has released them.  */
@@ -53,15 +54,21 @@
 /* Sets the list of the other instances.  One that is not listed any more is
    kept while it is connected.  */
 void mm_mesh_set_peers (mm_mesh *m, const mm_mesh_peer_info *peers, size_t n);
+/* Fills @out, an array of @cap entries, with the capacity of each connected
+   peer for a service.  Returns the number of entries filled.  */
 size_t mm_mesh_peer_capacities (const mm_mesh *m, const char *service,
-                                mm_mesh_peer_capacity *out,
-                                size_t cap); /* of connected peers */
+                                mm_mesh_peer_capacity *out, size_t cap);
+/* Dispatches a task to a peer.  Returns NULL when the peer is not
+   connected.  */
 mm_remote_task *mm_mesh_submit (mm_mesh *m, const char *peer,
                                 const mm_task_request *t, mm_work_done done,
-                                void *ctx);          /* NULL: not connected */
-void mm_mesh_cancel (mm_mesh *m, mm_remote_task *r); /* @done is not called */
-/* Sends a request to a peer, or a notification when @answered is NULL.
-   @answered is called once; at once when there is no link.  */
+                                void *ctx);
+/* Cancels a dispatched task and frees @r; its @done is not called.  */
+void mm_mesh_cancel (mm_mesh *m, mm_remote_task *r);
+/* Sends a request to a peer, or a notification when @answered is NULL.  @verb:
+   what is requested, an mm_kept_verb.  @answered is called once; it is called
+   with @ok false when no answer comes within @timeout_ms or the link closes,
+   and during this call when the peer is not connected.  */
 void mm_mesh_request (mm_mesh *m, const char *peer, uint32_t verb,
                       const void *data, size_t len, mm_time_ms timeout_ms,
                       mm_answered answered, void *ctx);
@@ -75,23 +82,28 @@
                                           mm_mesh_inbound_request *request);
 void mm_mesh_on_request (mm_mesh *m, mm_mesh_request_received received,
                          void *ctx);
+/* Sends the answer to a request, unless its link has closed, and frees the
+   request.  */
 void mm_mesh_answer (mm_mesh_inbound_request *request, const void *data,
                      size_t len);
-/* Writes the update for an instance that knows the list up to offset
+/* Writes the update for an instance that knows the upstream list up to offset
    @known_upto (0: it knows nothing).  Returns the offset up to which that
    instance knows the list with this update.  */
 typedef uint64_t (*mm_mesh_build_update) (void *ctx, uint64_t known_upto,
                                           msgpack_sbuffer *out);
+/* Sends an update to each connected instance but @except, which may be
+   NULL.  */
 void mm_mesh_notify (mm_mesh *m, mm_mesh_build_update build, void *ctx,
-                     const char *except); /* NULL: to all */
+                     const char *except);
+/* Sends an update to one instance, if it is connected.  */
 void mm_mesh_notify_peer (mm_mesh *m, const char *peer,
                           mm_mesh_build_update build, void *ctx);
-/* Records that the peer knows the list up to @known_upto, whatever was sent to
-   it before.  */
+/* Records that the peer knows the upstream list up to offset @known_upto,
+   whatever was sent to it before.  */
 void mm_mesh_set_known_upto (mm_mesh *m, const char *peer,
                              uint64_t known_upto);
-/* @queue_delay_ms: how much longer the update took than the fastest recent
-   one.  */
+/* An update of @peer was received.  @queue_delay_ms: how much longer it took
+   than the fastest recent update over the same link.  */
 typedef void (*mm_mesh_updated) (void *ctx, const char *peer, const void *data,
                                  size_t len, mm_time_ms queue_delay_ms);
 void mm_mesh_on_update (mm_mesh *m, mm_mesh_updated updated, void *ctx);
@@ -101,13 +113,15 @@
 /* Keeps a link to this instance for MM_MESH_LINK_KEEP_MS, whether or not it is
    a neighbour; NULL: to every known instance.  */
 void mm_mesh_require_link (mm_mesh *m, const char *peer);
+/* Returns whether a report of the peer was received over this instance's link
+   to it.  */
 bool mm_mesh_is_connected (const mm_mesh *m, const char *peer);
 /* Names of the connected peers; free the list, not the names.  */
 GList *mm_mesh_peers (const mm_mesh *m);
 /* The instances of a data centre, as seen over the links to them.  */
 typedef struct
 {
-  uint32_t connected;
+  uint32_t connected;   /* connected peers */
   uint32_t staying;     /* connected and not shutting down */
   uint32_t untried;     /* known, and no link to it was lost recently */
   mm_time_ms closed_ms; /* when a peer there last closed its link, 0: never */
--- a/src/mm_mesh_adopt.c
+++ b/src/mm_mesh_adopt.c
@@ -7,6 +7,7 @@
 
 #include "config.h"
 
+/* Notifies the peers of a run that this instance found at its upstream.  */
 static void
 on_found (void *ctx, const mm_found_run *r)
 {
@@ -17,6 +18,7 @@
   msgpack_sbuffer_destroy (&b);
 }
 
+/* Cancels a task that was transferred to the next owner of its upstream.  */
 static void
 on_cancel (void *ctx, void *remote_task)
 {
@@ -32,6 +34,8 @@
   mm_owner_set_links (m->owner, &l);
 }
 
+/* A run is transferred over this instance's own link to the sender of the
+   notification.  Without that link, the notification is ignored.  */
 void
 mm_mesh_handle_found (mm_mesh_inbound_link *in, const mm_mesh_msg *msg)
 {
--- a/src/mm_mesh_loss.c
+++ b/src/mm_mesh_loss.c
@@ -5,11 +5,12 @@
    instance that has just started knows which tasks have crashed upstreams.  */
 #include "mm_mesh_priv.h"
 
-/* Sends a loss over the links of both directions.  An instance that receives a
-   task's end over its own link to this instance must receive the loss before
-   that end, or it runs the task again.  */
+/* Sends a new or changed loss over the links of both directions.  An instance
+   that receives a task's end over its own link to this instance must receive
+   the loss before that end: otherwise it does not know that the task may be a
+   poison task, and runs it again.  */
 static void
-on_changed (void *ctx, const mm_loss *l)
+on_loss_changed (void *ctx, const mm_loss *l)
 {
   mm_mesh *m = ctx;
   msgpack_sbuffer b;
@@ -25,7 +26,7 @@
 mm_mesh_set_suspects (mm_mesh *m, mm_suspects *s)
 {
   m->suspects = s;
-  mm_suspects_on_changed (s, on_changed, m);
+  mm_suspects_on_changed (s, on_loss_changed, m);
 }
 
 void
--- a/src/mm_mesh_msg.c
+++ b/src/mm_mesh_msg.c
@@ -6,6 +6,8 @@
 
 #include <string.h>
 
+/* Number of values in the array of a message, its kind included.
+   CAPACITY_FIELDS: number of values for one service in a REPORT.  */
 enum
 {
   RUN_FIELDS = 22,
@@ -20,6 +22,7 @@
   CAPACITY_FIELDS = 6
 };
 
+/* Starts a message of @fields values and packs its kind.  */
 static void
 pack_header (msgpack_packer *pk, msgpack_sbuffer *b, size_t fields,
              mm_mesh_kind kind)
@@ -183,6 +186,11 @@
     msgpack_pack_uint64 (&pk, l->tasks[i]);
 }
 
+/* The functions read_run(), read_ended(), read_loss() and read_report() read
+   the values of a message into @m or @l.  @f: the message's array, of which
+   f[0] is the kind; the caller has checked the number of values.  They return
+   false when a value is not valid.  */
+
 static bool
 read_run (const msgpack_object *f, mm_mesh_msg *m)
 {
@@ -225,6 +233,7 @@
   return true;
 }
 
+/* Makes the message refer to the bytes of a msgpack value, without a copy.  */
 static bool
 read_bytes (const msgpack_object *o, mm_mesh_msg *m)
 {
@@ -362,7 +371,7 @@
       return n == RELEASED_FIELDS
              && mm_mp_read_text (&f[1], false, (char **)&out->name);
     }
-  return false;
+  return false; /* unknown kind */
 }
 
 void
--- a/src/mm_mesh_msg.h
+++ b/src/mm_mesh_msg.h
@@ -1,5 +1,9 @@
 /* mm_mesh_msg: the messages between instances, as msgpack arrays.
 
+   Each array begins with the kind of the message, an mm_mesh_kind.  Tasks and
+   requests carry a number that their sender chose.  The number of a task is
+   unique on its link; the first task there has number 1.
+
    From the instance that opened the link, which dispatches tasks, to the owner
    of upstreams at the other end:
 
@@ -11,7 +15,8 @@
      avoid_upstream, cpu_milli, mem_mb, gpus, priority, estimate_ms,
      due_within_ms, start_within_ms, kept, running_at, run, ran_ms, isolated]
 
-     A task to run.
+     A task to run; the values after the number are fields of
+     mm_task_request.
 
    - [CANCEL, number]
 
@@ -19,6 +24,9 @@
 
    - [HEARTBEAT]
 
+     Sent each MM_MESH_HEARTBEAT_MS, as the receiver closes a link that
+     carries no message for MM_MESH_TIMEOUT_MS.
+
    - [REQUEST, number, verb, bytes]
 
      A request about kept jobs; number 0: a notification.
@@ -36,7 +44,8 @@
 
    - [ENDED, number, how, upstream, ran_ms, why, run]
 
-     The outcome of a task.
+     The outcome of a task; the values after the number are fields of
+     mm_work_result.
 
    - [ANSWER, number, bytes]
 
@@ -45,7 +54,9 @@
    - [REPORT, seen_number, name, leaving, [[service, places, free, waiting,
      task_ms, [waiting of each priority]], ...]]
 
-     The capacity at the owner, with the tasks up to seen_number counted.
+     The capacity for each service on the sender's upstreams; name is the
+     sender's member name.  The tasks received over this link are counted,
+     seen_number is the highest number among them.
 
    In both directions:
 
@@ -55,7 +66,9 @@
 
    - [LOSS, upstream, addr, verdict, unresponsive_for_ms, [task hash, ...]]
 
-     An upstream was lost while it ran these tasks.  */
+     An upstream was lost while it ran these tasks.  The message holds how long
+     the upstream was unresponsive, and not since when, as the clocks of two
+     instances differ.  */
 #ifndef MM_MESH_MSG_H
 #define MM_MESH_MSG_H
 
@@ -63,6 +76,7 @@
 
 #include <msgpack.h>
 
+/* Kinds of messages, by their numbers on the wire.  */
 typedef enum
 {
   MM_MESH_RUN = 1,
@@ -79,7 +93,8 @@
   MM_MESH_LOSS = 12
 } mm_mesh_kind;
 
-#define MM_MESH_MAX_SERVICES 64 /* most services in a report */
+/* Most services in a report; further ones are left out.  */
+#define MM_MESH_MAX_SERVICES 64
 
 /* The capacity for one service, as in a report.  */
 typedef struct
@@ -88,6 +103,8 @@
   mm_capacity_report capacity;
 } mm_mesh_service_capacity;
 
+/* A message that was read.  The comment of a field names the kinds of messages
+   that have it.  */
 typedef struct
 {
   mm_mesh_kind kind;
@@ -103,12 +120,16 @@
   uint32_t verb;      /* REQUEST */
   mm_time_ms sent_ms; /* UPDATE */
   mm_loss loss;       /* LOSS; owns the strings and the task hashes */
-  const void *data;   /* REQUEST, ANSWER, UPDATE: bytes of the object read */
+  /* REQUEST, ANSWER, UPDATE: the bytes carried.  They are not copied: valid
+     only as long as the msgpack object that was read.  */
+  const void *data;
   size_t len;
 } mm_mesh_msg;
 
 bool mm_mesh_msg_read (const msgpack_object *o, mm_mesh_msg *out);
-void mm_mesh_msg_clear (mm_mesh_msg *m); /* frees owned data */
+/* Frees what the message owns; mm_mesh_msg_read() allocated it.  */
+void mm_mesh_msg_clear (mm_mesh_msg *m);
+/* Each mm_mesh_pack_ function appends one message to @b.  */
 void mm_mesh_pack_run (msgpack_sbuffer *b, uint64_t number,
                        const mm_task_request *t);
 void mm_mesh_pack_cancel (msgpack_sbuffer *b, uint64_t number);
--- a/src/mm_mesh_peers.c
+++ b/src/mm_mesh_peers.c
@@ -6,6 +6,7 @@
 
 #include <string.h>
 
+/* Returns whether the member list @peers holds an instance of this name.  */
 static bool
 is_listed (const char *name, const mm_mesh_peer_info *peers, size_t n)
 {
@@ -32,6 +33,7 @@
   g_hash_table_iter_init (&it, m->peers);
   while (g_hash_table_iter_next (&it, &k, &v))
     {
+      /* mm_mesh_add_peer() below sets it again for those that still are.  */
       ((mm_mesh_peer *)v)->info.is_standby = false;
       ((mm_mesh_peer *)v)->listed = is_listed (k, peers, n);
       if (!((mm_mesh_peer *)v)->connected && !((mm_mesh_peer *)v)->listed)
@@ -65,8 +67,8 @@
 }
 
 /* Returns whether the peer may have capacity.  An instance that owns no
-   upstreams has none.  A joining instance may own upstreams before the member
-   list names it.  */
+   upstreams is not in the member list and has no capacity.  A joining instance
+   may own upstreams before the member list names it.  */
 static bool
 may_have_capacity (const mm_mesh_peer *p, mm_time_ms now)
 {
@@ -152,6 +154,9 @@
   return g_list_length (m->inbound);
 }
 
+/* A link is wanted to the chosen neighbours and to each peer for which
+   mm_mesh_require_link() was called recently.  Only peers that may have
+   capacity are candidates; of the others, @considered keeps no entry.  */
 void
 mm_mesh_choose_neighbours (mm_mesh *m, mm_time_ms now)
 {
--- a/src/mm_mesh_priv.h
+++ b/src/mm_mesh_priv.h
@@ -12,7 +12,7 @@
 {
   mm_mesh *mesh;
   mm_mesh_peer_info info;
-  mm_link *link;               /* NULL: none */
+  mm_link *link;               /* to the peer, NULL: none */
   bool listed;                 /* the member list names it as an owner */
   mm_time_ms known_ms;         /* when it was added */
   bool wanted;                 /* a link to it is wanted */
@@ -30,11 +30,13 @@
   mm_mesh_service_capacity *capacities;
   size_t n_capacities;
   mm_time_ms report_ms; /* when the last report was received */
-  uint64_t known_upto;  /* list offset up to which it was sent updates */
-  /* Queueing delay of the updates received over it.  */
+  uint64_t known_upto;  /* offset of the upstream list up to which it was sent
+                           updates over this link */
+  /* Queueing delay of the updates received over the link.  */
   mm_queue_delay queue_delay;
 } mm_mesh_peer;
 
+/* A task that was dispatched to a peer and whose end was not received yet.  */
 struct mm_remote_task
 {
   mm_mesh_peer *peer;
@@ -54,8 +56,9 @@
   uint64_t seen_number; /* highest task number received */
   mm_time_ms report_ms; /* when the last report was sent */
   GByteArray *last_report; /* the bytes of that report */
-  uint64_t known_upto;     /* list offset up to which it was sent updates */
-  /* Queueing delay of the updates received over it.  */
+  uint64_t known_upto;     /* offset of the upstream list up to which the
+                              sender was sent updates over this link */
+  /* Queueing delay of the updates received over the link.  */
   mm_queue_delay queue_delay;
 } mm_mesh_inbound_link;
 
@@ -65,12 +68,14 @@
   uint64_t number;          /* request number */
 };
 
+/* Each callback is NULL until it is set, and is called with the context that
+   follows it.  */
 struct mm_mesh
 {
   struct ev_loop *loop;
   mm_owner *owner;
-  char *self;
-  char *datacentre;
+  char *self;       /* member name of this instance */
+  char *datacentre; /* data centre of this instance */
   int listen_fd;
   ev_io accept_io;
   GHashTable *peers; /* name -> mm_mesh_peer */
@@ -92,9 +97,11 @@
 };
 
 /* mm_mesh.c */
+/* Sends packed messages to all connected peers.  */
 void mm_mesh_send_all (mm_mesh *m, const msgpack_sbuffer *b);
 
 /* mm_mesh_adopt.c */
+/* Sets the callbacks of the owner that use the links.  */
 void mm_mesh_attach_owner (mm_mesh *m);
 void mm_mesh_handle_found (mm_mesh_inbound_link *in, const mm_mesh_msg *msg);
 
@@ -102,6 +109,7 @@
 void mm_mesh_handle_request (mm_mesh_inbound_link *in, const mm_mesh_msg *msg);
 
 /* mm_mesh_update.c */
+/* @peer: name of the sender, NULL: not known yet.  */
 void mm_mesh_handle_update (mm_mesh *m, const char *peer,
                             mm_queue_delay *queue_delay,
                             const mm_mesh_msg *msg);
@@ -111,6 +119,7 @@
 void mm_mesh_send_losses (mm_mesh *m, mm_link *link); /* all known losses */
 
 /* mm_mesh_peers.c */
+/* Decides to which of the known instances a link is wanted.  */
 void mm_mesh_choose_neighbours (mm_mesh *m, mm_time_ms now);
 
 #endif /* MM_MESH_PRIV_H */
--- a/src/mm_mesh_update.c
+++ b/src/mm_mesh_update.c
@@ -4,9 +4,9 @@
 
 #include <string.h>
 
-/* Returns whether no update is sent over an inbound link: its peer has not
-   sent its name yet, or already gets the updates over this instance's outbound
-   link to the peer.  */
+/* Returns whether updates leave out an inbound link.  They do while its sender
+   has not sent its name yet, and when the sender gets the updates over this
+   instance's own link to it, so that each instance gets an update once.  */
 static bool
 skips_inbound (const mm_mesh_inbound_link *in)
 {
@@ -23,6 +23,8 @@
   return names;
 }
 
+/* Builds and sends the update for an instance that knows the list up to
+   @known_upto, and advances @known_upto.  */
 static void
 send_update (mm_link *link, uint64_t *known_upto, mm_mesh_build_update build,
              void *ctx)
@@ -37,12 +39,14 @@
   msgpack_sbuffer_destroy (&update);
 }
 
-/* Called for each link, with the offset up to which its peer knows the
-   upstream list.  */
+/* Called for each link.  @name: the instance at its other end; @known_upto:
+   offset up to which that instance knows the upstream list, which the visitor
+   may change.  */
 typedef void (*link_visitor) (mm_link *link, const char *name,
                               uint64_t *known_upto, void *ctx);
 
-/* Calls @fn for a link to each connected instance whose name is known.  */
+/* Calls @fn once for each connected instance whose name is known, with a link
+   to it.  */
 static void
 for_each_link (mm_mesh *m, link_visitor fn, void *ctx)
 {
@@ -63,6 +67,7 @@
     }
 }
 
+/* An update, and the instances to which it is sent.  */
 typedef struct
 {
   mm_mesh_build_update build;
@@ -97,6 +102,7 @@
   for_each_link (m, notify_link, &to);
 }
 
+/* Argument of mm_mesh_set_known_upto() for its visitor.  */
 typedef struct
 {
   const char *peer;
