--- a/src/mm_front.h
+++ b/src/mm_front.h
@@ -1,5 +1,6 @@
 /* mm_front: the HTTP servers for callers and for the load balancer.  The
-   protocol spoken with callers is that of the handler passed in.  */
+   handler that is passed to mm_front_create() implements the protocol spoken
+   with callers.  */
 #ifndef MM_FRONT_H
 #define MM_FRONT_H
 
@@ -7,11 +8,12 @@
 
 typedef struct mm_front mm_front;
 
-/* @handler receives the mm_front as its context.  */
+/* Starts both servers; @handler gets the mm_front as its context.  */
 mm_front *mm_front_create (struct ev_loop *loop, const mm_node_settings *s,
                            mm_node *node, mm_http_handler handler,
                            GError **error);
 void mm_front_destroy (mm_front *f);
+/* Returns the instance that receives the jobs.  */
 mm_node *mm_front_node (const mm_front *f);
 /* From now on closes each caller's connection after its next answer.  */
 void mm_front_set_leaving (mm_front *f);
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -16,31 +16,33 @@
 
 typedef struct job job;
 
+/* A task of a job.  */
 typedef struct
 {
   job *job;
   mm_task_id id;
-  mm_ticket *ticket; /* dispatched to an owner; or NULL */
-  uint32_t n_failures;
+  mm_ticket *ticket;   /* its dispatch to an owner, NULL: not dispatched */
+  uint32_t n_failures; /* runs that failed */
   mm_time_ms dispatched_ms; /* when last dispatched */
   char *avoid_upstream;     /* where the last unsuccessful run was; or NULL */
   char *returned_by;        /* owner that returned the task unstarted, "": this
                                instance; or NULL */
   bool undispatched; /* no owner could be reached at the last dispatch */
-  bool deferred;     /* may crash upstreams: not dispatched for now */
-  bool isolated;     /* dispatched as a task that may crash upstreams */
+  bool deferred;     /* a suspect task that is not dispatched for now */
+  bool isolated;     /* dispatched as a suspect task that runs isolated */
   mm_time_ms redispatch_ms; /* next dispatch of a task in doubt, else 0 */
-  bool done;
+  bool done;                /* a run has ended successfully */
 } task;
 
+/* A job that is not answered yet.  */
 struct job
 {
   mm_jobs *jobs;
   mm_submission *submission;
-  char *service;
-  char *queue;
-  uint32_t priority;
-  uint32_t attempts;
+  char *service;     /* service whose upstreams run its tasks */
+  char *queue;       /* name of its queue */
+  uint32_t priority; /* 0 is served first */
+  uint32_t attempts; /* failed runs of a task after which the job fails */
   mm_time_ms submitted_ms;
   mm_time_ms deadline_ms;      /* when the caller stops waiting */
   mm_time_ms on_time_start_ms; /* latest start that meets the objective */
@@ -48,12 +50,12 @@
   task *tasks;
   uint32_t n_tasks;
   mm_steps *steps;
-  bool dispatched; /* a task was dispatched and may have started */
-  uint32_t n_undispatched;
-  uint32_t n_in_doubt;
-  uint32_t n_deferred;
-  uint32_t n_isolated;
-  GList *callers;
+  bool dispatched;         /* a task was dispatched and may have started */
+  uint32_t n_undispatched; /* tasks with @undispatched set */
+  uint32_t n_in_doubt;     /* tasks with @redispatch_ms set */
+  uint32_t n_deferred;     /* tasks with @deferred set */
+  uint32_t n_isolated;     /* tasks with @isolated set */
+  GList *callers;          /* mm_caller: all get the answer */
 };
 
 struct mm_caller
@@ -174,6 +176,7 @@
 
 static void on_task_ended (void *ctx, const mm_work_result *r);
 
+/* Leaves a suspect task undispatched until retry_deferred().  */
 static void
 defer (task *t)
 {
@@ -181,8 +184,9 @@
   t->job->n_deferred++;
 }
 
-/* Dispatches a task to an owner.  When no owner can be reached, the task is
-   tried again at each tick, since owners are back within a second or two.  */
+/* Dispatches a task to an owner, or defers it while it is suspect and may not
+   run yet.  When no owner can be reached, the dispatch is repeated at each
+   tick, since owners are back within a second or two.  */
 static void
 dispatch (task *t)
 {
@@ -255,6 +259,9 @@
   t->avoid_upstream = g_strdup (upstream);
 }
 
+/* Handles a task that ran and failed: it is dispatched again, to another
+   upstream.  The job fails when no attempt is left or the task may run only
+   once.  */
 static void
 on_failed (task *t, const char *upstream)
 {
@@ -334,6 +341,8 @@
   return true;
 }
 
+/* Handles the end of a dispatch: the task is done, is dispatched again, or
+   ends the job.  The job is freed when it ends.  */
 static void
 on_task_ended (void *ctx, const mm_work_result *r)
 {
@@ -408,6 +417,8 @@
   return true;
 }
 
+/* Creates a job from a submission, which it takes ownership of.  @slack_ms:
+   how long the job can wait and still meet its objective.  */
 static job *
 job_create (mm_jobs *j, mm_submission *s, const mm_route *route,
             mm_time_ms caller_timeout_ms, mm_time_ms slack_ms)
@@ -439,8 +450,9 @@
   return b;
 }
 
-/* Returns whether the caller has sent this job before, so long ago that an
-   answer is of no use to it any more.  */
+/* Returns whether the caller seems to have sent this job before, so long ago
+   that an answer is of no use to it any more.  @chain_ms: declared run time of
+   the job's longest chain of steps.  */
 static bool
 sent_again_too_late (mm_jobs *j, const mm_route *route,
                      mm_time_ms caller_timeout_ms, mm_time_ms chain_ms)
@@ -578,6 +590,8 @@
   return b != NULL;
 }
 
+/* Sends the same answer to all jobs whose deadline is before
+   @deadline_before_ms.  */
 static void
 answer_all (mm_jobs *j, mm_answer_kind kind, const char *why,
             mm_time_ms deadline_before_ms)
@@ -606,6 +620,8 @@
   answer_all (j, MM_ANSWER_UNKNOWN, why, G_MAXINT64);
 }
 
+/* Dispatches the tasks for which no owner could be reached, or gives up the
+   job when it is too late for them to start.  */
 static void
 retry_undispatched (job *b, mm_time_ms now)
 {
@@ -620,6 +636,7 @@
       dispatch (&b->tasks[i]);
 }
 
+/* Dispatches the tasks in doubt whose earlier runs have ended by now.  */
 static void
 redispatch_in_doubt (job *b, mm_time_ms now)
 {
@@ -634,8 +651,9 @@
     }
 }
 
-/* Checks the job's deferred tasks again: more may be known by now of the
-   upstreams that were lost while running them.  */
+/* Dispatches the job's deferred tasks again, if they may run: more may be
+   known by now of the upstreams that were lost while running them.  Fails the
+   job when one is a poison task, and gives the job up after its deadline.  */
 static void
 retry_deferred (job *b, mm_time_ms now)
 {
--- a/src/mm_jobs.h
+++ b/src/mm_jobs.h
@@ -16,15 +16,16 @@
   MM_ANSWER_FAILED,    /* a task failed in every attempt */
   MM_ANSWER_CANCELLED, /* cancelled by its caller */
   MM_ANSWER_REFUSED,  /* no task ran or will run; the caller may retry later */
-  MM_ANSWER_GIVEN_UP, /* tasks may have run; the rest could not in time */
+  MM_ANSWER_GIVEN_UP, /* some tasks may have run, not all could in time */
   MM_ANSWER_UNKNOWN   /* a task is in doubt; the caller should send the job
                          again */
 } mm_answer_kind;
 
+/* The answer to a job; valid only during the callback that gets it.  */
 typedef struct
 {
   mm_answer_kind kind;
-  const char *why;
+  const char *why;        /* reason, "" when the job is completed */
   uint32_t retry_after_s; /* 0: not given in the answer */
   const bool *done;       /* whether each task is done, in the job's order;
                              NULL: no task is done */
@@ -32,22 +33,24 @@
 
 typedef void (*mm_job_answered) (void *ctx, const mm_answer *a);
 
-mm_jobs *mm_jobs_create (mm_fleet *fleet);
+mm_jobs *mm_jobs_create (mm_fleet *fleet); /* @fleet must outlive it */
 void mm_jobs_destroy (mm_jobs *j);
-/* Takes ownership of @s.  Returns NULL when @answered has been called
-   already.  */
+/* Accepts or refuses a job; takes ownership of @s.  Returns NULL when
+   @answered has been called already.  */
 mm_caller *mm_jobs_submit (mm_jobs *j, mm_submission *s, const mm_route *route,
                            mm_time_ms caller_timeout_ms,
                            mm_job_answered answered, void *ctx);
 /* Frees @c, whose connection closed before it was answered.  The job's tasks
    are stopped when no other caller waits for it.  */
 void mm_jobs_caller_left (mm_jobs *j, mm_caller *c);
+/* Returns whether a job of this id is not answered yet.  */
 bool mm_jobs_running (const mm_jobs *j, const char *job_id);
-/* Returns false when no such job runs here.  */
+/* Stops a job and answers its callers that it was cancelled.  Returns false
+   when no such job runs here.  */
 bool mm_jobs_cancel (mm_jobs *j, const char *job_id);
 /* Answers every caller that its job is in doubt.  */
 void mm_jobs_abandon (mm_jobs *j, const char *why);
-void mm_jobs_tick (mm_jobs *j); /* called every MM_EXEC_TICK_MS */
-uint32_t mm_jobs_count (const mm_jobs *j);
+void mm_jobs_tick (mm_jobs *j);            /* called every MM_EXEC_TICK_MS */
+uint32_t mm_jobs_count (const mm_jobs *j); /* jobs not answered yet */
 
 #endif /* MM_JOBS_H */
--- a/src/mm_link.c
+++ b/src/mm_link.c
@@ -12,7 +12,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define READ_CHUNK_BYTES 16384
+#define READ_CHUNK_BYTES 16384 /* most bytes of one read */
 
 struct mm_link
 {
@@ -24,8 +24,9 @@
   GByteArray *out;     /* bytes that are not sent yet */
   mm_link_events ev;
   mm_time_ms received_ms; /* when bytes were last received */
-  bool in_callback;       /* read_cb frees the link after the callback */
-  bool closing;
+  bool in_callback; /* read_cb() delivers objects and frees the link afterwards
+                       if it has closed meanwhile */
+  bool closing;     /* mm_link_close() was called */
 };
 
 static void
@@ -53,7 +54,7 @@
 /* Delivers every complete object to the object event.  Returns false when the
    link has closed.  */
 static bool
-drain_objects (mm_link *link)
+deliver_objects (mm_link *link)
 {
   msgpack_unpacked msg;
   msgpack_unpacked_init (&msg);
@@ -92,14 +93,15 @@
   link->received_ms = mm_clock_now_ms ();
   msgpack_unpacker_buffer_consumed (&link->in, (size_t)n);
   link->in_callback = true;
-  bool open = drain_objects (link);
+  bool open = deliver_objects (link);
   link->in_callback = false;
   if (!open)
     link_free (link);
 }
 
-/* Sends as many of the buffered bytes as the socket takes; the rest follows
-   once the socket is writable.  */
+/* Sends as many of the buffered bytes as the socket takes.  The rest is sent
+   once the socket is writable, also while it is still connecting
+   (ENOTCONN).  */
 static void
 flush (mm_link *link)
 {
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -277,7 +277,7 @@
     = { .how = MM_END_UNKNOWN, .why = "owner out of contact" };
 
 /* Records when the peer closed its link.  A process that ends closes its
-   links. A peer that is disconnected, stalled or without power does not: this
+   links.  A peer that is disconnected, stalled or without power does not: this
    instance closes the link as unresponsive, and that is not recorded.  */
 static void
 record_closed (mm_mesh_peer *p, const char *why)
--- a/src/mm_native_exec.c
+++ b/src/mm_native_exec.c
@@ -4,8 +4,8 @@
 
 #include <string.h>
 
-/* Returns the verdict in the body of an answer, MM_CALL_NO_ANSWER when the
-   body has no known verdict.  */
+/* Returns the verdict in the body of an answer whose HTTP status is not 200,
+   MM_CALL_NO_ANSWER when the body has no known verdict.  */
 static mm_call_verdict
 verdict_of (long status, const cJSON *body)
 {
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -28,6 +28,7 @@
   g_free (w);
 }
 
+/* Returns the state of a task in the answer to its job.  */
 static const char *
 task_state (const mm_answer *a, uint32_t i)
 {
@@ -80,6 +81,8 @@
   waiting_request_free (w);
 }
 
+/* Called when a caller closes its connection before its job is answered.  The
+   reply reaches no one; it is sent to free the request.  */
 static void
 on_caller_left (void *ctx)
 {
@@ -105,6 +108,9 @@
   return copy;
 }
 
+/* Returns the submission for a job: a best-effort job in which each task is a
+   step of its own.  Returns NULL, with @error set, when the job's id is too
+   long.  */
 static mm_submission *
 submission_of (const mm_job *job, GError **error)
 {
@@ -132,6 +138,7 @@
   return s;
 }
 
+/* Returns the earliest deadline of the job's tasks, in ms from now.  */
 static mm_time_ms
 caller_timeout_of (const mm_job *job)
 {
@@ -202,6 +209,7 @@
   return text;
 }
 
+/* Answers a caller's request with the answer of the job's home.  */
 static void
 on_home_answered (void *ctx, const mm_kept_answer *k)
 {
@@ -233,6 +241,7 @@
   g_free (r);
 }
 
+/* Handles GET and DELETE of the kept job @id.  */
 static void
 handle_job_request (mm_front *f, mm_http_request *req, const char *id)
 {
@@ -248,6 +257,8 @@
     mm_front_error (req, 405, MM_ERROR_BAD_REQUEST, "GET or DELETE", 0);
 }
 
+/* Handles a request for the number of kept jobs of a queue that have not
+   started.  */
 static void
 handle_queue_request (mm_front *f, mm_http_request *req, const char *queue)
 {
@@ -269,7 +280,7 @@
 /* ---- jobs whose callers wait ------------------------------------------ */
 
 /* Returns the queue that the body names, or the first queue if the body names
-   none.  NULL: no such queue.  */
+   none.  Returns NULL when there is no such queue.  */
 static const mm_route *
 find_queue (const mm_routes *routes, const char *body, size_t len)
 {
@@ -285,6 +296,8 @@
   return found;
 }
 
+/* Handles a submitted job: refuses it, submits it as a kept job, or submits it
+   as a job whose caller waits for the answer.  */
 static void
 post_job (mm_front *f, mm_http_request *req)
 {
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -27,7 +27,7 @@
   mm_time_ms last_loop_ms; /* when the event loop last iterated */
   mm_catalog *catalog;
   mm_routes *routes;
-  mm_stream *config;
+  mm_stream *config; /* stream of the configuration */
   mm_list_share *list;
   mm_stream *upstreams; /* stream of the upstream list, owned by list */
   mm_datacentres *owned_datacentres;
@@ -214,6 +214,8 @@
   check_list_age (n, now);
   mm_catalog_tick (n->catalog, mm_stream_in_contact (n->upstreams));
   mm_members_tick (n->members);
+  /* Joining a group waits until it is known whether the previous incarnation
+     is still a member, but not for long, as the store may be slow.  */
   if (mm_members_loaded (n->members)
       || now - n->started_ms >= MM_PREDECESSORS_WAIT_MS)
     mm_datacentres_tick (n->owned_datacentres);
@@ -230,7 +232,8 @@
 }
 
 /* Writes the log.  Runs last before each wait of the event loop, so that the
-   log of a process that is killed has the lines of all that it answered.  */
+   log of a process that is killed holds the lines of all requests that it
+   answered.  */
 static void
 flush_log_cb (struct ev_loop *loop, ev_prepare *w, int revents)
 {
@@ -239,8 +242,9 @@
 
 /* Detects a stall of the process.  Runs first after each wait of the event
    loop: after a stall, no queued task may start before messages of the callers
-   were read, as the callers may have sent their jobs to other instances, where
-   they run now.  */
+   are read, as the callers may have sent their jobs to other instances, where
+   they run now.  Therefore all links are closed and all jobs abandoned before
+   any other event is handled.  */
 static void
 stall_cb (struct ev_loop *loop, ev_check *w, int revents)
 {
@@ -291,8 +295,8 @@
   return member;
 }
 
-/* Called when partitions of @group were released or an instance joins it.
-   @group is NULL when the member list was read again.  */
+/* Called when partitions of @group were released or an instance joins it, and
+   with NULL as @group when the member list was read again.  */
 static void
 on_group_changed (void *ctx, const char *group)
 {
@@ -460,8 +464,10 @@
  *
  * The upstreams are handed over to instances that are not shutting down, once
  * the tasks running there have ended.  While there is no such instance, this
- * one goes on starting tasks there.  Callers are served until they have closed
- * their connections.
+ * one goes on starting tasks there: for MM_LEAVE_DRAIN_MS when it is connected
+ * to no other instance, else until what is left of the grace time is needed
+ * for the handover.  Callers are served until they have closed their
+ * connections.
  */
 void
 mm_node_leave (mm_node *n)
--- a/src/mm_node.h
+++ b/src/mm_node.h
@@ -9,6 +9,7 @@
 
 typedef struct mm_node mm_node;
 
+/* Settings of an instance.  */
 typedef struct
 {
   char *name;           /* name of the machine */
@@ -24,11 +25,12 @@
   int64_t state_port;   /* port of the state dump for operators */
   int64_t partitions;   /* number of partitions of a topic of the store */
   char *interface;      /* protocol: "own" (of the stand-ins) or "platform" */
-  int64_t grace_ms;     /* from SIGTERM to SIGKILL */
+  int64_t grace_ms;     /* time from SIGTERM to SIGKILL */
   double link_mbps;     /* Mbit/s of this machine's link, 0: no limit */
 } mm_node_settings;
 
 extern const mm_setting_spec mm_node_setting_specs[];
+/* Sets all settings to their defaults; allocates the strings.  */
 void mm_node_settings_defaults (mm_node_settings *s);
 
 mm_node *mm_node_create (struct ev_loop *loop, const mm_node_settings *s,
@@ -44,8 +46,9 @@
 mm_jobs *mm_node_jobs (mm_node *n);
 mm_kept *mm_node_kept (mm_node *n);
 void mm_node_leave (mm_node *n); /* begins a graceful shutdown */
-bool mm_node_can_exit (const mm_node *n,
-                       uint32_t open_connections); /* the process may exit */
+/* Returns whether the process may exit: the shutdown is complete, or its grace
+   time is about to end.  @open_connections: connections of callers.  */
+bool mm_node_can_exit (const mm_node *n, uint32_t open_connections);
 char *mm_node_metrics (const mm_node *n); /* as text, free with g_free() */
 char *mm_node_dump (const mm_node *n);    /* state as JSON, free with free() */
 
--- a/src/mm_routes.c
+++ b/src/mm_routes.c
@@ -1,4 +1,4 @@
-/* mm_routes: look up a queue by host and longest path prefix.  */
+/* mm_routes: looks up a queue by host and longest path prefix.  */
 #include "mm_routes.h"
 
 #include <string.h>
--- a/src/mm_routes.h
+++ b/src/mm_routes.h
@@ -8,8 +8,8 @@
 /* A queue of jobs, selected by the host and path of a request.  */
 typedef struct
 {
-  char *name;
-  char *host;
+  char *name;        /* name of the queue */
+  char *host;        /* host name, without a port */
   char *prefix;      /* path prefix; the longest matching one wins */
   char *service;     /* service whose upstreams run the queue's tasks */
   uint32_t priority; /* 0 is served first */
@@ -30,7 +30,7 @@
   size_t n_routes;
 } mm_routes;
 
-mm_routes *mm_routes_new (void);
+mm_routes *mm_routes_new (void); /* empty, with one reference */
 mm_routes *mm_routes_ref (mm_routes *r);
 void mm_routes_unref (mm_routes *r); /* @r may be NULL */
 /* Returns the route for a host and path, or NULL for none; sets @rest to the
--- a/src/mm_uplink.h
+++ b/src/mm_uplink.h
@@ -9,15 +9,16 @@
 
 #include "masticmill.h"
 
+/* The link, and how long it takes to send what is queued there.  */
 typedef struct
 {
   double bits_per_ms;   /* bandwidth of the link, 0: no limit */
-  double busy_until_ms; /* when all that was sent will have gone out */
+  double busy_until_ms; /* mm_clock_now_ms() at which the backlog is sent */
 } mm_uplink;
 
 /* Adds bytes that were sent to the backlog.  */
 void mm_uplink_record_sent (mm_uplink *u, size_t bytes, mm_time_ms now_ms);
-/* Time until all that was sent has gone out.  */
+/* Returns the time until the link has carried the whole backlog.  */
 mm_time_ms mm_uplink_backlog_ms (const mm_uplink *u, mm_time_ms now_ms);
 
 #endif /* MM_UPLINK_H */
