--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -9,8 +9,8 @@
 
 enum
 {
-  UPSTREAMS = 8, /* enough that some of them are handed over */
-  SLOTS = 3,
+  UPSTREAMS = 8,         /* enough that some of them are handed over */
+  SLOTS = 3,             /* of each upstream */
   DRAIN_BOUND_MS = 2000, /* latest start after upstreams are told to drain */
   LISTED_BOUND_MS = 100, /* latest start after the drain was listed */
   LONG_RUN_MS = 5000,
@@ -37,7 +37,8 @@
 }
 
 /* Fills all slots but one of each upstream with long tasks, so that a handover
-   takes as long as it is allowed to.  */
+   takes as long as it is allowed to.  Meanwhile a shorter task uses the last
+   slot of an upstream, so that the next long tasks go to another upstream.  */
 static void
 fill_slots (int node, pid_t *callers)
 {
@@ -135,6 +136,8 @@
   g_array_free (runs, TRUE);
 }
 
+/* Tells all upstreams to drain while the first instance hands them over: it is
+   shut down, or else another instance joins.  */
 static void
 drain_during_handover (bool shutdown)
 {
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -16,6 +16,7 @@
 
 static const char *const dc_names[DATACENTRES] = { "north", "east", "south" };
 
+/* The instances of a test; the arrays are indexed by instance.  */
 typedef struct
 {
   struct ev_loop *loop;
@@ -179,6 +180,8 @@
 }
 END_TEST
 
+/* Fills @candidates with @n instances, which are spread evenly over the data
+   centres.  */
 static size_t
 make_candidates (mm_neighbour *candidates, char (*names)[16], size_t n)
 {
@@ -192,6 +195,7 @@
   return n;
 }
 
+/* Returns how many instances of a data centre are chosen.  */
 static uint32_t
 chosen_in (const mm_neighbour *candidates, const bool *chosen, size_t n,
            const char *datacentre)
@@ -214,6 +218,7 @@
 }
 END_TEST
 
+/* Of 300 instances, only a bounded number of each data centre is chosen.  */
 START_TEST (neighbours_are_bounded_near_and_far)
 {
   enum
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -1,6 +1,6 @@
 /* Tests instances of masticmill-node, run as processes with a stand-in
-   platform and stand-in upstreams.  The tests kill and freeze processes, lose
-   start calls and stop the store.  */
+   platform and stand-in upstreams.  The tests kill and freeze processes, leave
+   start calls unanswered and stop the store.  */
 #include "harness.h"
 
 #include <signal.h>
@@ -10,7 +10,8 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#define RESEND_MS 1300 /* time after which callers send a job again */
+/* Callers send a job again this long after their connection broke.  */
+#define RESEND_MS 1300
 
 static void
 sleep_ms (int ms)
@@ -18,6 +19,7 @@
   g_usleep ((gulong)ms * 1000);
 }
 
+/* Sets the faults of a stand-in upstream.  */
 static void
 upstream_fault (int i, const char *json)
 {
@@ -165,9 +167,8 @@
 END_TEST
 
 /* An instance stalls for two seconds, the connection of its caller times out
-   and the caller sends the job to another instance.  After the
-   stalled instance has resumed, it must not start the tasks that it had
-   queued.  */
+   and the caller sends the job to another instance.  After the stalled
+   instance has resumed, it must not start the tasks that it had queued.  */
 START_TEST (frozen_instance_starts_no_queued_task)
 {
   h_start_nodes (2, 2, 2);
@@ -419,7 +420,7 @@
 END_TEST
 
 /* Returns the time from the start of an instance's process until it owned an
-   upstream.  */
+   upstream, 0 if it owns none.  */
 static mm_time_ms
 time_to_own_ms (int node)
 {
@@ -496,6 +497,7 @@
          || mm_clock_now_ms () - r->term_ms < BALANCER_SEES_MS;
 }
 
+/* Starts an instance again once its process has exited after SIGTERM.  */
 static void
 restart_when_gone (int node, restart *r)
 {
@@ -506,8 +508,8 @@
   r->back = h_wait_port (h_instance_ports[node], 1000);
 }
 
-/* Restarts all instances, @at_once at a time and @gap_ms apart, while
-   callers submit jobs all the time to the instances that are in rotation.  */
+/* Restarts all instances, @at_once at a time and @gap_ms apart, while callers
+   submit jobs all the time to the instances that are in rotation.  */
 static void
 restart_all_under_load (int at_once, mm_time_ms gap_ms)
 {
--- a/tests/test_thin_link.c
+++ b/tests/test_thin_link.c
@@ -7,11 +7,14 @@
 #include <stdio.h>
 #include <string.h>
 
-#define OWN_AGAIN_MS 2000 /* longest time from an outage to a start */
-#define AWAY_MS 10000     /* length of the outage */
+/* Longest time from the end of the store's outage until the upstreams are
+   known, and until a job is submitted that is served.  */
+#define RECOVERY_BOUND_MS 2000
+#define OUTAGE_MS 10000   /* length of the outage */
 #define HEARTBEAT_MS 1500 /* time between two reports of an upstream */
 #define BATCH_MS 100      /* time between two batches of reports */
-#define READ_EACH_MS 1500 /* greatest age of a current list */
+/* Greatest age of a current list, which is read more often than this.  */
+#define MAX_LIST_AGE_MS 1500
 
 /* Upstreams of a data centre that none of the instances serves.  A part of
    them reports each BATCH_MS, so that they fill the upstream list as a large
@@ -23,6 +26,7 @@
   int seq;         /* sequence number of the next append */
 } other_upstreams;
 
+/* Appends a report of each of the next @n other upstreams to the list.  */
 static void
 report_some (other_upstreams *others, int n)
 {
@@ -43,6 +47,7 @@
   g_string_free (body, TRUE);
 }
 
+/* Lets the other upstreams report for a time, each every HEARTBEAT_MS.  */
 static void
 report_for (other_upstreams *others, mm_time_ms duration_ms)
 {
@@ -66,7 +71,7 @@
   double age_ms
       = cJSON_GetNumberValue (cJSON_GetObjectItem (o, "list_age_ms"));
   cJSON_Delete (o);
-  return age_ms > 0 && age_ms < READ_EACH_MS;
+  return age_ms > 0 && age_ms < MAX_LIST_AGE_MS;
 }
 
 /* Returns the time until the instance knows its upstreams, @limit_ms or more
@@ -82,12 +87,13 @@
 }
 
 /* Returns the time from @start_ms to the submission of the first job that is
-   answered completely, 3 * OWN_AGAIN_MS or more if none is.  A caller submits
-   a job, waits for its answer, and submits the next one 100 ms later.  */
+   answered completely, 3 * RECOVERY_BOUND_MS or more if none is.  A caller
+   submits a job, waits for its answer, and submits the next one BATCH_MS
+   later.  */
 static mm_time_ms
 served_after_ms (other_upstreams *others, mm_time_ms start_ms)
 {
-  for (int i = 0; mm_clock_now_ms () - start_ms < 3 * OWN_AGAIN_MS; i++)
+  for (int i = 0; mm_clock_now_ms () - start_ms < 3 * RECOVERY_BOUND_MS; i++)
     {
       mm_time_ms sent_ms = mm_clock_now_ms ();
       char id[16];
@@ -102,6 +108,9 @@
   return mm_clock_now_ms () - start_ms;
 }
 
+/* Starts two instances with four upstreams of their own, adds the other
+   upstreams to the list and limits each instance's link to the store to
+   @kbps.  */
 static void
 start_with_other_upstreams (other_upstreams *others, int kbps)
 {
@@ -128,7 +137,7 @@
   other_upstreams others = { .n_upstreams = n_others };
   start_with_other_upstreams (&others, kbps);
   h_set_platform_faults ("{\"cut\":\"node0,node1\"}");
-  report_for (&others, AWAY_MS);
+  report_for (&others, OUTAGE_MS);
   if (store_fault)
     cJSON_Delete (h_call ("POST", h_platform_port, "/v1/store-faults",
                           store_fault, NULL));
@@ -137,11 +146,13 @@
   h_set_platform_faults ("{\"cut\":\"\"}");
   mm_time_ms start_ms = mm_clock_now_ms ();
   for (int i = 0; i < 2; i++)
-    known_after_ms (&others, i, 3 * OWN_AGAIN_MS);
+    known_after_ms (&others, i, 3 * RECOVERY_BOUND_MS);
   mm_time_ms took_ms = mm_clock_now_ms () - start_ms;
-  ck_assert_msg (took_ms <= OWN_AGAIN_MS, "known after %d ms", (int)took_ms);
+  ck_assert_msg (took_ms <= RECOVERY_BOUND_MS, "known after %d ms",
+                 (int)took_ms);
   took_ms = served_after_ms (&others, start_ms);
-  ck_assert_msg (took_ms <= OWN_AGAIN_MS, "served after %d ms", (int)took_ms);
+  ck_assert_msg (took_ms <= RECOVERY_BOUND_MS, "served after %d ms",
+                 (int)took_ms);
   h_stop_cluster ();
 }
 
