--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -3,8 +3,8 @@
    Each instance opens links to some others (mm_neighbours) and dispatches
    tasks over them.  When a link breaks or the peer is unresponsive, the tasks
    on the link end: the owner stops those that it received over the link, as
-   their callers may send the job again elsewhere, and the sender reports them
-   as in doubt.  */
+   their callers may send the job to another instance, and the sender reports
+   them as in doubt.  */
 #define _GNU_SOURCE
 #include "mm_mesh_priv.h"
 
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -110,8 +110,8 @@
 /* Names of the instances connected over a link of either direction; free the
    list, not the names.  */
 GList *mm_mesh_linked (const mm_mesh *m);
-/* Keeps a link to this instance for MM_MESH_LINK_KEEP_MS, whether or not it is
-   a neighbour; NULL: to every known instance.  */
+/* Keeps a link to @peer for MM_MESH_LINK_KEEP_MS, whether or not the peer is a
+   neighbour.  NULL: keeps a link to every known instance.  */
 void mm_mesh_require_link (mm_mesh *m, const char *peer);
 /* Returns whether a report of the peer was received over this instance's link
    to it.  */
@@ -123,7 +123,8 @@
 {
   uint32_t connected;   /* connected peers */
   uint32_t staying;     /* connected and not shutting down */
-  uint32_t untried;     /* known, and no link to it was lost recently */
+  uint32_t untried;     /* known instances that may own upstreams and to which
+                           no link was lost within MM_NEIGHBOUR_LOST_MS */
   mm_time_ms closed_ms; /* when a peer there last closed its link, 0: never */
 } mm_mesh_presence;
 
--- a/src/mm_mesh_priv.h
+++ b/src/mm_mesh_priv.h
@@ -13,25 +13,25 @@
   mm_mesh *mesh;
   mm_mesh_peer_info info;
   mm_link *link;               /* to the peer, NULL: none */
-  bool listed;                 /* the member list names it as an owner */
-  mm_time_ms known_ms;         /* when it was added */
-  bool wanted;                 /* a link to it is wanted */
-  bool connected;              /* a report was received over this link */
-  bool leaving;                /* it reported that it is shutting down */
-  mm_time_ms lost_ms;          /* when a link to it was last lost, 0: never */
-  mm_time_ms wanted_until_ms;  /* a link to it is wanted until then */
-  mm_requests *requests;       /* requests sent to it, without an answer yet */
+  bool listed;                 /* the member list names the peer as an owner */
+  mm_time_ms known_ms;         /* when the peer was added */
+  bool wanted;                 /* a link to the peer is wanted */
+  bool connected;              /* a report was received over the link */
+  bool leaving;                /* the peer reported that it is shutting down */
+  mm_time_ms lost_ms;          /* when a link was last lost, 0: never */
+  mm_time_ms wanted_until_ms;  /* a link is wanted at least until then */
+  mm_requests *requests;       /* requests sent, without an answer yet */
   mm_time_ms connect_tried_ms; /* when connecting was last tried */
   mm_time_ms heartbeat_sent_ms; /* when the last heartbeat was sent */
-  uint64_t last_number;     /* number of the last task sent over this link */
-  uint64_t seen_number;     /* highest task number that its report counts */
+  uint64_t last_number;     /* number of the last task sent over the link */
+  uint64_t seen_number;     /* highest task number that the report counts */
   GHashTable *remote_tasks; /* task number -> mm_remote_task */
-  /* Its last report, one entry per service.  */
+  /* The peer's last report, one entry per service.  */
   mm_mesh_service_capacity *capacities;
   size_t n_capacities;
   mm_time_ms report_ms; /* when the last report was received */
-  uint64_t known_upto;  /* offset of the upstream list up to which it was sent
-                           updates over this link */
+  uint64_t known_upto;  /* offset of the upstream list up to which updates were
+                           sent over the link */
   /* Queueing delay of the updates received over the link.  */
   mm_queue_delay queue_delay;
 } mm_mesh_peer;
@@ -56,15 +56,15 @@
   uint64_t seen_number; /* highest task number received */
   mm_time_ms report_ms; /* when the last report was sent */
   GByteArray *last_report; /* the bytes of that report */
-  uint64_t known_upto;     /* offset of the upstream list up to which the
-                              sender was sent updates over this link */
+  uint64_t known_upto;     /* offset of the upstream list up to which updates
+                              were sent over the link */
   /* Queueing delay of the updates received over the link.  */
   mm_queue_delay queue_delay;
 } mm_mesh_inbound_link;
 
 struct mm_mesh_inbound_request
 {
-  mm_mesh_inbound_link *to; /* link of the sender, NULL once it is closed */
+  mm_mesh_inbound_link *to; /* link of the sender, NULL once closed */
   uint64_t number;          /* request number */
 };
 
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -436,10 +436,10 @@
 }
 
 /* All instances lose power and are restarted within a second, before their
-   memberships in the store's groups expire.  If they wait, as new
-   members, for the old memberships to expire, no instance owns an upstream for
-   half a second and every caller is refused.  They need not wait: the previous
-   incarnations are known to be dead, as the new ones listen on their ports. */
+   memberships in the store's groups expire.  If they wait, as new members, for
+   the old memberships to expire, no instance owns an upstream for half a
+   second and every caller is refused.  They need not wait: the previous
+   incarnations have ended, as the new ones listen on their ports.  */
 START_TEST (restarted_instances_own_upstreams_within_150_ms)
 {
   h_start_nodes (8, 4, 2);
@@ -489,7 +489,7 @@
 #define BALANCER_SEES_MS 2000 /* time of two failed checks, one a second */
 
 /* Returns whether the balancer sends new callers to an instance.  It does so
-   for BALANCER_SEES_MS after the instance was told to stop.  */
+   for BALANCER_SEES_MS after the instance was sent SIGTERM.  */
 static bool
 in_rotation (const restart *r)
 {
