--- a/src/mm_entry.c
+++ b/src/mm_entry.c
@@ -51,6 +51,10 @@
   { NULL },
 };
 
+/**
+ * mm_entry_settings_defaults() - fill in the default settings.
+ * @s: overwritten; its strings are allocated with g_malloc().
+ */
 void
 mm_entry_settings_defaults (mm_entry_settings *s)
 {
@@ -101,9 +105,9 @@
 static void
 reply_state (mm_entry *e, mm_http_request *req)
 {
-  char *d = mm_entry_dump (e);
-  mm_http_reply (req, 200, d, 0);
-  free (d);
+  char *state_json = mm_entry_dump (e);
+  mm_http_reply (req, 200, state_json, 0);
+  free (state_json);
 }
 
 static void
@@ -123,9 +127,10 @@
                    0);
   else
     {
-      char *b = mm_json_error_body (MM_ERROR_BAD_REQUEST, "no such path", 0);
-      mm_http_reply (req, 404, b, 0);
-      free (b);
+      char *body
+          = mm_json_error_body (MM_ERROR_BAD_REQUEST, "no such path", 0);
+      mm_http_reply (req, 404, body, 0);
+      free (body);
     }
 }
 
@@ -136,6 +141,9 @@
   mm_entry_submit_forwarded (ctx, conn_id, req_id, hops, job, len);
 }
 
+/* Completes the shutdown once no job, request or call to an upstream is open
+   and the shards are released.  Runs once after each event that may end the
+   last of them.  */
 static void
 shutdown_check_cb (struct ev_loop *loop, ev_idle *w, int revents)
 {
@@ -210,6 +218,12 @@
   return e;
 }
 
+/**
+ * mm_entry_destroy() - stop the instance at once and free it.
+ * @e: the instance, or NULL.
+ *
+ * Jobs in progress are dropped; mm_entry_shutdown() waits for them.
+ */
 void
 mm_entry_destroy (mm_entry *e)
 {
@@ -240,7 +254,8 @@
 /**
  * mm_entry_shutdown() - graceful stop.
  * @e: the instance.
- * @done: called once no job, request or upstream call is open.
+ * @done: called once no job, request or upstream call is open and the shards
+ *        are released, which takes MM_RELEASE_LIMIT_MS at most.
  * @ctx: context pointer for @done.
  *
  * A heartbeat with the state "leaving" goes to the member list at once, so
@@ -278,17 +293,18 @@
   cJSON_AddNumberToObject (o, "config_rejected",
                            (double)mm_cfg_rejected (e->cfg));
   const mm_cfg_settings *k = mm_cfg_current (e->cfg);
-  cJSON *ko = cJSON_AddObjectToObject (o, "config");
-  cJSON_AddNumberToObject (ko, "max_tasks_per_job",
+  cJSON *config_json = cJSON_AddObjectToObject (o, "config");
+  cJSON_AddNumberToObject (config_json, "max_tasks_per_job",
                            (double)k->max_tasks_per_job);
-  cJSON_AddNumberToObject (ko, "retry_budget", (double)k->retry_budget);
-  cJSON_AddNumberToObject (ko, "dispatch_timeout_ms",
+  cJSON_AddNumberToObject (config_json, "retry_budget",
+                           (double)k->retry_budget);
+  cJSON_AddNumberToObject (config_json, "dispatch_timeout_ms",
                            (double)k->dispatch_timeout_ms);
-  cJSON_AddNumberToObject (ko, "max_queued_tasks",
+  cJSON_AddNumberToObject (config_json, "max_queued_tasks",
                            (double)k->max_queued_tasks);
-  cJSON_AddNumberToObject (ko, "team_max_queued_tasks",
+  cJSON_AddNumberToObject (config_json, "team_max_queued_tasks",
                            (double)k->team_max_queued_tasks);
-  cJSON *ups = cJSON_AddArrayToObject (o, "upstreams");
+  cJSON *upstream_array = cJSON_AddArrayToObject (o, "upstreams");
   static const char *const states[]
       = { "live", "leaving", "ejected", "on_trial" };
   for (uint32_t i = 0; i < mm_pool_size (e->pool); i++)
@@ -299,7 +315,7 @@
       cJSON_AddStringToObject (u, "state", states[m->state]);
       cJSON_AddNumberToObject (u, "slots", m->slots);
       cJSON_AddNumberToObject (u, "in_flight", m->in_flight);
-      cJSON_AddItemToArray (ups, u);
+      cJSON_AddItemToArray (upstream_array, u);
     }
   cJSON_AddNumberToObject (o, "tasks_queued", e->tasks_queued);
   cJSON_AddNumberToObject (o, "teams", mm_quota_team_count (e->quota));
@@ -309,9 +325,9 @@
   char *jobs = mm_entry_jobs_dump (e);
   cJSON_AddItemToObject (o, "jobs", cJSON_Parse (jobs));
   free (jobs);
-  char *c = mm_counters_to_json (e->counters);
-  cJSON_AddItemToObject (o, "counters", cJSON_Parse (c));
-  free (c);
+  char *counters_json = mm_counters_to_json (e->counters);
+  cJSON_AddItemToObject (o, "counters", cJSON_Parse (counters_json));
+  free (counters_json);
   char *s = cJSON_PrintUnformatted (o);
   cJSON_Delete (o);
   return s;
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -27,6 +27,10 @@
   int upstream;   /* index in the pool */
 } send_ctx;
 
+/**
+ * mm_entry_job_ref() - take a reference to a job.
+ * @ej: the job; it is freed with its last reference.
+ */
 void
 mm_entry_job_ref (mm_entry_job *ej)
 {
@@ -44,6 +48,7 @@
   g_free (ej);
 }
 
+/* Counts one task less that waits or runs, for the instance and the team.  */
 static void
 task_finished (mm_entry_job *ej)
 {
@@ -62,6 +67,7 @@
   g_hash_table_remove (e->jobs, ej->job->id);
 }
 
+/* Sends the answer to all requests that wait for it.  */
 static void
 job_answer (mm_entry_job *ej, unsigned status, const char *answer,
             uint32_t retry_after_s)
@@ -72,6 +78,7 @@
   g_ptr_array_set_size (ej->waiters, 0);
 }
 
+/* Answers a job whose tasks all have a result, and stores the answer.  */
 static void
 job_complete (mm_entry_job *ej)
 {
@@ -117,6 +124,9 @@
   return ran;
 }
 
+/* Answers a job with the failure in fail_code and fail_why.  @owned: whether
+   this instance is sure to own the job's shard, see finish_open_tasks().  The
+   answer is stored unless no task of the job ran.  */
 static void
 fail_now (mm_entry_job *ej, bool owned)
 {
@@ -137,6 +147,8 @@
   mm_entry_job_unref (ej);
 }
 
+/* Fails the job after the log has answered whether this instance owns the
+   shard.  */
 static void
 fail_after_verify (bool owned, void *ctx)
 {
@@ -161,11 +173,11 @@
  * @code: mm_error_code.
  * @why: message for the callers; a constant string.
  *
- * This instance may have been frozen and replaced without noticing.  Before
- * its answer calls any task "not run", which a later owner may have run, the
- * log confirms that this instance still owns the shard.  That takes one call
- * of at most MM_VERIFY_TIMEOUT_MS.  The answer of a job of which nothing ran
- * is not kept, so that a resubmit may run the job.
+ * This instance may have been frozen and replaced without noticing, and the
+ * new owner may have run the tasks.  So the log has to confirm that this
+ * instance still owns the shard before an answer calls a task "not run".  That
+ * takes one call of at most MM_VERIFY_TIMEOUT_MS.  The answer of a job of
+ * which nothing ran is not stored, so that a resubmit may run the job.
  */
 void
 mm_entry_job_fail (mm_entry_job *ej, int code, const char *why)
@@ -191,13 +203,13 @@
 /**
  * mm_entry_job_moved() - leave a job to the instance that owns it now.
  * @ej: the job; it ends here without an answer from this instance.
- * @holder: the new owner, or NULL when not known.
+ * @owner: the new owner, or NULL when not known.
  *
  * Every waiting request is routed to the new owner, which finds out from the
  * upstreams what this instance started.
  */
 void
-mm_entry_job_moved (mm_entry_job *ej, const char *holder)
+mm_entry_job_moved (mm_entry_job *ej, const char *owner)
 {
   mm_entry *e = ej->entry;
   mm_counters_add (e->counters, "jobs_moved", 1);
@@ -209,7 +221,7 @@
     {
       mm_waiter *w = g_new (mm_waiter, 1);
       *w = *(mm_waiter *)ej->waiters->pdata[i];
-      mm_entry_reroute (e, w, ej->job, holder);
+      mm_entry_reroute (e, w, ej->job, owner);
     }
   g_ptr_array_set_size (ej->waiters, 0);
   mm_entry_job_unref (ej);
@@ -221,6 +233,7 @@
   mm_entry_job_fail (w->data, MM_ERROR_TIMEOUT, "a task passed its deadline");
 }
 
+/* Adds a task to the queue, at its front when it is sent again.  */
 static void
 enqueue (mm_entry *e, mm_entry_job *ej, uint32_t index, bool front)
 {
@@ -234,6 +247,9 @@
     g_queue_push_tail (&e->queue, queued);
 }
 
+/* Returns the outcome of a task, by the answer of its upstream: 503 refuses a
+   start while the upstream drains, 409 a start with an epoch that is too
+   old.  */
 static mm_outcome
 outcome_of (const mm_http_result *res)
 {
@@ -248,6 +264,7 @@
   return res->sent ? MM_OUTCOME_LOST : MM_OUTCOME_UNREACHABLE;
 }
 
+/* Queues a task to be sent again.  @counter: name of the counter for it.  */
 static void
 requeue (mm_entry_job *ej, mm_task *t, const char *counter)
 {
@@ -260,8 +277,8 @@
  * mm_entry_handle_task_outcome() - finish a sent task, or send it again.
  * @ej: its job, not finished; this call may finish and free it, unless the
  *      caller holds a reference.
- * @t: the task, RUNNING.
- * @o: the outcome.
+ * @t: the task, in state MM_TASK_RUNNING.
+ * @o: the outcome of its last start.
  * @result: with MM_OUTCOME_OK, the task's result, copied.
  */
 void
@@ -335,6 +352,7 @@
     mm_entry_notify_ejected (e, mm_pool_at (e->pool, upstream)->name);
 }
 
+/* Handles the end of the call that runs a task on an upstream.  */
 static void
 task_answered (const mm_http_result *res, void *ctx)
 {
@@ -350,6 +368,7 @@
   mm_entry_handle_upstream_outcome (
       e, s->upstream, o, cJSON_IsNumber (seq) ? (int64_t)seq->valuedouble : 0);
   mm_counters_add (e->counters, "upstream_answers", 1);
+  /* Exponential moving average: a new run time has a weight of one tenth.  */
   if (o == MM_OUTCOME_OK)
     e->run_ewma_ms = 0.9 * e->run_ewma_ms
                      + 0.1 * (double)(mm_clock_now_ms () - t->started_ms);
@@ -364,6 +383,7 @@
   mm_entry_send_waiting (e);
 }
 
+/* Sends a task to an upstream that has a free slot.  */
 static void
 send_task (mm_entry *e, mm_entry_job *ej, uint32_t index, int upstream)
 {
@@ -400,7 +420,7 @@
  * mm_entry_send_waiting() - send waiting tasks into free upstream slots.
  * @e: the entry instance.
  *
- * Tasks of finished jobs are dropped from the queue here.
+ * Tasks of jobs that fail or have finished are dropped from the queue here.
  */
 void
 mm_entry_send_waiting (mm_entry *e)
@@ -438,6 +458,9 @@
   mm_entry_send_waiting (ej->entry);
 }
 
+/* Continues with a job once its shard has recorded it, or cannot: runs it,
+   recovers it first if an earlier owner may have run it, or leaves it to the
+   new owner of the shard.  */
 static void
 accept_answered (const mm_accept *a, void *ctx)
 {
@@ -475,6 +498,8 @@
  * @e: the entry instance.
  * @w: the request that waits for its answer; ownership is taken.
  * @job: the job; ownership is taken.
+ *
+ * Without a platform there is no log, and the job runs at once.
  */
 void
 mm_entry_job_start (mm_entry *e, mm_waiter *w, mm_job *job)
--- a/src/mm_entry_recover.c
+++ b/src/mm_entry_recover.c
@@ -15,28 +15,39 @@
 #include "config.h"
 #include "mm_entry_priv.h"
 
+/* What is known of the tasks that earlier owners of a job started.  */
 struct mm_recovery
 {
   uint32_t reports_pending; /* fence requests without an answer */
-  bool all_answered;        /* no upstream has failed to report */
+  bool all_answered;        /* false once an upstream did not report */
   bool check_fingerprint;   /* expected_fingerprint is known */
-  uint64_t
-      expected_fingerprint; /* upstreams listed when the job was accepted */
-  GHashTable *reported_incarnations; /* set of int64: their hashes */
-  GHashTable *tasks_by_id;           /* task id -> mm_task */
-  GHashTable *running_tasks; /* set of mm_task that an earlier owner started */
+  /* Fingerprint of the upstreams listed when the job was accepted.  */
+  uint64_t expected_fingerprint;
+  /* Set of int64: hashes by mm_pool_incarnation_hash() of the upstream
+     incarnations that reported.  */
+  GHashTable *reported_incarnations;
+  GHashTable *tasks_by_id;   /* task id -> mm_task */
+  GHashTable *running_tasks; /* set of mm_task: recovered, not ended */
   ev_timer poll_timer;
 };
 
+/* Context of a fence request.  */
 typedef struct
 {
   mm_entry_job *ej;
-  int upstream;
-  bool poll; /* repeated request for tasks that are known to run there */
+  int upstream; /* index in the pool */
+  bool poll;    /* poll for tasks that are known to run there */
 } fence_ctx;
 
 static void send_fence (mm_entry_job *ej, int upstream, bool poll);
 
+/**
+ * mm_entry_recovery_free() - free the recovery state of a job.
+ * @ej: the job, recovered or not.
+ *
+ * The slots of recovered tasks that have not ended are freed with
+ * MM_OUTCOME_FENCED, which does not count as a failure of the upstream.
+ */
 void
 mm_entry_recovery_free (mm_entry_job *ej)
 {
@@ -56,6 +67,8 @@
   ej->recovery = NULL;
 }
 
+/* Returns whether an earlier owner started a task on an upstream and the task
+   has not ended.  */
 static bool
 is_recovered_on (const mm_entry_job *ej, mm_task *t, int upstream)
 {
@@ -63,6 +76,7 @@
          && g_hash_table_contains (ej->recovery->running_tasks, t);
 }
 
+/* Handles the end of a recovered task like that of a task sent from here.  */
 static void
 end_recovered_task (mm_entry_job *ej, mm_task *t, mm_outcome o,
                     const char *result)
@@ -72,7 +86,9 @@
   mm_entry_handle_task_outcome (ej, t, o, result);
 }
 
-/* Applies an upstream's report on one task.  */
+/* Applies an upstream's report on one task.  @row: an entry of the report's
+   "tasks" array.  A task that was reported before by another upstream, or that
+   this instance has sent itself, is left as it is.  */
 static void
 apply_reported_task (mm_entry_job *ej, const cJSON *row, int upstream)
 {
@@ -104,13 +120,16 @@
     end_recovered_task (ej, t, MM_OUTCOME_FAILED, NULL);
 }
 
-/* All reports have arrived: starts the tasks that have not started.  */
+/* Runs the rest of the job once all upstreams have reported or failed to.  A
+   task that may have started on an upstream that is gone counts as sent once;
+   the job fails when the task is not idempotent.  */
 static void
 all_reported (mm_entry_job *ej)
 {
   mm_recovery *r = ej->recovery;
-  /* With a record of the job, the upstreams that were listed when it was
-     written must have reported; without one, all known upstreams.  */
+  /* When the log has a record of the job, the upstreams that were listed when
+     the job was accepted must have reported; without a record, all upstreams
+     that a fence request was sent to.  */
   bool all_known
       = r->check_fingerprint ? mm_pool_all_reported (
             ej->entry->pool, r->reported_incarnations, r->expected_fingerprint)
@@ -144,6 +163,8 @@
       end_recovered_task (ej, &ej->job->tasks[i], MM_OUTCOME_LOST, NULL);
 }
 
+/* Handles the answer of an upstream to a fence request.  It is a report, or a
+   higher epoch of the job, by which another instance owns the job now.  */
 static void
 fence_answered (const mm_http_result *res, void *ctx)
 {
@@ -169,6 +190,8 @@
     {
       if (cJSON_IsNumber (boot))
         {
+          /* An upstream from the settings is listed without boot_ms, and its
+             hash in the fingerprint is made with 0.  */
           int64_t *hash = g_new (int64_t, 1);
           *hash = (int64_t)mm_pool_incarnation_hash (
               m->name, m->boot_ms ? (int64_t)boot->valuedouble : 0);
@@ -193,6 +216,8 @@
   mm_entry_send_waiting (e);
 }
 
+/* Makes an upstream refuse starts of the job with a lower epoch and report the
+   tasks of the job that started there.  */
 static void
 send_fence (mm_entry_job *ej, int upstream, bool poll)
 {
@@ -246,6 +271,9 @@
  * @check_fingerprint: whether @fingerprint is known.
  * @fingerprint: of the upstream incarnations listed when the job was
  *               accepted.
+ *
+ * The fence requests go to all upstreams that were listed within done_ttl_ms:
+ * others cannot have run a job that callers may still resubmit.
  */
 void
 mm_entry_recover (mm_entry_job *ej, bool check_fingerprint,
--- a/src/mm_entry_route.c
+++ b/src/mm_entry_route.c
@@ -8,7 +8,7 @@
 #include "config.h"
 #include "mm_entry_priv.h"
 
-/* Answer of a leaving instance to a peer: route the job elsewhere.  */
+/* Status by which a leaving instance makes a peer route a job elsewhere.  */
 #define PEER_LEAVING_STATUS 421
 
 /* A request that is routed to another instance.  */
@@ -17,14 +17,22 @@
   mm_entry *entry;
   mm_waiter *waiter;
   char *job_id;
-  char *peer;             /* the peer that has it now */
+  char *peer;             /* name of the peer that it was forwarded to */
   GByteArray *packed;     /* the job, from mm_job_pack() */
   mm_time_ms deadline_ms; /* on the clock of mm_clock_now_ms() */
-  uint32_t failures;      /* peers that did not serve it */
+  uint32_t failures;      /* how often a peer did not serve it */
 } routed_request;
 
-static void route (routed_request *routed, const char *holder);
+static void route (routed_request *routed, const char *owner);
 
+/**
+ * mm_entry_waiter_reply() - answer one request.
+ * @e: the entry instance.
+ * @w: the request, from a caller or from a peer.
+ * @status: HTTP status.
+ * @body: JSON text, copied.
+ * @retry_after_s: when to submit again, 0 for never.
+ */
 void
 mm_entry_waiter_reply (mm_entry *e, const mm_waiter *w, unsigned status,
                        const char *body, uint32_t retry_after_s)
@@ -60,6 +68,7 @@
   return (uint32_t)mm_cfg_current (e->cfg)->retry_after_s;
 }
 
+/* Answers a resubmit with the stored answer of its job.  */
 static void
 reply_stored_answer (mm_entry *e, const mm_waiter *w, const char *answer)
 {
@@ -101,6 +110,8 @@
   mm_refusal refusal;
 } verified_refusal;
 
+/* Refuses the job.  @owned: this instance owns the shard, and no other one can
+   have run the job.  */
 static void
 refuse_after_verify (bool owned, void *ctx)
 {
@@ -118,9 +129,9 @@
 }
 
 /* Refuses a job.  This instance may have lost the job's shard without
-   noticing, and another instance may have run the job, so "not run" is
-   claimed only after the log confirms this instance as the owner.  Takes
-   ownership of @w.  */
+   noticing, and another instance may have run the job.  So the refusal says
+   "not run" only after the log has confirmed this instance as the owner.
+   Takes ownership of @w.  */
 static void
 refuse (mm_entry *e, mm_waiter *w, const mm_job *job, const mm_refusal *r)
 {
@@ -190,6 +201,9 @@
   routed_request_destroy (routed);
 }
 
+/* Passes on the answer of a peer, or routes the request again.  After a
+   timeout the deadline has passed and the peer may still run the job, so the
+   request is not routed again.  */
 static void
 forward_answered (const mm_peer_answer *a, void *ctx)
 {
@@ -212,6 +226,8 @@
     }
 }
 
+/* Forwards a request to a peer, which has until MM_FORWARD_SLACK_MS after the
+   deadline to answer.  */
 static void
 forward (routed_request *routed, const char *peer)
 {
@@ -226,9 +242,10 @@
                    forward_answered, routed);
 }
 
-/* Routes a request to the peer that owns its job now, or handles it here.  */
+/* Forwards a request to the peer that owns its job now, or handles it here.
+   @owner: the owner of the shard, or NULL when not known.  */
 static void
-route (routed_request *routed, const char *holder)
+route (routed_request *routed, const char *owner)
 {
   mm_entry *e = routed->entry;
   if (routed->failures > MM_FORWARD_MAX_HOPS
@@ -238,8 +255,8 @@
       return;
     }
   const char *peer
-      = holder && g_hash_table_contains (e->peer_addrs, holder)
-            ? holder
+      = owner && g_hash_table_contains (e->peer_addrs, owner)
+            ? owner
             : mm_entry_route (e, routed->job_id, routed->waiter->hops);
   if (peer && g_hash_table_contains (e->peer_addrs, peer))
     {
@@ -248,7 +265,7 @@
     }
   mm_waiter *w = g_new (mm_waiter, 1);
   *w = *routed->waiter;
-  mm_entry_check_holder (e, routed->job_id);
+  mm_entry_check_owner (e, routed->job_id);
   if (!join_known_job (e, w, routed->job_id))
     {
       GError *err = NULL;
@@ -284,24 +301,26 @@
  * @e: the entry instance.
  * @w: a request that waits for the job; ownership is taken.
  * @job: the job.
- * @holder: the instance that owns it now, or NULL when not known.
+ * @owner: the instance that owns it now, or NULL when not known.
  */
 void
 mm_entry_reroute (mm_entry *e, mm_waiter *w, const mm_job *job,
-                  const char *holder)
+                  const char *owner)
 {
   routed_request *routed = routed_request_create (e, w, job);
-  if (!holder && !mm_entry_route (e, job->id, w->hops)
+  if (!owner && !mm_entry_route (e, job->id, w->hops)
       && mm_contact_lost (e->contact, mm_clock_now_ms ()))
     {
-      /* Neither a record nor another owner is available: fail at once.  */
+      /* This instance can neither record the job in the log nor forward it
+         to another one: it fails the request at once.  */
       fail_request (routed, "the platform's log cannot be reached");
       return;
     }
-  route (routed, holder);
+  route (routed, owner);
 }
 
-/* Handles a job from a caller or a peer.  Takes ownership of @w and @job.  */
+/* Joins a job that is known here, or runs it here, or forwards it to a peer.
+   Takes ownership of @w and @job.  */
 static void
 handle_job (mm_entry *e, mm_waiter *w, mm_job *job)
 {
@@ -329,6 +348,8 @@
   mm_job_destroy (job);
 }
 
+/* Answers a request whose job could not be decoded.  Takes ownership of @w and
+   @err.  */
 static void
 refuse_bad_request (mm_entry *e, mm_waiter *w, GError *err)
 {
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -11,6 +11,13 @@
 #include <string.h>
 #include <xxhash.h>
 
+/**
+ * mm_entry_shard_of() - find the shard of a job.
+ * @e: the entry instance.
+ * @job_id: the job.
+ *
+ * Return: the shard, whether or not this instance owns it.
+ */
 mm_shard *
 mm_entry_shard_of (mm_entry *e, const char *job_id)
 {
@@ -27,6 +34,8 @@
   return i;
 }
 
+/* Returns whether a peer did not answer a request in the last
+   MM_PEER_SUSPECT_MS.  */
 static bool
 is_suspect (const mm_entry *e, const char *peer)
 {
@@ -39,9 +48,9 @@
  * @e: the entry instance.
  * @peer: name of the peer.
  *
- * For MM_PEER_SUSPECT_MS the next choice of the rendezvous hashing gets the
- * peer's shards, so that jobs need not wait until the lagging member list
- * drops a dead peer.
+ * For MM_PEER_SUSPECT_MS the rendezvous hashing leaves the peer out, so its
+ * shards go to other instances.  Their jobs need not wait until the lagging
+ * member list drops a dead peer.
  */
 void
 mm_entry_suspect_peer (mm_entry *e, const char *peer)
@@ -51,6 +60,8 @@
   g_hash_table_insert (e->suspect_peers, g_strdup (peer), at);
 }
 
+/* Returns whether jobs can be forwarded to a peer: it is live and not suspect.
+   @peer may be NULL.  */
 static bool
 is_routable (const mm_entry *e, const char *peer)
 {
@@ -58,9 +69,9 @@
          && !is_suspect (e, peer);
 }
 
-/* Returns the rendezvous choice for a shard, without suspect peers and, while
-   this instance is leaving, without itself.  Returns NULL for this instance
-   and when no instance remains.  */
+/* Returns the peer that the rendezvous hashing chooses for a shard, or NULL
+   when it chooses this instance or none is left.  Suspect peers are left out,
+   and so is this instance while it is leaving.  */
 static const char *
 rendezvous_owner (const mm_entry *e, uint32_t shard)
 {
@@ -80,6 +91,8 @@
   return owner && strcmp (owner, e->settings.name) != 0 ? owner : NULL;
 }
 
+/* Returns what this instance may do, by its contact with the platform and its
+   peers.  @peer: see mm_contact_standing().  */
 static mm_standing
 current_standing (const mm_entry *e, const char **peer)
 {
@@ -104,13 +117,14 @@
   const char *contact_peer = NULL;
   if (hops >= MM_FORWARD_MAX_HOPS || !*e->settings.platform_url)
     return NULL;
+  /* A peer that reaches the log may have replaced this instance.  */
   if (current_standing (e, &contact_peer) == MM_STANDING_DISCONNECTED
       && is_routable (e, contact_peer))
     return contact_peer;
   if (mm_shard_owned (s) && !e->shutting_down)
     return NULL;
   /* An instance that was fenced, or that cannot reach the log to take the
-     shard, passes the job to the holder.  */
+     shard, forwards the job to the shard's owner.  */
   if ((mm_shard_recently_fenced (s, mm_clock_now_ms ())
        || mm_contact_lost (e->contact, mm_clock_now_ms ()))
       && is_routable (e, mm_shard_owner (s)))
@@ -119,22 +133,21 @@
 }
 
 /**
- * mm_entry_check_holder() - check the shard's holder for a job that stays
- * here.
+ * mm_entry_check_owner() - check that the owner of a job's shard is live.
  * @e: the entry instance.
  * @job_id: the job.
  *
- * When another instance took a shard from this one just now, the shard's jobs
- * wait for the new holder.  When that holder is gone, this instance takes the
- * shard back without waiting.
+ * An instance that has lost a shard does not take it back for
+ * MM_SHARD_HOLD_DOWN_MS.  This hold-down ends here when the new owner is gone,
+ * so that a job that stays on this instance need not wait for it.
  */
 void
-mm_entry_check_holder (mm_entry *e, const char *job_id)
+mm_entry_check_owner (mm_entry *e, const char *job_id)
 {
   mm_shard *s = mm_entry_shard_of (e, job_id);
-  const char *holder = mm_shard_owner (s);
-  if (holder && strcmp (holder, e->settings.name) != 0
-      && !is_routable (e, holder))
+  const char *shard_owner = mm_shard_owner (s);
+  if (shard_owner && strcmp (shard_owner, e->settings.name) != 0
+      && !is_routable (e, shard_owner))
     mm_shard_end_hold_down (s);
 }
 
@@ -143,9 +156,9 @@
  * @e: the entry instance, with peer_addrs from the new member list.
  * @old_addrs: peer_addrs from the previous member list.
  *
- * The sockets of a frozen peer stay open, but it leaves the member list.  Its
- * link is dropped here, so that requests to it fail now instead of waiting
- * until their deadline.
+ * A frozen peer leaves the member list, but its sockets stay open.  Links to
+ * peers that have left are closed here, so that requests to them fail now
+ * instead of waiting until their deadline.
  */
 void
 mm_entry_peers_changed (mm_entry *e, GHashTable *old_addrs)
@@ -169,6 +182,8 @@
     }
 }
 
+/* Returns whether the owned shards have to be verified, once for each change
+   of the set of peers and after other instances had time to take theirs.  */
 static bool
 verify_due (const mm_entry *e)
 {
@@ -176,19 +191,20 @@
          && mm_clock_now_ms () - e->peers_changed_ms > 2 * MM_PEERS_SETTLE_MS;
 }
 
-/* The shard itself applies the answer of the log.  */
+/* Ignores the answer of mm_shard_verify(), which the shard itself applies.  */
 static void
 ignore_verified (bool owned, void *ctx)
 {
 }
 
-/* Aligns the holder of a shard with the member list.  A shard without a holder
-   is taken at once, a shard of another holder only when the list has not
-   changed for MM_PEERS_SETTLE_MS.  Otherwise instances that start and still
-   see only themselves would take all shards from each other in turn.  Every
-   shard has a holder at any moment, so that all are served when an outage
-   starts.  A little later the log is read for the shards held here, because
-   another instance may have taken an idle one without notice.  */
+/* Takes a shard that the rendezvous hashing over the member list gives to this
+   instance.  A shard without an owner is taken at once.  A shard of another
+   owner is taken only when the list has not changed for MM_PEERS_SETTLE_MS:
+   instances that start and still see only themselves would take all shards
+   from each other in turn.  The previous owner keeps the shard until then, so
+   that every shard is served when an outage starts.  2 * MM_PEERS_SETTLE_MS
+   after the change the log is read for each owned shard, because another
+   instance may have taken an idle one without this instance noticing.  */
 static void
 align_with_members (mm_entry *e, uint32_t i)
 {
@@ -254,6 +270,8 @@
   char *peer;
 } ping_ctx;
 
+/* Records whether a peer reaches the platform.  An answer of 204 means that
+   the peer cannot tell yet, and is no vote.  */
 static void
 ping_done (const mm_peer_answer *a, void *ctx)
 {
@@ -265,6 +283,8 @@
   g_free (p);
 }
 
+/* Asks all peers whether they reach the platform, often enough that their
+   votes stay valid.  */
 static void
 ping_peers (mm_entry *e)
 {
@@ -286,6 +306,7 @@
   g_list_free (names);
 }
 
+/* Returns the status that answers a peer's ping.  */
 static unsigned
 ping_status (void *ctx)
 {
@@ -306,6 +327,7 @@
       mm_shard_retry (s);
       break;
     case MM_STANDING_OUTAGE:
+      /* No instance reaches the log, so none can take the shard.  */
       if (mm_shard_owned (s))
         mm_shard_serve_unrecorded (s);
       else if (mm_shard_has_waiting (s))
@@ -348,14 +370,14 @@
   mm_entry_record_contact (ctx, ok);
 }
 
-/* Returns whether this instance or a live peer has been up for
-   MM_WITNESS_UPTIME_MS. Without one, jobs that all instances served without
-   records in an outage would go unnoticed when all of these instances died in
-   it, as no live instance saw the outage.  The shards of an owner that
-   vanished are taken within seconds, so an instance that has been up for
-   MM_WITNESS_UPTIME_MS was up at the time of the earlier owner.  */
+/* Returns whether a live instance, this one or a peer, was up at the time of a
+   shard's earlier owner and would know of an outage then.  When all instances
+   serve jobs without records in an outage and die in it, no instance that
+   starts later knows of these jobs.  The shards of an owner that vanished are
+   taken within seconds, so an instance that has been up for
+   MM_WITNESS_UPTIME_MS was up at the time of that owner.  */
 static bool
-has_witness (void *ctx)
+has_observer (void *ctx)
 {
   const mm_entry *e = ctx;
   int64_t oldest = e->started_wall_ms;
@@ -397,7 +419,7 @@
     .fingerprint = listed_fingerprint,
     .contact = record_contact,
     .outage = in_outage,
-    .observed_before = has_witness,
+    .observed_before = has_observer,
     .ctx = e,
   };
   e->shards = g_new0 (mm_shard *, e->settings.shards);
@@ -411,6 +433,10 @@
     ev_timer_start (e->loop, &e->shard_tick);
 }
 
+/**
+ * mm_entry_shards_stop() - free the shards without releasing them.
+ * @e: the entry instance.
+ */
 void
 mm_entry_shards_stop (mm_entry *e)
 {
@@ -441,7 +467,7 @@
  * unrecorded jobs behind.  The release is optional: when the log cannot be
  * reached, the process stops without it after MM_RELEASE_LIMIT_MS.
  *
- * Return: true when no shard is held any more, or the limit has passed.
+ * Return: true when no shard is owned any more, or the limit has passed.
  */
 bool
 mm_entry_shards_release (mm_entry *e)
@@ -465,6 +491,11 @@
   return false;
 }
 
+/**
+ * mm_entry_shards_dump() - add the state of the shards to the state dump.
+ * @e: the entry instance.
+ * @out: the JSON object of the dump.
+ */
 void
 mm_entry_shards_dump (const mm_entry *e, cJSON *out)
 {
