--- a/src/mm_entry_admit.c
+++ b/src/mm_entry_admit.c
@@ -17,8 +17,9 @@
   return d;
 }
 
-/* Estimates how long the last task of a new job waits for its start, if
-   all usable slots work through the queue at the average run time.  */
+/* Estimates how long the last task of a new job waits for its start, if all
+   usable slots work through the queue at the average run time.  Returns 0 when
+   no upstream is usable now, because the wait is not known then.  */
 static mm_time_ms
 expected_wait_ms (mm_entry *e, uint32_t n_tasks)
 {
@@ -29,9 +30,10 @@
   return (mm_time_ms)(ahead / slots * e->run_ewma_ms);
 }
 
+/* Fills in a refusal.  Returns false, the result of mm_entry_admit().  */
 static bool
-refuse (mm_refusal *r, unsigned status, int code, const char *why,
-        uint32_t retry_after_s)
+set_refusal (mm_refusal *r, unsigned status, int code, const char *why,
+             uint32_t retry_after_s)
 {
   *r = (mm_refusal){ status, code, why, retry_after_s };
   return false;
@@ -53,17 +55,19 @@
   int64_t team = mm_quota_used (e->quota, job->team, mm_clock_now_ms ());
   mm_time_ms expected_ms = expected_wait_ms (e, job->n_tasks);
   if (e->tasks_queued + job->n_tasks > (uint64_t)k->max_queued_tasks)
-    return refuse (r, 503, MM_ERROR_OVERLOADED, "instance is full", retry_s);
+    return set_refusal (r, 503, MM_ERROR_OVERLOADED, "instance is full",
+                        retry_s);
   if (team + job->n_tasks > mm_cfg_settings_team_quota (k, job->team))
-    return refuse (r, 429, MM_ERROR_OVERLOADED, "team over its quota",
-                   retry_s);
+    return set_refusal (r, 429, MM_ERROR_OVERLOADED, "team over its quota",
+                        retry_s);
   if (mm_pool_size (e->pool) == 0)
-    return refuse (r, 503, MM_ERROR_UPSTREAM, "no upstream known", retry_s);
+    return set_refusal (r, 503, MM_ERROR_UPSTREAM, "no upstream known",
+                        retry_s);
   /* A job whose expected wait exceeds its first deadline is refused now
      instead of failing at the deadline.  Its Retry-After is the expected
-     wait.  */
+     wait in seconds, rounded up, but at least the configured one.  */
   if (expected_ms > mm_entry_first_deadline_ms (job))
-    return refuse (
+    return set_refusal (
         r, 503, MM_ERROR_OVERLOADED,
         "the queue would make it miss its deadline",
         (uint32_t)MAX ((expected_ms + 999) / 1000, (int64_t)retry_s));
--- a/src/mm_entry_answer.c
+++ b/src/mm_entry_answer.c
@@ -1,12 +1,13 @@
-/* mm_entry_answer: builds the single answer of a job and keeps it for
+/* mm_entry_answer: builds the single answer of a job and stores it for
    resubmits.  */
 #include "mm_entry_priv.h"
 
+/* When an answer was stored.  Its text is in mm_entry.answers.  */
 typedef struct
 {
   char *job_id;
-  mm_time_ms stored_ms;
-} kept_answer;
+  mm_time_ms stored_ms; /* by mm_clock_now_ms() */
+} stored_answer;
 
 /**
  * mm_entry_answer_json() - build the complete answer of a job.
@@ -14,7 +15,7 @@
  * @status: "complete" or "failed".
  * @code: mm_error_code of a failure.
  * @why: message of a failure, or NULL.
- * @retry_after_s: when to submit again after a failure.
+ * @retry_after_s: seconds after which to submit again, after a failure.
  *
  * Return: JSON text, free with free().
  */
@@ -57,24 +58,25 @@
  * @job_id: the job, copied.
  * @answer: from mm_entry_answer_json(); ownership is taken.
  *
- * A resubmit within done_ttl_ms gets this answer and runs nothing.  Then the
- * answer is dropped, which bounds memory to the answers of done_ttl_ms.
+ * A resubmit within done_ttl_ms gets this answer and runs nothing.  After
+ * done_ttl_ms the answer is dropped, which bounds the memory for answers.
  */
 void
 mm_entry_answer_store (mm_entry *e, const char *job_id, char *answer)
 {
   g_hash_table_insert (e->answers, g_strdup (job_id), answer);
-  kept_answer *k = g_new0 (kept_answer, 1);
+  stored_answer *k = g_new0 (stored_answer, 1);
   k->job_id = g_strdup (job_id);
   k->stored_ms = mm_clock_now_ms ();
   g_queue_push_tail (&e->answer_order, k);
 }
 
+/* Drops the answers that were stored more than @ttl_ms ago; with -1 all.  */
 static void
 drop_older_than (mm_entry *e, mm_time_ms ttl_ms)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  kept_answer *k;
+  stored_answer *k;
   while ((k = g_queue_peek_head (&e->answer_order))
          && now - k->stored_ms > ttl_ms)
     {
@@ -105,6 +107,10 @@
   ev_timer_start (e->loop, &e->answer_sweep);
 }
 
+/**
+ * mm_entry_answers_free() - drop all answers and stop the timer.
+ * @e: the entry instance.
+ */
 void
 mm_entry_answers_free (mm_entry *e)
 {
--- a/src/mm_entry_notify.c
+++ b/src/mm_entry_notify.c
@@ -1,14 +1,15 @@
 /* mm_entry_notify: notifications between the instances of a data centre,
-   sent over their peer links without answers.  They report how many tasks
-   teams have, counted against the quotas (mm_quota.c), and which upstream
-   was ejected because it failed its tasks (mm_pool.c).  A notification that
-   is lost makes quotas and placement a little less accurate, but violates no
-   guarantee.  */
+   sent over their peer links without answers.  One kind tells how many tasks
+   each team has on the sender, which count against the team's quota
+   (mm_quota.c).  The other kind names an upstream that the sender ejected
+   because tasks failed there (mm_pool.c).  A notification that is lost makes
+   quotas and placement a little less accurate, but violates no guarantee.  */
 #include "config.h"
 #include "mm_entry_priv.h"
 
 #include <string.h>
 
+/* Sends a notification to all live peers.  */
 static void
 notify_all (mm_entry *e, mm_tell_kind kind, const uint8_t *payload, size_t len)
 {
@@ -35,6 +36,7 @@
               strlen (upstream));
 }
 
+/* Returns a team's quota of tasks in the data centre.  */
 static int64_t
 quota_of (const char *team, void *ctx)
 {
@@ -42,8 +44,10 @@
   return mm_cfg_settings_team_quota (mm_cfg_current (e->cfg), team);
 }
 
+/* Reports the tasks of the teams to the peers, unless mm_quota_report() finds
+   that no report is needed.  */
 static void
-report_cb (struct ev_loop *loop, ev_timer *w, int revents)
+quota_report_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_entry *e = w->data;
   GByteArray *report = g_byte_array_new ();
@@ -53,6 +57,7 @@
   g_byte_array_free (report, TRUE);
 }
 
+/* Applies a peer's report of the tasks of its teams.  */
 static void
 apply_usage (mm_entry *e, const char *peer, const uint8_t *data, size_t len)
 {
@@ -65,6 +70,8 @@
     }
 }
 
+/* Puts an upstream that a peer ejected on trial: until a task is done there,
+   this instance sends it one task at a time.  */
 static void
 apply_ejected (mm_entry *e, const uint8_t *data, size_t len)
 {
@@ -75,6 +82,7 @@
   g_free (name);
 }
 
+/* Handles a notification from a peer.  Unknown kinds are ignored.  */
 static void
 on_notification (mm_tell_kind kind, const char *peer, const uint8_t *payload,
                  size_t len, void *ctx)
@@ -93,8 +101,8 @@
 mm_entry_notify_start (mm_entry *e)
 {
   mm_peer_set_tell (e->peer_links, on_notification, e);
-  ev_timer_init (&e->quota_report, report_cb, MM_QUOTA_REPORT_MS / 1000.0,
-                 MM_QUOTA_REPORT_MS / 1000.0);
+  ev_timer_init (&e->quota_report, quota_report_cb,
+                 MM_QUOTA_REPORT_MS / 1000.0, MM_QUOTA_REPORT_MS / 1000.0);
   e->quota_report.data = e;
   ev_timer_start (e->loop, &e->quota_report);
 }
--- a/src/mm_entry_platform.c
+++ b/src/mm_entry_platform.c
@@ -10,6 +10,7 @@
 #include <cJSON.h>
 #include <string.h>
 
+/* Counts the heartbeat and records whether the platform was reached.  */
 static void
 heartbeat_answered (const mm_http_result *res, void *ctx)
 {
@@ -24,8 +25,9 @@
  * mm_entry_heartbeat_now() - send a heartbeat to the member list.
  * @e: the entry instance.
  *
- * A heartbeat carries the state of this instance (live or leaving) and the
- * config offset in force, which operators and starting peers read.
+ * A heartbeat carries the addresses and the state of this instance (live or
+ * leaving), the config offset in force, which operators and starting peers
+ * read, and the times of its start and of the last outage that it saw.
  */
 void
 mm_entry_heartbeat_now (mm_entry *e)
@@ -63,6 +65,8 @@
   mm_entry_heartbeat_now (w->data);
 }
 
+/* Adds or updates an upstream from its entry @m of the member list.  Upstreams
+   of other data centres and incomplete entries are ignored.  */
 static void
 apply_upstream (mm_entry *e, const cJSON *m)
 {
@@ -103,11 +107,12 @@
 /* The peers as one member list shows them.  */
 typedef struct
 {
-  GPtrArray *names;          /* live instances of the data centre, with this */
+  GPtrArray *names; /* live instances of the data centre, this one included */
   int64_t config_max;        /* highest config offset in force, -1 none */
-  int64_t oldest_started_ms; /* earliest start, INT64_MAX none */
+  int64_t oldest_started_ms; /* earliest start (wall clock), INT64_MAX none */
 } peer_view;
 
+/* Returns a number of a JSON object, or @fallback when it has none.  */
 static int64_t
 get_number (const cJSON *m, const char *key, int64_t fallback)
 {
@@ -115,6 +120,8 @@
   return cJSON_IsNumber (n) ? (int64_t)n->valuedouble : fallback;
 }
 
+/* Adds a live peer from its entry @m of the member list.  This instance's own
+   entry is ignored.  */
 static void
 apply_peer (mm_entry *e, const cJSON *m, peer_view *view)
 {
@@ -144,8 +151,8 @@
 apply_members (mm_entry *e, const cJSON *list)
 {
   /* Right after an outage of the platform the list lacks live members that
-     expired during the outage.  Until these had time to return, the list only
-     adds members, and the next poll reads it in full again.  */
+     expired during the outage.  Until they have had time to return, a list
+     only adds members, and the next poll reads it in full again.  */
   bool incomplete
       = mm_contact_list_incomplete (e->contact, mm_clock_now_ms ());
   e->members_version = incomplete ? -1 : get_number (list, "version", -1);
@@ -181,6 +188,8 @@
   g_hash_table_destroy (old_addrs);
 }
 
+/* Handles the answer to a member list poll.  Waiting tasks may be sent now, as
+   a new list may have added upstreams.  */
 static void
 members_answered (const mm_http_result *res, void *ctx)
 {
@@ -217,6 +226,8 @@
   g_free (url);
 }
 
+/* Applies a record of the config stream.  A record that does not follow the
+   head or is not valid is refused and logged.  */
 static void
 apply_record (mm_entry *e, int64_t offset, const cJSON *data)
 {
@@ -241,10 +252,10 @@
   free (text);
 }
 
-/* Adopts a head config at the start, when the log no longer holds the records
-   from offset 0: the head that live peers report, or the last snapshot in the
-   log when none reports one.  Returns the offset of the record, or -1 when
-   there is none.  */
+/* Adopts a record as the config head of an instance that has none, because the
+   log no longer holds the records from offset 0.  The record is the head that
+   live peers report, or the last snapshot in @records when no peer reports a
+   head.  Returns the offset of the record, or -1 when @records lacks it.  */
 static int64_t
 adopt_head (mm_entry *e, const cJSON *records)
 {
@@ -309,6 +320,7 @@
   free (rec);
 }
 
+/* Applies the records that a read of the config stream returned.  */
 static void
 config_answered (const mm_http_result *res, void *ctx)
 {
@@ -324,6 +336,7 @@
   int64_t first
       = (int64_t)cJSON_GetNumberValue (cJSON_GetObjectItem (o, "first"));
   const cJSON *records = cJSON_GetObjectItem (o, "records");
+  /* The records up to the head that is adopted here are not applied.  */
   int64_t skip_to = -1;
   if (first > e->config_cursor && mm_cfg_head (e->cfg) < 0)
     skip_to = adopt_head (e, records);
@@ -340,6 +353,7 @@
   append_snapshot_if_due (e);
 }
 
+/* Reads the config stream on, unless the last read has not ended.  */
 static void
 config_poll_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
