--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -1,5 +1,5 @@
-/* Ownership of upstreams through the store's groups, the upstream list and
-   the streams, under faults.  The test sets the clock.  */
+/* Tests the ownership of upstreams through the store's groups, the upstream
+   list and the streams, under faults.  The tests set the clock.  */
 #include "config.h"
 #include "mm_catalog.h"
 #include "mm_group_table.h"
@@ -28,6 +28,7 @@
 
 /* ---- a store with one group ------------------------------------------- */
 
+/* Faults of the calls of one instance to the store.  */
 typedef struct
 {
   bool disconnected;   /* calls are neither carried out nor answered */
@@ -35,14 +36,15 @@
   mm_time_ms delay_ms; /* added to the time of a call */
 } faults;
 
+/* A call of an instance to the store that is not answered yet.  */
 typedef struct
 {
   mm_time_ms execute_ms; /* when the store carries the call out */
   mm_time_ms answer_ms;  /* when the caller gets the answer or a timeout */
   bool leave;            /* a call to leave the group, else to join */
-  bool executed;
-  bool answer_lost;
-  char member[32];
+  bool executed;         /* the store has carried the call out */
+  bool answer_lost;      /* the caller gets a timeout */
+  char member[32];       /* name of the instance that calls */
   uint64_t generation;
   mm_time_ms ttl_ms;
   mm_join_result result;
@@ -51,13 +53,15 @@
   void *ctx;
 } store_call;
 
+/* The store as one instance reaches it.  */
 typedef struct
 {
   mm_group_table *group;
-  faults *faults; /* of the instance that calls */
-  GList **calls;
-} node_store;
+  faults *faults; /* of the instance */
+  GList **calls;  /* of all instances, store_call * */
+} instance_store;
 
+/* Carries a call out at the store and fills in its result.  */
 static void
 execute (mm_group_table *g, store_call *c)
 {
@@ -79,8 +83,10 @@
   c->result.partitions = c->partitions;
 }
 
+/* Sends a call to the store, which carries it out after half of the round
+   trip.  */
 static void
-queue_call (node_store *s, store_call *c, const char *member,
+queue_call (instance_store *s, store_call *c, const char *member,
             mm_time_ms timeout_ms, mm_join_answered done, void *ctx)
 {
   g_strlcpy (c->member, member, sizeof c->member);
@@ -117,13 +123,14 @@
   queue_call (ctx, c, member, timeout_ms, done, done_ctx);
 }
 
+/* A store with one group, and the instances that join it.  */
 typedef struct
 {
   mm_group_table *group;
-  GList *calls;
-  faults faults[INSTANCES];
-  node_store stores[INSTANCES];
-  mm_partitions *partitions[INSTANCES];
+  GList *calls;                         /* store_call *, not answered */
+  faults faults[INSTANCES];             /* by index of the instance */
+  instance_store stores[INSTANCES];     /* by index of the instance */
+  mm_partitions *partitions[INSTANCES]; /* NULL: has not joined */
 } fixture;
 
 static fixture *
@@ -136,12 +143,13 @@
   return f;
 }
 
+/* Starts instance @i, which joins the group.  */
 static void
 fixture_join (fixture *f, int i)
 {
-  f->stores[i] = (node_store){ .group = f->group,
-                               .faults = &f->faults[i],
-                               .calls = &f->calls };
+  f->stores[i] = (instance_store){ .group = f->group,
+                                   .faults = &f->faults[i],
+                                   .calls = &f->calls };
   mm_store_port port
       = { .join = store_join, .leave = store_leave, .ctx = &f->stores[i] };
   char name[16];
@@ -149,6 +157,8 @@
   f->partitions[i] = mm_partitions_create (&port, "room", name, PARTITIONS);
 }
 
+/* Advances the clock by 1 ms: carries out and answers the calls that are due,
+   then gives the instances their tick.  */
 static void
 fixture_step (fixture *f)
 {
@@ -250,6 +260,7 @@
     ck_assert_int_eq (count_owners (f, i, &fence), 1);
 }
 
+/* Runs for @ms and checks that no upstream ever has two owners.  */
 static void
 assert_never_two_owners (fixture *f, mm_time_ms ms)
 {
@@ -284,6 +295,8 @@
 }
 END_TEST
 
+/* Makes all instances call the store now, as a notification from the owner
+   that released a partition does.  */
 static void
 notify_all (void *ctx, const char *group)
 {
@@ -314,8 +327,8 @@
 /* An instance joins and gets half of the upstreams.  If it learns only with
    its next call, up to 300 ms later, that their owner has released them, no
    instance owns half of a data centre's upstreams meanwhile and callers are
-   refused.  Notified by the previous owner, it calls the store at once: no
-   more than two calls and two ticks pass.  */
+   refused.  The previous owner must notify the new one, which then calls the
+   store at once: no more than two calls and two ticks pass.  */
 START_TEST (released_partitions_are_taken_at_once)
 {
   fixture *f = fixture_create ();
@@ -338,8 +351,8 @@
 
 /* An instance is disconnected from the store for longer than its membership
    lasts.  It continues as owner, as it must when all instances are
-   disconnected.  The instance that takes over has a higher fencing token for
-   each upstream, so the upstreams refuse the previous owner.  Once
+   disconnected.  The instance that takes over must have a higher fencing token
+   for each upstream, so that the upstreams refuse the previous owner.  Once
    the instance is connected again, each upstream must have one owner.  */
 START_TEST (disconnected_owner_is_fenced_by_its_successor)
 {
@@ -388,8 +401,8 @@
 }
 END_TEST
 
-/* The store answers 60 times slower than usual.  Memberships must not expire
-   because of that: an instance whose membership expires loses its
+/* The store takes 374 ms for a call instead of 4 ms.  Memberships must not
+   expire because of that: an instance whose membership expires loses its
    upstreams.  */
 START_TEST (slow_store_keeps_memberships)
 {
@@ -429,8 +442,9 @@
 }
 END_TEST
 
-/* Joins are carried out, but their answers are lost.  The instance learns of
-   no change meanwhile, and must not count as gone because of that.  */
+/* The joins of an instance are carried out, but their answers are lost, so the
+   instance learns of no change.  It must stay a member of the group, and each
+   upstream must have an owner in the end.  */
 START_TEST (lost_answers_keep_the_membership)
 {
   fixture *f = fixture_create ();
@@ -532,22 +546,24 @@
 {
   const char *keys[8];
   size_t n_keys;
-  uint64_t end;   /* offset past the newest record */
-  uint64_t first; /* records before this offset are gone */
-  uint32_t newest_calls;
-  uint32_t tail_calls;
-  mm_stream_answered done;
-  void *ctx;
-  mm_stream_result result;
-  mm_stream_item items[8];
+  uint64_t end;            /* offset past the newest record */
+  uint64_t first;          /* records before this offset are gone */
+  uint32_t newest_calls;   /* reads of the newest record of each key */
+  uint32_t tail_calls;     /* reads of the records from an offset on */
+  mm_stream_answered done; /* of the call to answer, or NULL */
+  void *ctx;               /* context pointer for done */
+  mm_stream_result result; /* of the call to answer */
+  mm_stream_item items[8]; /* the items of the result */
 } key_store;
 
+/* Adds the record of a key to the result.  @key: index in keys.  */
 static void
 key_item (key_store *k, size_t key)
 {
   k->items[k->result.n_items++].key = (char *)k->keys[key];
 }
 
+/* Reads the newest record of the next two keys after @after.  */
 static void
 key_newest (void *ctx, mm_stream_kind kind, const char *after,
             mm_time_ms timeout_ms, mm_stream_answered done, void *done_ctx)
@@ -567,6 +583,7 @@
   k->result.next_offset = k->end;
 }
 
+/* Reads no record, or fails when the history from the offset on is gone.  */
 static void
 key_tail (void *ctx, const mm_tail *t, mm_stream_answered done, void *done_ctx)
 {
@@ -581,6 +598,7 @@
                                   .end_offset = k->end };
 }
 
+/* Counts what a stream has read.  */
 typedef struct
 {
   uint32_t items;      /* items read */
@@ -609,6 +627,8 @@
   return ((reader *)ctx)->pause_ms;
 }
 
+/* Advances the clock by 25 ms, gives the stream its tick and answers its
+   call.  */
 static void
 step_stream (mm_stream *s, key_store *k)
 {
@@ -653,11 +673,10 @@
 }
 END_TEST
 
-/* An instance that owns no upstreams does not read the upstream list, and
-   owns some later.  The list that it read before this pause may name
-   upstreams that have left since, so it must not be used before it has been
-   read again, also when an answer to a read from before the pause comes
-   late.  */
+/* An instance that owns no upstreams does not read the upstream list.  When it
+   owns some again, the list that it read before this pause may name upstreams
+   that have left since.  The list must not be used before it has been read
+   again, even if an answer to a read from before the pause comes late.  */
 START_TEST (list_is_stale_after_a_pause_until_read_again)
 {
   now_ms = 1000;
@@ -689,8 +708,8 @@
 
 /* An instance gets upstreams in the same millisecond in which it paused
    reading because it had none.  The list that it reads after the pause must
-   count as fresh; otherwise it starts no task until the next read, 0.8 s
-   later.  */
+   count as current; otherwise the instance starts no task until the next read,
+   0.8 s later.  */
 START_TEST (list_read_in_the_millisecond_of_a_pause_is_fresh)
 {
   now_ms = 1000;
@@ -718,13 +737,13 @@
 typedef struct
 {
   uint64_t end_offset;
-  uint64_t answered; /* records that an answer holds */
-  bool down;
-  uint32_t newest_calls;
-  uint32_t tail_calls;
+  uint64_t answered;     /* records that an answer holds */
+  bool down;             /* calls fail */
+  uint32_t newest_calls; /* reads of the newest record of each key */
+  uint32_t tail_calls;   /* reads of the records from an offset on */
   mm_time_ms timeout_ms; /* of the last call */
   mm_time_ms called_ms;  /* when the last call was made */
-  size_t max_bytes;
+  size_t max_bytes;      /* limit of the last answer to a tail call */
   mm_stream_answered done;
   void *ctx;
   mm_stream_result result;
@@ -733,6 +752,7 @@
 
 #define RECORD_BYTES 300
 
+/* Reads the newest records of all ten keys.  */
 static void
 slow_link_newest (void *ctx, mm_stream_kind kind, const char *after,
                   mm_time_ms timeout_ms, mm_stream_answered done,
@@ -755,6 +775,7 @@
     k->items[i].key = keys[i];
 }
 
+/* Reads as many records as an answer of max_bytes holds.  */
 static void
 slow_link_tail (void *ctx, const mm_tail *t, mm_stream_answered done,
                 void *done_ctx)
@@ -774,6 +795,8 @@
                                   .end_offset = k->end_offset };
 }
 
+/* Advances the clock by 25 ms, gives the stream its tick and answers its
+   call.  */
 static void
 slow_link_step (mm_stream *s, slow_link_store *k)
 {
@@ -786,6 +809,7 @@
   done (&k->result, k->ctx);
 }
 
+/* Returns a stream over a link of 2 Mbit/s that has read all records once.  */
 static mm_stream *
 slow_link_stream (slow_link_store *k, reader *r, mm_time_ms pause_ms)
 {
@@ -809,7 +833,7 @@
 
 /* There are more changes than one answer may hold.  With one answer per pause
    the list would fall behind further and further.  The remaining chunks must
-   be read at once, and the list is not fresh before the last one.  */
+   be read at once, and the list is not current before the last one.  */
 START_TEST (changes_beyond_one_answer_are_read_without_a_pause)
 {
   slow_link_store k = { .end_offset = 5 };
@@ -834,8 +858,8 @@
 END_TEST
 
 /* After an outage there are thousands of changes of ten upstreams to read.
-   Only the newest record of each upstream matters, and reading these takes
-   far fewer bytes.  */
+   Only the newest record of each upstream matters.  The stream must read just
+   the newest records, which takes far fewer bytes.  */
 START_TEST (newest_records_are_read_when_that_is_less)
 {
   slow_link_store k = { .end_offset = 5 };
@@ -854,7 +878,8 @@
 
 /* A record of 1 MB takes 4 s over a link of 2 Mbit/s, and its size is not
    known before it is read.  With the same timeout at each try the record
-   would never arrive.  */
+   would never arrive, so the timeout must grow with each failed try, and must
+   be the first one again after a success.  */
 START_TEST (read_that_fails_is_waited_for_longer_each_time)
 {
   slow_link_store k = { .end_offset = 5 };
