--- a/include/masticmill.h
+++ b/include/masticmill.h
@@ -241,10 +241,11 @@
     MM_TASK_UNKNOWN, /* may have run; never retried unless idempotent */
     MM_TASK_NOT_RUN  /* never started anywhere */
   } mm_task_state;
+  /* A task of a job: what the caller submitted and its progress.  */
   typedef struct
   {
     char *id;               /* task id, unique in its job */
-    char *payload;          /* opaque payload */
+    char *payload;          /* passed to the upstream unchanged */
     mm_time_ms run_ms;      /* declared run time (a hint) */
     mm_time_ms deadline_ms; /* time from the submission to its deadline */
     bool idempotent;        /* may be run again */
@@ -255,6 +256,7 @@
     mm_time_ms started_ms;  /* when last sent, by mm_clock_now_ms() */
     mm_time_ms finished_ms; /* when its result arrived */
   } mm_task;
+  /* A job: tasks that a caller submits together and gets one answer for.  */
   typedef struct
   {
     char *id;                /* job id, chosen by the caller */
@@ -448,7 +450,7 @@
     int64_t heartbeat_ms; /* heartbeat period */
     char *advertise;      /* "host:port" for others, "": where it listens */
     char *run_log;        /* file, a line per task start and end; "" none */
-    char *poison_jobs;    /* tasks crash it if job ids begin so, "" none */
+    char *poison_jobs;    /* prefix of job ids whose tasks crash it, or "" */
     int64_t poison_ms;    /* from the start of a poison task to the crash */
     int64_t back_ms;      /* from a crash to the next incarnation */
   } mm_upstream_settings;
@@ -472,9 +474,9 @@
     int64_t peer_port;  /* peer TCP port (msgpack frames) */
     char *name;         /* member name, unique */
     char *site;         /* site (deployment) whose overlay applies */
-    char *datacentre;   /* data centre */
+    char *datacentre;   /* data centre it belongs to */
     char *platform_url; /* the platform's service */
-    char **upstreams;   /* "host:port" of upstreams to start with */
+    char **upstreams;   /* "host:port" of upstreams known before the list */
     char **peers;       /* "name=host:peer_port" of peers in the data centre */
     int64_t upstream_slots;     /* slots of an upstream that reports none */
     int64_t heartbeat_ms;       /* heartbeat period */
@@ -482,7 +484,7 @@
     int64_t config_poll_ms;     /* config stream poll period */
     int64_t config_snapshot_ms; /* between appends of the same config head */
     int64_t done_ttl_ms;        /* how long answers are kept for resubmits */
-    int64_t shards;             /* number of shards of the jobs */
+    int64_t shards;             /* number of shards of a data centre's jobs */
     int64_t accept_interval_ms; /* least time between a shard's appends */
   } mm_entry_settings;
   extern const mm_setting_spec mm_entry_setting_specs[];
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -213,6 +213,8 @@
 {
   mm_entry *e = ej->entry;
   mm_counters_add (e->counters, "jobs_moved", 1);
+  /* If the job comes back, it is recovered, because this instance may have
+     started some of its tasks.  */
   if (ej->phase != MM_JOB_ACCEPTING)
     mm_shard_add_accepted (ej->shard, ej->job->id, ej->fingerprint);
   finish_open_tasks (ej, false);
@@ -306,7 +308,8 @@
       requeue (ej, t, "resends_not_run");
       return;
     /* A later owner has raised the job's epoch at the upstream: it replaced
-       this instance, for example while this process was frozen.  */
+       this instance, for example while this process was frozen.  The 0 means
+       that the higher epoch itself is not known here.  */
     case MM_OUTCOME_FENCED:
       t->attempts--;
       t->state = MM_TASK_PENDING;
--- a/src/mm_entry_platform.c
+++ b/src/mm_entry_platform.c
@@ -336,7 +336,9 @@
   int64_t first
       = (int64_t)cJSON_GetNumberValue (cJSON_GetObjectItem (o, "first"));
   const cJSON *records = cJSON_GetObjectItem (o, "records");
-  /* The records up to the head that is adopted here are not applied.  */
+  /* The log begins at the offset first.  When that is past the cursor, the
+     records in between are gone, and an instance without a head adopts one.
+     The records up to the adopted head are not applied.  */
   int64_t skip_to = -1;
   if (first > e->config_cursor && mm_cfg_head (e->cfg) < 0)
     skip_to = adopt_head (e, records);
