--- a/include/masticmill.h
+++ b/include/masticmill.h
@@ -476,7 +476,7 @@
     char *site;         /* site (deployment) whose overlay applies */
     char *datacentre;   /* data centre it belongs to */
     char *platform_url; /* the platform's service */
-    char **upstreams;   /* "host:port" of upstreams known before the list */
+    char **upstreams;   /* "host:port", known before the member list */
     char **peers;       /* "name=host:peer_port" of peers in the data centre */
     int64_t upstream_slots;     /* slots of an upstream that reports none */
     int64_t heartbeat_ms;       /* heartbeat period */
