--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -32,6 +32,8 @@
     }
 }
 
+/* Drops the ends of the job's tasks here and at all other instances, as no
+   home will request them any more.  */
 static void
 on_job_ended (void *ctx, const char *job_id)
 {
@@ -44,6 +46,8 @@
   g_list_free (peers);
 }
 
+/* Marks the home for sync_homes(), which closes it: here the home that calls
+   this function is still in use.  */
 static void
 on_home_fenced (void *ctx, mm_home *h)
 {
@@ -53,6 +57,7 @@
       k->superseded[i] = true;
 }
 
+/* @epoch: the fencing token of the partition.  */
 static void
 open_home (mm_kept *k, uint32_t partition, uint64_t epoch)
 {
@@ -80,6 +85,8 @@
     {
       if (k->home[i] && k->superseded[i])
         {
+          /* If the partition is still assigned to this instance, it needs a
+             higher epoch than the one that the store refused.  */
           close_home (k, i);
           mm_partitions_renew_fence (k->partitions, i);
         }
@@ -94,6 +101,8 @@
     }
 }
 
+/* Whether all homes that are to be closed are idle: those of partitions being
+   released, or all of them when this instance is leaving.  */
 static bool
 releasing_homes_idle (const mm_kept *k)
 {
@@ -110,6 +119,8 @@
   return true;
 }
 
+/* Releases partitions once their homes are idle.  A leaving instance leaves
+   the group after MM_HANDOVER_MS also when its homes are not idle.  */
 static void
 release_partitions (mm_kept *k, mm_time_ms now)
 {
@@ -134,8 +145,8 @@
                 == MM_PARTITION_OWNED;
 }
 
-/* A home that may have been superseded starts no task: the next home may have
-   started the same task.  */
+/* Whether a home may start tasks.  A home that may have been superseded must
+   not: the next home may have started the same task.  */
 static bool
 may_start (const mm_kept *k, uint32_t partition)
 {
@@ -150,6 +161,7 @@
   return k->home[mm_home_directory_partition_of (k->directory, job_id)];
 }
 
+/* @owner: the peer that reported the end, NULL for this instance.  */
 static void
 on_found_end (void *ctx, const mm_found_end *e, const char *owner)
 {
@@ -158,6 +170,7 @@
     mm_home_record_end (h, e, owner);
 }
 
+/* No run of @tasks is left anywhere: they are no longer in doubt.  */
 static void
 on_none_left (void *ctx, GHashTable *tasks)
 {
@@ -167,6 +180,8 @@
       mm_home_clear_in_doubt (k->home[i], tasks);
 }
 
+/* Returns the tasks in doubt that can be searched for now, as a mm_task_set
+   that the caller frees.  */
 static GHashTable *
 tasks_in_doubt (const mm_kept *k)
 {
@@ -177,6 +192,8 @@
   return tasks;
 }
 
+/* Starts a search if tasks are in doubt.  Only one search runs at a time, and
+   the starts of two searches are at least MM_KEPT_SEARCH_PAUSE_MS apart.  */
 static void
 search_in_doubt (mm_kept *k, bool list_fresh, mm_time_ms now)
 {
@@ -218,7 +235,7 @@
 
 /**
  * mm_kept_create() - accept and run kept jobs at this instance.
- * @p: the modules and settings that kept jobs need; copied.
+ * @p: modules and settings that kept jobs need; the struct is copied.
  *
  * Return: the new object; free with mm_kept_destroy().
  */
@@ -267,6 +284,9 @@
   mm_time_ms now = mm_clock_now_ms ();
   mm_kept_retry_requests (k);
   mm_home_directory_tick (k->directory);
+  /* The directory's first answer shows whether the previous incarnation of
+     this instance is still a member of the group and must be removed.  The
+     store may not name that member any more once this instance has joined.  */
   if (mm_home_directory_loaded (k->directory)
       || now - k->created_ms >= MM_PREDECESSORS_WAIT_MS)
     mm_partitions_tick (k->partitions);
--- a/src/mm_kept_priv.h
+++ b/src/mm_kept_priv.h
@@ -12,38 +12,46 @@
 
 struct mm_kept
 {
-  int refs; /* one of the creator, one per request in progress */
-  bool closed;
+  int refs;    /* one of the creator, one per request in progress */
+  bool closed; /* mm_kept_destroy() was called */
   mm_kept_deps deps;
-  mm_time_ms created_ms;
+  mm_time_ms created_ms;        /* when mm_kept_create() was called */
   mm_partitions *partitions;    /* those assigned to this instance */
   mm_home_directory *directory; /* the homes of all partitions */
   GList *waiting;   /* mm_kept_request whose home is not known or reachable */
-  mm_home **home;   /* of each partition, NULL: at another instance */
-  bool *superseded; /* for each partition: the home was fenced by another */
-  mm_task_search *search;
+  mm_home **home;   /* home for each partition; NULL: not at this instance */
+  bool *superseded; /* for each partition: the store has refused the home's
+                       epoch, as another instance wrote with a higher one */
+  mm_task_search *search; /* searches for the tasks in doubt of all homes */
   mm_time_ms search_started_ms; /* start of the latest search */
-  /* Ids of jobs of foreign runs for which the home has not answered yet.  */
+  /* Set of ids of jobs whose home was asked whether it needs the ends of
+     foreign runs, and has not answered yet.  A foreign run was started by an
+     earlier owner of its upstream.  */
   GHashTable *foreign_pending;
   mm_time_ms foreign_checked_ms; /* when foreign runs were last checked */
   bool leaving;
   mm_time_ms leaving_ms; /* when mm_kept_leave() was called */
 };
 
+/* Drops a reference and frees @k with the last one.  */
 void mm_kept_unref (mm_kept *k);
-/* The home of a job, NULL when it is at another instance.  */
+/* The home of a job, NULL when it is not at this instance.  */
 mm_home *mm_kept_home_of (const mm_kept *k, const char *job_id);
 
-/* Whether the store has confirmed recently that this instance owns the
-   partition.  */
+/* Whether this instance owns the partition and the store has confirmed the
+   instance's membership of the group within MM_GROUP_CONFIRMED_MS.  */
 bool mm_kept_home_confirmed (const mm_kept *k, uint32_t partition);
 
-/* mm_kept_foreign.c: ends of runs that earlier owners started.  */
+/* mm_kept_foreign.c: drops the ends of foreign runs that no home needs, and
+   asks the homes of other jobs.  Does so each MM_KEPT_FOREIGN_PAUSE_MS.  */
 void mm_kept_resolve_foreign (mm_kept *k, mm_time_ms now);
+/* mm_kept_foreign.c: sets @out to the state of a job whose home is this
+   instance, MM_KEPT_BUSY when that is not certain.  */
 void mm_kept_answer_foreign (const mm_kept *k, const char *job_id,
                              mm_kept_answer *out);
 
-/* mm_kept_request.c: retries the requests whose home was not found.  */
+/* mm_kept_request.c: retries the requests that wait for their home, or refuses
+   them when @k is closed.  */
 void mm_kept_retry_requests (mm_kept *k);
 
 /* mm_kept_peer.c: handles a request or, with @reply NULL, a notification of
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_run.c
@@ -1,4 +1,5 @@
-/* mm_kept_run: the states of a kept job's tasks.  */
+/* mm_kept_run: dispatches the tasks of a kept job to owners, and tracks for
+   each task whether it waits, is at an owner, is in doubt or is done.  */
 #include "mm_kept_run.h"
 
 #include "config.h"
@@ -22,14 +23,14 @@
   mm_kept_run *run;
   mm_task_id id;
   task_state state;
-  bool ready;        /* its step may start */
-  mm_ticket *ticket; /* TASK_DISPATCHED: the request to the owner */
-  mm_time_ms dispatched_ms;
-  mm_time_ms in_doubt_since_ms;
-  char *avoid_upstream; /* upstream of the last failure, or NULL */
-  char *returned_by;    /* owner that returned the task unstarted, "": this
-                           instance; or NULL */
-  bool isolated;        /* dispatched as a task that may crash upstreams */
+  bool ready;                   /* its step may start */
+  mm_ticket *ticket;            /* TASK_DISPATCHED: the request to the owner */
+  mm_time_ms dispatched_ms;     /* when it was last dispatched */
+  mm_time_ms in_doubt_since_ms; /* TASK_IN_DOUBT */
+  char *avoid_upstream;         /* upstream of the last failure, or NULL */
+  char *returned_by; /* owner that has just returned the task unstarted, "":
+                        this instance; or NULL */
+  bool isolated;     /* at an owner as a task that may crash upstreams */
 } task;
 
 struct mm_kept_run
@@ -39,17 +40,19 @@
   mm_kept_run_events ev;
   mm_steps *steps;
   task *tasks;
-  uint32_t n_tasks;
-  uint32_t n_in_doubt;
-  uint32_t n_dispatched;
-  uint32_t n_isolated;
+  uint32_t n_tasks;      /* number of all tasks of the job */
+  uint32_t n_in_doubt;   /* number of tasks that are TASK_IN_DOUBT */
+  uint32_t n_dispatched; /* number of tasks that are TASK_DISPATCHED */
+  uint32_t n_isolated;   /* number of dispatched tasks that are isolated */
   bool may_start; /* whether tasks may be started, as of the last tick */
   bool started;   /* a task is known to have been started */
-  bool finished;
-  mm_time_ms latest_start_ms; /* latest start that meets the objective */
+  bool finished;  /* the end of the job was reported */
+  mm_time_ms latest_start_ms; /* latest start with which the job can end within
+                                 its objective */
   GArray *acks;               /* mm_end_ack, until mm_kept_run_take_acks() */
 };
 
+/* The step of task @number may start.  A task in doubt stays in doubt.  */
 static void
 set_task_ready (void *ctx, uint32_t number)
 {
@@ -95,8 +98,8 @@
       mm_steps_task_done (r->steps, i);
     }
   mm_steps_start_ready (r->steps, set_task_ready, r);
-  /* Tasks of later steps are in doubt too: the earlier home may have started
-     them because of ends that it had not stored when it died.  */
+  /* Tasks of steps that are not ready are in doubt too: the earlier home may
+     have started them after ends that it had not stored when it died.  */
   for (uint32_t i = 0; taken_over && i < r->n_tasks; i++)
     if (r->tasks[i].state != TASK_DONE)
       set_in_doubt (&r->tasks[i]);
@@ -121,6 +124,7 @@
   g_free (r);
 }
 
+/* Reports the end of the job once.  @r may have been freed on return.  */
 static void
 finish (mm_kept_run *r, mm_job_phase phase)
 {
@@ -130,6 +134,8 @@
   r->ev.finished (r->ev.ctx, phase);
 }
 
+/* Notes that the end of a run is to be acknowledged once it is stored.
+   @owner: the peer that reported it, NULL for this instance.  */
 static void
 add_ack (mm_kept_run *r, const mm_task_id *id, uint32_t run_hash,
          const char *owner)
@@ -139,6 +145,8 @@
   g_array_append_val (r->acks, ack);
 }
 
+/* Records the task as done and starts what can start now.  Ends the job after
+   its last task; the mm_kept_run may have been freed on return.  */
 static void
 on_task_succeeded (task *t)
 {
@@ -157,6 +165,7 @@
     r->ev.progress (r->ev.ctx);
 }
 
+/* Whether the task must not be started again once it may have run.  */
 static bool
 runs_once (const task *t)
 {
@@ -164,7 +173,7 @@
 }
 
 /* Records a failed run of the task.  @next_state is the state of the task if
-   the job goes on.  */
+   the job goes on.  The mm_kept_run may have been freed on return.  */
 static void
 on_task_failed (task *t, uint32_t run_hash, task_state next_state)
 {
@@ -198,6 +207,8 @@
   t->state = TASK_WAITING;
 }
 
+/* Describes for the log what follows after a run has ended as @how.  The end
+   is not in the record yet, so a failure of this run is added.  */
 static const char *
 next_action (const task *t, mm_end how)
 {
@@ -212,6 +223,7 @@
   return "dispatched again";
 }
 
+/* Logs the end of a run that neither succeeded nor was returned unstarted.  */
 static void
 log_end (const task *t, const mm_work_result *w)
 {
@@ -223,6 +235,9 @@
                 MM_TEXT (w->why), MM_TEXT (next_action (t, w->how)));
 }
 
+/* Handles the outcome of a dispatched task.  A run that was stopped or lost is
+   not counted as a failed attempt.  A task whose outcome is unknown is in
+   doubt, and a search decides what becomes of it.  */
 static void
 on_work_ended (void *ctx, const mm_work_result *w)
 {
@@ -271,6 +286,7 @@
     }
 }
 
+/* Sends the task to an owner.  */
 static void
 dispatch (task *t, mm_suspect_action action, mm_time_ms now)
 {
@@ -303,8 +319,8 @@
   r->n_isolated += t->isolated;
 }
 
-/* Dispatches the waiting tasks.  Returns false when the job has failed and @r
-   may have been freed.  */
+/* Dispatches the waiting tasks, unless a task of the job is in doubt.  Returns
+   false when the job has failed and @r may have been freed.  */
 static bool
 dispatch_waiting (mm_kept_run *r)
 {
@@ -362,9 +378,9 @@
 
 /* Adds the tasks in doubt that can be searched for now to @tasks.
 
-   An upstream that has left the list has no owner that answers for it, but it
-   may still run tasks under its last lease.  So a task in doubt is searched
-   for only after every such lease must have lapsed.  */
+   An upstream that has left the upstream list has no owner that answers for
+   it, but may still run tasks under its last lease.  So a task in doubt is
+   searched for only after every such lease must have lapsed.  */
 void
 mm_kept_run_in_doubt (const mm_kept_run *r, GHashTable *tasks)
 {
@@ -392,6 +408,7 @@
       on_task_succeeded (t);
     }
   else if (e->how == MM_END_FAILED)
+    /* Another run of the task may be left, so it stays in doubt.  */
     on_task_failed (t, e->run_hash, TASK_IN_DOUBT);
   else
     r->ev.progress (r->ev.ctx);
