--- a/src/mm_kept_foreign.c
+++ b/src/mm_kept_foreign.c
@@ -1,25 +1,28 @@
-/* mm_kept_foreign: decides which ends of an earlier owner's runs can be
-   acknowledged.
+/* mm_kept_foreign: decides which ends of foreign runs can be acknowledged.  A
+   foreign run was started by an earlier owner of its upstream.
 
    A new owner finds ends at its upstreams that were never acknowledged.  The
-   ends of kept jobs must stay listed until the job's home has requested them.
+   ends of a kept job must stay listed until the job's home has requested them.
    The ends of other jobs should be acknowledged soon, because an upstream that
-   lists an end answers every hold at once.  So the home of each job is sent a
-   request.  An owner that has just started knows of no kept jobs, and the home
-   may be unreachable for seconds: a missing answer must not lead to an
-   acknowledgement.  */
+   lists an end answers every hold at once.  So the home that each job has, or
+   would have as a kept job, is asked whether it needs the ends.  An owner that
+   has just started knows of no kept jobs, and the home may be unreachable for
+   seconds: a missing answer must not lead to an acknowledgement.  */
 #include "mm_kept_priv.h"
 
 #include "config.h"
 
 #include <string.h>
 
+/* A request to a home at another instance.  */
 typedef struct
 {
   mm_kept *kept;
   char *job_id;
 } foreign_request;
 
+/* Whether the home's answer shows that it will not request the ends of the
+   job: the job is not a kept job, or its outcome is stored.  */
 static bool
 ends_not_needed (const mm_kept_answer *a)
 {
@@ -27,6 +30,7 @@
          || (a->status == MM_KEPT_OK && mm_job_phase_ended (a->phase));
 }
 
+/* Without an answer the ends stay, and a later check asks again.  */
 static void
 on_home_answered (void *ctx, bool ok, const void *data, size_t len)
 {
@@ -44,6 +48,9 @@
   g_free (req);
 }
 
+/* Asks the home of a job, at another instance, for the job's state.  Does
+   nothing while the home is not known or not connected; a later check tries
+   again.  */
 static void
 send_request (mm_kept *k, const char *job_id)
 {
@@ -63,8 +70,9 @@
                    on_home_answered, req);
 }
 
-/* Answers BUSY unless this instance is confirmed as the home: a superseded
-   home does not know the jobs that its successor has accepted.  */
+/* Sets @out to the job's state, or to BUSY unless this instance is confirmed
+   as the home: a superseded home does not know the jobs that its successor has
+   accepted.  */
 void
 mm_kept_answer_foreign (const mm_kept *k, const char *job_id,
                         mm_kept_answer *out)
@@ -77,6 +85,8 @@
     mm_home_state (h, job_id, out);
 }
 
+/* Checks the jobs of all foreign runs whose ends are held here.  The ends that
+   no home needs are dropped; a home at another instance is asked first.  */
 void
 mm_kept_resolve_foreign (mm_kept *k, mm_time_ms now)
 {
--- a/src/mm_kept_peer.c
+++ b/src/mm_kept_peer.c
@@ -9,6 +9,8 @@
 
 /* ---- counts ----------------------------------------------------------- */
 
+/* Counts the accepted jobs of a queue that have not started, at the homes of
+   this instance.  */
 static uint32_t
 pending_here (const mm_kept *k, const char *queue)
 {
@@ -23,13 +25,14 @@
 typedef struct
 {
   mm_kept *kept;
-  mm_kept_answer total;
-  uint32_t outstanding; /* homes that have not answered yet, plus one while
+  mm_kept_answer total; /* the answer to the caller, as far as known */
+  uint32_t outstanding; /* instances that have not answered yet, plus one while
                            requests are being sent */
   mm_kept_answered answered;
   void *ctx;
 } pending_count;
 
+/* Answers the caller and frees the count.  */
 static void
 finish_count (pending_count *c)
 {
@@ -38,6 +41,8 @@
   g_free (c);
 }
 
+/* Adds the count of one instance.  Without it the total is not known, and the
+   answer is BUSY.  */
 static void
 on_count_answered (void *ctx, bool ok, const void *data, size_t len)
 {
@@ -51,8 +56,8 @@
     finish_count (c);
 }
 
-/* Names of the other instances that are a home, each once.  Free the list, not
-   the names.  */
+/* Names of the other instances at which there are homes, each once.  Free the
+   list, not the names.  */
 static GList *
 other_homes (const mm_kept *k)
 {
@@ -95,6 +100,7 @@
 
 /* ---- requests of other instances -------------------------------------- */
 
+/* Sends an answer to a peer; @ctx: its mm_mesh_inbound_request.  */
 static void
 answer_peer (void *ctx, const mm_kept_answer *a)
 {
@@ -105,9 +111,11 @@
   msgpack_sbuffer_destroy (&b);
 }
 
+/* Submits a job that a peer has forwarded.  Answers MOVING when its home is
+   not at this instance, BUSY when the record is invalid.  */
 static void
 handle_submit (mm_kept *k, const void *data, size_t len,
-               mm_mesh_inbound_request *reply)
+               mm_mesh_inbound_request *request)
 {
   GError *error = NULL;
   mm_kept_answer rejection = { .status = MM_KEPT_MOVING };
@@ -117,7 +125,7 @@
                    : NULL;
   if (h)
     {
-      mm_home_submit (h, rec, answer_peer, reply);
+      mm_home_submit (h, rec, answer_peer, request);
       return;
     }
   if (error)
@@ -128,37 +136,42 @@
     }
   g_clear_error (&error);
   mm_job_record_destroy (rec);
-  answer_peer (reply, &rejection);
+  answer_peer (request, &rejection);
 }
 
+/* Cancels a job or requests its state.  Answers MOVING when its home is not at
+   this instance.  */
 static void
 handle_job (mm_kept *k, mm_kept_verb verb, const char *job_id,
-            mm_mesh_inbound_request *reply)
+            mm_mesh_inbound_request *request)
 {
   mm_kept_answer a = { .status = MM_KEPT_MOVING };
   mm_home *h = mm_kept_home_of (k, job_id);
   if (h && verb == MM_KEPT_REQUEST_CANCEL)
     {
-      mm_home_cancel (h, job_id, answer_peer, reply);
+      mm_home_cancel (h, job_id, answer_peer, request);
       return;
     }
   if (h)
-    mm_home_confirm_state (h, job_id, answer_peer, reply);
+    mm_home_confirm_state (h, job_id, answer_peer, request);
   else
-    answer_peer (reply, &a);
+    answer_peer (request, &a);
 }
 
 static void
-handle_pending (mm_kept *k, const char *queue, mm_mesh_inbound_request *reply)
+handle_pending (mm_kept *k, const char *queue,
+                mm_mesh_inbound_request *request)
 {
   mm_kept_answer a
       = { .status = MM_KEPT_OK, .pending = pending_here (k, queue) };
-  answer_peer (reply, &a);
+  answer_peer (request, &a);
 }
 
+/* Answers what is known here of the tasks in @data.  An invalid set of tasks
+   yields an empty result, which clears no upstream.  */
 static void
 handle_search (mm_kept *k, const void *data, size_t len,
-               mm_mesh_inbound_request *reply)
+               mm_mesh_inbound_request *request)
 {
   mm_search_result result = mm_search_result_init ();
   GHashTable *tasks = mm_task_set_read (data, len);
@@ -167,13 +180,14 @@
   msgpack_sbuffer b;
   msgpack_sbuffer_init (&b);
   mm_search_result_pack (&b, &result);
-  mm_mesh_answer (reply, b.data, b.size);
+  mm_mesh_answer (request, b.data, b.size);
   msgpack_sbuffer_destroy (&b);
   mm_search_result_clear (&result);
   if (tasks)
     g_hash_table_destroy (tasks);
 }
 
+/* Acknowledges one stored end; @ctx: the mm_owner.  */
 static void
 ack_end (void *ctx, const mm_task_id *task, uint32_t run_hash)
 {
@@ -184,41 +198,41 @@
    verbs whose data is a job id or the name of a queue.  */
 static void
 handle_request (mm_kept *k, uint32_t verb, const char *text, const void *data,
-                size_t len, mm_mesh_inbound_request *reply)
+                size_t len, mm_mesh_inbound_request *request)
 {
   switch (verb)
     {
     case MM_KEPT_REQUEST_SUBMIT:
-      handle_submit (k, data, len, reply);
+      handle_submit (k, data, len, request);
       break;
     case MM_KEPT_REQUEST_STATE:
     case MM_KEPT_REQUEST_CANCEL:
-      handle_job (k, verb, text, reply);
+      handle_job (k, verb, text, request);
       break;
     case MM_KEPT_REQUEST_PENDING:
-      handle_pending (k, text, reply);
+      handle_pending (k, text, request);
       break;
     case MM_KEPT_REQUEST_FOREIGN:
       {
         mm_kept_answer a;
         mm_kept_answer_foreign (k, text, &a);
-        answer_peer (reply, &a);
+        answer_peer (request, &a);
         break;
       }
     case MM_KEPT_REQUEST_SEARCH:
-      handle_search (k, data, len, reply);
+      handle_search (k, data, len, request);
       break;
     default:
       {
         mm_kept_answer busy = { .status = MM_KEPT_BUSY };
-        answer_peer (reply, &busy);
+        answer_peer (request, &busy);
       }
     }
 }
 
 void
 mm_kept_on_peer_request (void *ctx, uint32_t verb, const void *data,
-                         size_t len, mm_mesh_inbound_request *reply)
+                         size_t len, mm_mesh_inbound_request *request)
 {
   mm_kept *k = ctx;
   if (verb == MM_KEPT_NOTIFY_ACKS)
@@ -229,7 +243,7 @@
   char *text = g_strndup (data, len);
   if (verb == MM_KEPT_NOTIFY_ENDED)
     mm_owner_forget_job (k->deps.owner, text);
-  if (reply)
-    handle_request (k, verb, text, data, len, reply);
+  if (request)
+    handle_request (k, verb, text, data, len, request);
   g_free (text);
 }
--- a/src/mm_kept_priv.h
+++ b/src/mm_kept_priv.h
@@ -54,9 +54,9 @@
    them when @k is closed.  */
 void mm_kept_retry_requests (mm_kept *k);
 
-/* mm_kept_peer.c: handles a request or, with @reply NULL, a notification of
-   another instance.  */
+/* mm_kept_peer.c: handles a request of another instance, or a notification if
+   @request is NULL.  @verb: mm_kept_verb.  */
 void mm_kept_on_peer_request (void *ctx, uint32_t verb, const void *data,
-                              size_t len, mm_mesh_inbound_request *reply);
+                              size_t len, mm_mesh_inbound_request *request);
 
 #endif /* MM_KEPT_PRIV_H */
--- a/src/mm_kept_request.c
+++ b/src/mm_kept_request.c
@@ -1,9 +1,9 @@
 /* mm_kept_request: forwards callers' requests about kept jobs to the homes.
 
    Homes move when instances join and leave.  A request whose home is not
-   known, not linked, or has moved waits for up to MM_KEPT_FIND_HOME_TIMEOUT_MS
-   while the directory polls the store.  Refusing it would cost the caller a
-   second until it may retry.  */
+   known, not connected, or has moved waits for up to
+   MM_KEPT_FIND_HOME_TIMEOUT_MS while the directory polls the store.  A caller
+   whose request is refused may retry only a second later.  */
 #include "mm_kept_priv.h"
 
 #include "config.h"
@@ -15,13 +15,13 @@
 {
   mm_kept *kept;
   char *job_id;
-  uint32_t partition;
-  mm_kept_verb verb;
-  GBytes *record; /* MM_KEPT_REQUEST_SUBMIT: the packed job, else NULL */
-  mm_kept_answered answered;
-  void *ctx;
-  mm_time_ms expires_ms; /* time by which the home must be found */
-  bool in_doubt;         /* a home may have executed the request already */
+  uint32_t partition; /* of the job */
+  mm_kept_verb verb;  /* REQUEST_SUBMIT, REQUEST_STATE or REQUEST_CANCEL */
+  GBytes *record;     /* MM_KEPT_REQUEST_SUBMIT: the packed job, else NULL */
+  mm_kept_answered answered; /* the caller's callback */
+  void *ctx;                 /* for @answered */
+  mm_time_ms expires_ms;     /* time by which the home must be found */
+  bool in_doubt;             /* a home may have executed the request already */
 };
 
 static void try_request (mm_kept_request *r);
@@ -35,6 +35,7 @@
   g_free (r);
 }
 
+/* Answers the caller and frees the request.  */
 static void
 answer (mm_kept_request *r, const mm_kept_answer *a)
 {
@@ -42,7 +43,8 @@
   request_free (r);
 }
 
-/* Answers BUSY, or "in doubt" when a home may have executed the request.  */
+/* Answers MM_KEPT_BUSY, or MM_KEPT_IN_DOUBT when a home may have executed the
+   request.  @why is for the log.  */
 static void
 refuse (mm_kept_request *r, const char *why)
 {
@@ -53,6 +55,9 @@
   answer (r, &a);
 }
 
+/* Keeps the request for the next tick, which tries it again.  Refuses it when
+   its time has expired, and at once while the store cannot be asked for the
+   home.  */
 static void
 wait_for_home (mm_kept_request *r, const char *why)
 {
@@ -67,7 +72,9 @@
   k->waiting = g_list_prepend (k->waiting, r);
 }
 
-/* Handles the answer of the home, at this instance or a peer.  */
+/* Handles the answer of the home, at this instance or a peer.  When an earlier
+   try may have been executed, "nothing was done" is not true of the request as
+   a whole: BUSY then becomes IN_DOUBT.  */
 static void
 on_home_answered (void *ctx, const mm_kept_answer *a)
 {
@@ -86,6 +93,9 @@
     }
 }
 
+/* Handles the answer of a home at a peer; @ok false: there was none.  The home
+   may have executed a request without an answer.  A request for the state has
+   no effect and is never in doubt.  */
 static void
 on_peer_answered (void *ctx, bool ok, const void *data, size_t len)
 {
@@ -100,6 +110,7 @@
   wait_for_home (r, "its home did not answer");
 }
 
+/* Submits the job of the request to its home @h at this instance.  */
 static void
 submit_here (mm_home *h, mm_kept_request *r)
 {
@@ -117,6 +128,7 @@
   refuse (r, "its record could not be read again");
 }
 
+/* Executes the request at its home @h, which is at this instance.  */
 static void
 process_here (mm_home *h, mm_kept_request *r)
 {
@@ -133,6 +145,8 @@
     }
 }
 
+/* Forwards the request to the home at another instance.  Submitting and
+   cancelling take longer, as the home stores a record before it answers.  */
 static void
 send_to_peer (const char *home, mm_kept_request *r)
 {
@@ -147,6 +161,8 @@
                    on_peer_answered, r);
 }
 
+/* Executes the request, forwards it, or lets it wait for its home.  The
+   directory may still name this instance after it has closed the home.  */
 static void
 try_request (mm_kept_request *r)
 {
@@ -180,6 +196,8 @@
   g_list_free (waiting);
 }
 
+/* @record: the packed job for MM_KEPT_REQUEST_SUBMIT, which the request takes;
+   NULL for other verbs.  */
 static void
 start_request (mm_kept *k, const char *job_id, mm_kept_verb verb,
                GBytes *record, mm_kept_answered answered, void *ctx)
--- a/src/mm_kept_wire.c
+++ b/src/mm_kept_wire.c
@@ -3,6 +3,7 @@
 
 #include "mm_msgpack.h"
 
+/* Lengths of the arrays that encode one value.  */
 enum
 {
   ANSWER_FIELDS = 4,
@@ -12,8 +13,8 @@
   ACK_FIELDS = 4
 };
 
-/* Parses one msgpack value; free it with msgpack_unpacked_destroy(), also
-   after a failure.  */
+/* Parses one msgpack value.  The caller frees @msg with
+   msgpack_unpacked_destroy(), also after a failure.  */
 static bool
 parse (const void *data, size_t len, msgpack_unpacked *msg)
 {
@@ -115,19 +116,20 @@
 }
 
 void
-mm_search_result_pack (msgpack_sbuffer *b, const mm_search_result *c)
+mm_search_result_pack (msgpack_sbuffer *b, const mm_search_result *result)
 {
   msgpack_packer pk;
   msgpack_packer_init (&pk, b, msgpack_sbuffer_write);
   msgpack_pack_array (&pk, RESULT_FIELDS);
-  msgpack_pack_uint32 (&pk, c->present);
-  msgpack_pack_array (&pk, c->clear_upstreams->len);
-  for (guint i = 0; i < c->clear_upstreams->len; i++)
-    msgpack_pack_uint64 (&pk, g_array_index (c->clear_upstreams, uint64_t, i));
-  msgpack_pack_array (&pk, c->ends->len);
-  for (guint i = 0; i < c->ends->len; i++)
+  msgpack_pack_uint32 (&pk, result->present);
+  msgpack_pack_array (&pk, result->clear_upstreams->len);
+  for (guint i = 0; i < result->clear_upstreams->len; i++)
+    msgpack_pack_uint64 (&pk,
+                         g_array_index (result->clear_upstreams, uint64_t, i));
+  msgpack_pack_array (&pk, result->ends->len);
+  for (guint i = 0; i < result->ends->len; i++)
     {
-      const mm_found_end *e = &g_array_index (c->ends, mm_found_end, i);
+      const mm_found_end *e = &g_array_index (result->ends, mm_found_end, i);
       msgpack_pack_array (&pk, END_FIELDS);
       mm_mp_pack_task (&pk, &e->task);
       msgpack_pack_int (&pk, e->how);
--- a/src/mm_kept_wire.h
+++ b/src/mm_kept_wire.h
@@ -1,18 +1,22 @@
 /* mm_kept_wire: msgpack encoding of the requests and notifications about kept
    jobs that instances send to each other.
 
-     REQUEST_SUBMIT   a record (mm_job_record)
-                      -> [status, phase, pending, retry_after_s]
-     REQUEST_STATE    the job's id      -> the same
-     REQUEST_CANCEL   the job's id      -> the same
-     REQUEST_PENDING  the queue's name  -> the same
-     REQUEST_FOREIGN  the job's id      -> the same; BUSY when the instance is
-                                           not confirmed as the job's home
-     REQUEST_SEARCH   [[job, step, index], ...]
-                      -> [present, [upstream hash, ...],
-                          [[job, step, index, how, run hash], ...]]
+   Most requests are answered with a mm_kept_answer, packed as
+   [status, phase, pending, retry_after_s].  The data of each message:
+
+     REQUEST_SUBMIT   a packed mm_job_record  -> mm_kept_answer
+     REQUEST_STATE    the job's id            -> mm_kept_answer
+     REQUEST_CANCEL   the job's id            -> mm_kept_answer
+     REQUEST_PENDING  the queue's name        -> mm_kept_answer
+     REQUEST_FOREIGN  the job's id            -> mm_kept_answer; BUSY when the
+                        instance is not confirmed as the job's home
+     REQUEST_SEARCH   a task set: [[job, step, index], ...]
+                      -> a mm_search_result: [present, [upstream hash, ...],
+                         [[job, step, index, how, run hash], ...]]
      NOTIFY_ENDED     the id of a job whose ends no home will request
-     NOTIFY_ACKS      [[job, step, index, run hash], ...]  */
+     NOTIFY_ACKS      ends that are stored: [[job, step, index, run hash], ...]
+
+   Ids and names are sent as plain bytes, not as msgpack.  */
 #ifndef MM_KEPT_WIRE_H
 #define MM_KEPT_WIRE_H
 
@@ -21,6 +25,7 @@
 
 #include <msgpack.h>
 
+/* Kinds of messages; the values are sent.  */
 typedef enum
 {
   MM_KEPT_REQUEST_SUBMIT = 1,
@@ -33,6 +38,7 @@
   MM_KEPT_NOTIFY_ENDED = 8
 } mm_kept_verb;
 
+/* Result of a request; the values are sent.  */
 typedef enum
 {
   MM_KEPT_OK,
@@ -44,6 +50,7 @@
 } mm_kept_status;
 #define MM_KEPT_STATUS_COUNT (MM_KEPT_MOVING + 1)
 
+/* Answer to a request of a caller or of another instance.  */
 typedef struct
 {
   mm_kept_status status;
@@ -55,17 +62,27 @@
 
 void mm_kept_answer_pack (msgpack_sbuffer *b, const mm_kept_answer *a);
 bool mm_kept_answer_read (const void *data, size_t len, mm_kept_answer *out);
-/* A task set holds mm_task_id, which it owns.  */
+
+/* A task set is a hash table whose keys are mm_task_id that it owns; free it
+   with g_hash_table_destroy().  */
 GHashTable *mm_task_set_new (void);
 void mm_task_set_pack (msgpack_sbuffer *b, GHashTable *tasks);
-GHashTable *mm_task_set_read (const void *data, size_t len); /* or NULL */
-void mm_search_result_pack (msgpack_sbuffer *b, const mm_search_result *c);
-/* Adds the contents of @data to @out.  */
+/* Returns NULL when @data is not a valid set.  */
+GHashTable *mm_task_set_read (const void *data, size_t len);
+
+void mm_search_result_pack (msgpack_sbuffer *b,
+                            const mm_search_result *result);
+/* Adds the contents of @data to @out.  Returns false when @data is not valid;
+   a part may have been added then.  */
 bool mm_search_result_read (const void *data, size_t len,
                             mm_search_result *out);
+
+/* The owner names in @acks are not packed.  */
 void mm_end_acks_pack (msgpack_sbuffer *b, const mm_end_ack *acks,
                        size_t count);
-/* Calls @acked for each acknowledged end.  @hash: mm_run_hash().  */
+/* Calls @acked for each acknowledged end.  @hash: mm_run_hash().  Returns
+   false when @data is not valid; @acked was called for the ends before the
+   first invalid one.  */
 bool mm_end_acks_read (const void *data, size_t len,
                        void (*acked) (void *ctx, const mm_task_id *task,
                                       uint32_t hash),
