--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -3,8 +3,8 @@
 
    A job is accepted when its record is stored, and reported as ended when its
    outcome is stored.  In between its progress is stored from time to time.
-   Ends that are not stored yet stay listed at the upstreams, where the next
-   home finds them (mm_task_search).  */
+   Ends of tasks that are not stored yet stay listed at the upstreams, where
+   the next home finds them (mm_task_search).  */
 #include "mm_home.h"
 
 #include "config.h"
@@ -29,12 +29,14 @@
   char id[MM_JOB_ID_MAX + 1];
   mm_job_record *rec;
   mm_kept_run *run; /* NULL when the job has ended or is not accepted yet */
-  GList *waiters;
-  bool stored;                 /* the record has been stored at least once */
-  mm_job_phase reported_phase; /* the phase that callers are given */
+  GList *waiters;   /* waiter, in the order of arrival */
+  bool stored;      /* the record has been stored at least once */
+  mm_job_phase reported_phase; /* the phase that callers are given, except
+                                  that phase_of() adds "running" */
   mm_time_ms received_ms;      /* when the job arrived at this home */
   mm_time_ms ended_ms;         /* when the outcome was stored, 0: not yet */
-  mm_time_ms progress_due_ms;  /* when to store progress, 0: no progress */
+  mm_time_ms progress_due_ms;  /* when to store the progress, 0: there is none
+                                  to store */
 } job;
 
 struct mm_home
@@ -44,14 +46,15 @@
   mm_fleet *fleet;
   mm_home_events ev;
   mm_job_log *log;
-  bool loaded;    /* all stored jobs have been read */
-  bool may_start; /* whether tasks may be started, as of the last tick */
-  bool fenced;
-  GHashTable *jobs;       /* id -> job */
+  bool loaded;      /* all stored jobs have been read */
+  bool may_start;   /* whether tasks may be started, as of the last tick */
+  bool fenced;      /* superseded, or being destroyed: writes that end find no
+                       job */
+  GHashTable *jobs; /* id -> job */
   GHashTable *unfinished; /* set of the jobs whose outcome is not stored */
   GQueue *ended;          /* jobs whose outcome is stored, oldest first */
   mm_read_barrier *read_barrier; /* requests about unknown jobs */
-  uint32_t n_open_jobs;
+  uint32_t n_open_jobs;          /* jobs that have not ended */
 };
 
 /* A record that is being written to the store.  */
@@ -62,8 +65,8 @@
   GArray *acks; /* mm_end_ack of the ends in the record, or NULL */
 } pending_write;
 
-/* Answers the waiters whose time expires by @expired_by_ms; G_MAXINT64 answers
-   all of them.  */
+/* Answers the waiters whose time has expired at @expired_by_ms; G_MAXINT64
+   answers all of them.  */
 static void
 answer_waiters (job *j, mm_kept_status status, mm_time_ms expired_by_ms)
 {
@@ -86,6 +89,8 @@
     }
 }
 
+/* Answers a request about the job once a record of the job is stored, or as in
+   doubt after MM_KEPT_STORE_TIMEOUT_MS.  */
 static void
 add_waiter (job *j, mm_kept_answered answered, void *ctx)
 {
@@ -106,6 +111,7 @@
   g_free (j);
 }
 
+/* Adds a job to the home.  Takes @rec.  */
 static job *
 job_create (mm_home *h, const char *id, mm_job_record *rec)
 {
@@ -121,6 +127,7 @@
   return j;
 }
 
+/* The outcome of the job is stored: it is kept for MM_KEPT_OUTCOME_TTL_MS.  */
 static void
 set_ended (job *j)
 {
@@ -129,6 +136,7 @@
   g_queue_push_tail (j->home->ended, j);
 }
 
+/* The context of a write of the job's record as it is now.  */
 static pending_write *
 pending_write_create (const job *j)
 {
@@ -139,9 +147,9 @@
   return w;
 }
 
-/* Frees @w after the write has ended, and reports the ends in the record as
-   stored if it has succeeded.  Returns the job that was written, NULL when the
-   job is no longer here or the write has failed.  */
+/* Frees @w after the write has ended.  If the write has succeeded, reports the
+   ends in the record as stored.  Returns the job that was written, NULL when
+   the job is no longer here or the write has failed.  */
 static job *
 pending_write_finish (pending_write *w, bool ok)
 {
@@ -171,6 +179,8 @@
                   on_progress_stored, pending_write_create (j));
 }
 
+/* Gives the outcome to the callers.  Only the tasks of a completed job have
+   all ended: for another job ev.ended drops the ends that nobody stores.  */
 static void
 on_outcome_stored (void *ctx, bool ok)
 {
@@ -205,6 +215,8 @@
                   on_outcome_stored, w);
 }
 
+/* Schedules a write that also covers the progress of the next
+   MM_KEPT_PROGRESS_DELAY_MS.  */
 static void
 on_progress (void *ctx)
 {
@@ -219,6 +231,8 @@
   end_job (ctx, phase);
 }
 
+/* Starts or continues an accepted job.  @taken_over: an earlier home accepted
+   the job, and its tasks may be running.  */
 static void
 start_run (job *j, bool taken_over)
 {
@@ -234,6 +248,8 @@
 
 /* ---- opening ---------------------------------------------------------- */
 
+/* Takes over a job that an earlier home has stored.  An invalid record is
+   logged and skipped.  */
 static void
 on_record (void *ctx, const mm_record *r)
 {
@@ -322,6 +338,7 @@
 
 /* ---- callers ---------------------------------------------------------- */
 
+/* The record of a new job is stored: the job is accepted and starts.  */
 static void
 on_accept_stored (void *ctx, bool ok)
 {
@@ -342,6 +359,7 @@
   start_run (j, false);
 }
 
+/* Refuses a new job; @why is for the log.  */
 static void
 refuse (mm_home *h, const mm_job_record *rec, const char *why,
         uint32_t retry_after_s, mm_kept_answered answered, void *ctx)
@@ -376,8 +394,8 @@
  * @ctx: for @answered.
  *
  * A job that is submitted again under the same id is not run again.  While the
- * store does not answer no job can be accepted, and the caller is refused at
- * once.
+ * store does not answer, no job can be accepted, and @answered is called with
+ * MM_KEPT_BUSY at once.
  */
 void
 mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_answered answered,
@@ -413,6 +431,8 @@
   mm_job_record_destroy (rec);
 }
 
+/* The phase that callers are given.  A job counts as running as soon as one of
+   its tasks has started, before that is stored.  */
 static mm_job_phase
 phase_of (const job *j)
 {
@@ -440,6 +460,7 @@
 {
   mm_kept_answer a;
   mm_home_state (h, job_id, &a);
+  /* A longer id cannot have been accepted at any home.  */
   bool valid_id = strlen (job_id) <= MM_JOB_ID_MAX;
   if (a.status == MM_KEPT_NO_JOB && valid_id)
     {
@@ -497,8 +518,8 @@
 
 /* ---- time ------------------------------------------------------------- */
 
-/* Drops outcomes that are older than MM_KEPT_OUTCOME_TTL_MS: callers do not
-   request them any more.  */
+/* Drops the outcomes that were stored MM_KEPT_OUTCOME_TTL_MS ago: callers do
+   not request them any more.  */
 static void
 drop_expired_outcomes (mm_home *h, mm_time_ms now)
 {
@@ -512,6 +533,8 @@
     }
 }
 
+/* Answers expired waiters, stores progress that is due, and dispatches the
+   waiting tasks if @may_start.  */
 static void
 tick_job (job *j, mm_time_ms now, bool may_start)
 {
--- a/src/mm_home.h
+++ b/src/mm_home.h
@@ -7,29 +7,36 @@
 
 typedef struct mm_home mm_home;
 
+/* Callbacks to the creator of a home.  */
 typedef struct
 {
   /* These ends are stored: the owners may acknowledge them to the upstreams,
      which then forget them.  */
   void (*stored) (void *ctx, const GArray *acks /* mm_end_ack */);
-  /* The outcome of a job that ended before all of its tasks had is stored: no
-     home will request the ends of its tasks any more.  */
+  /* The outcome of a job that failed or was cancelled is stored.  Some of its
+     tasks may not have ended; no home will request their ends.  */
   void (*ended) (void *ctx, const char *job_id);
-  /* Another instance has become the home; @h must be destroyed.  */
+  /* Another instance has become the home: the store has refused a record of
+     @h, which must be destroyed, but not during this call.  */
   void (*fenced) (void *ctx, mm_home *h);
   void *ctx;
 } mm_home_events;
 
-/* @epoch: the generation at which this instance was assigned the partition;
-   the store refuses records of homes with a lower one.  */
+/* Opens a home and reads the stored jobs.  @epoch: the fencing token of the
+   partition; the store then refuses records with a lower one.  @store and @ev
+   are copied, @fleet must outlive the home.  */
 mm_home *mm_home_create (const mm_store_port *store, mm_fleet *fleet,
                          uint32_t partition, uint64_t epoch,
                          const mm_home_events *ev);
-/* Stops tasks that run; ends that are not stored yet stay listed
-   at the upstreams.  */
+/* Stops the tasks that run, and answers the waiting requests.  Ends that are
+   not stored yet stay listed at the upstreams.  */
 void mm_home_destroy (mm_home *h);
 uint64_t mm_home_epoch (const mm_home *h);
-/* Accepts a new job.  Takes @rec.  */
+
+/* Requests about a job of the partition.  The answer is MM_KEPT_MOVING until
+   the stored jobs have been read.  */
+
+/* Accepts a new job, or refuses it.  Takes @rec.  */
 void mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_answered answered,
                      void *ctx);
 /* The job's state as this instance knows it.  */
@@ -38,15 +45,20 @@
    that this instance is still the home.  */
 void mm_home_confirm_state (mm_home *h, const char *job_id,
                             mm_kept_answered answered, void *ctx);
+/* Cancels a job that has not ended; answers once the outcome is stored.  */
 void mm_home_cancel (mm_home *h, const char *job_id, mm_kept_answered answered,
                      void *ctx);
+
 /* Number of accepted jobs of a queue that have not started.  */
 uint32_t mm_home_pending (const mm_home *h, const char *queue);
 /* Call each MM_EXEC_TICK_MS.  @may_start: tasks may be dispatched.  */
 void mm_home_tick (mm_home *h, bool may_start);
-bool mm_home_idle (const mm_home *h); /* nothing runs or waits to be stored */
+/* Whether no task is at an owner and no record waits to be stored.  */
+bool mm_home_idle (const mm_home *h);
+/* Number of jobs that have not ended.  */
 uint32_t mm_home_open_jobs (const mm_home *h);
-/* Adds copies of the tasks in doubt to a mm_task_set.  */
+/* Adds copies of the tasks that have been in doubt for MM_KEPT_LEASE_LAPSE_MS
+   to a mm_task_set.  */
 void mm_home_in_doubt (const mm_home *h, GHashTable *tasks);
 /* Records the end of a run that a search has found; @owner: the peer that
    reported it, NULL for this instance.  */
--- a/src/mm_home_directory.c
+++ b/src/mm_home_directory.c
@@ -11,16 +11,16 @@
 
 struct mm_home_directory
 {
-  int refs; /* one of the creator, one per call in flight */
-  bool closed;
+  int refs;    /* one of the creator, one per call in flight */
+  bool closed; /* mm_home_directory_destroy() was called */
   mm_store_port port;
   mm_mesh *mesh;
   mm_predecessors *predecessors; /* borrowed */
   char *self;                    /* member name of this instance */
   uint32_t n_partitions;
-  char **home; /* member name for each partition, NULL: not known */
-  bool in_flight;
-  mm_time_ms poll_due_ms;
+  char **home;            /* member name for each partition, NULL: not known */
+  bool in_flight;         /* a call to the store is not answered yet */
+  mm_time_ms poll_due_ms; /* when to send the next call */
   mm_time_ms last_poll_ms; /* when the last call was sent */
   mm_time_ms last_used_ms; /* when a home was last needed, 0: not within
                               MM_KEPT_HOMES_IDLE_MS */
@@ -92,6 +92,8 @@
     mm_mesh_require_link (h->mesh, member);
 }
 
+/* Replaces the homes by those in the store's answer, and adds the instances to
+   the mesh.  */
 static void
 on_members (const mm_members_result *res, void *ctx)
 {
--- a/src/mm_job_log.c
+++ b/src/mm_job_log.c
@@ -2,7 +2,8 @@
 
    An append without an answer may have been executed, or may be executed
    later.  It is resent with the same sequence number until it is answered, and
-   later records wait.  The store executes each sequence number once.  */
+   later records wait meanwhile.  The store executes each sequence number
+   once.  */
 #include "mm_job_log.h"
 
 #include "config.h"
@@ -11,11 +12,12 @@
 
 #include <string.h>
 
+/* A record that is not stored yet.  */
 typedef struct
 {
   mm_record record;
-  mm_job_log_done done;
-  void *ctx;
+  mm_job_log_done done; /* may be NULL */
+  void *ctx;            /* for @done */
 } entry;
 
 typedef enum
@@ -28,8 +30,8 @@
 
 struct mm_job_log
 {
-  int refs; /* one of the creator, one per call in flight */
-  bool closed;
+  int refs;    /* one of the creator, one per call in flight */
+  bool closed; /* mm_job_log_close() was called */
   mm_store_port port;
   mm_job_log_events ev;
   uint32_t partition;
@@ -40,8 +42,9 @@
   GQueue *entries;  /* records to be written, in order */
   guint n_sending;  /* leading entries that are in the unanswered append */
   bool in_flight;   /* a call to the store is not answered yet */
-  bool in_contact;
-  mm_time_ms failing_since_ms; /* 0: the last call has succeeded */
+  bool in_contact;  /* the last call has succeeded */
+  mm_time_ms failing_since_ms; /* when the first call failed after the last
+                                  success, 0: none has failed since */
   mm_time_ms pause_ms; /* pause between appends, 0: the store refuses none */
   mm_time_ms next_call_ms; /* no call is sent before this time */
 };
@@ -78,6 +81,8 @@
     }
 }
 
+/* Gives up all records.  Whether those in the last append are stored is not
+   known.  */
 static void
 become_fenced (mm_job_log *l)
 {
@@ -89,6 +94,8 @@
     l->ev.fenced (l->ev.ctx);
 }
 
+/* The last append was executed.  An append without records, which announces
+   the epoch, uses up no sequence number.  */
 static void
 on_appended (mm_job_log *l)
 {
@@ -101,8 +108,9 @@
     l->stage = STAGE_READING;
 }
 
-/* Returns how long to wait before the next call when the last append ended
-   with @last_verdict; 0: no wait.  */
+/* Returns how long to wait before the next call; 0: no wait.  @last_verdict is
+   the outcome of the last append.  Doubles the pause between appends after a
+   refused one, and shortens it by an eighth after one that succeeded.  */
 static mm_time_ms
 delay_after (mm_job_log *l, mm_append_verdict last_verdict)
 {
@@ -124,6 +132,7 @@
   return 0;
 }
 
+/* Records whether a call has succeeded; @why: reason of the failure.  */
 static void
 record_contact (mm_job_log *l, bool ok, const char *why)
 {
@@ -146,8 +155,9 @@
     become_fenced (l);
   else if (res->verdict == MM_APPEND_OUT_OF_SEQ)
     {
-      /* When the store expects the number after this append's, an earlier
-         transmission of the append was executed.  */
+      /* If the store expects the number after that of this append, an earlier
+         transmission of the append was executed.  Otherwise the append is sent
+         again with the number that the store expects.  */
       if (res->expected_seq == l->seq + 1 && l->n_sending)
         on_appended (l);
       else
@@ -155,6 +165,8 @@
     }
 }
 
+/* Handles the answer to an append, and sends the next one unless it must
+   wait.  */
 static void
 on_append (const mm_append_result *res, void *ctx)
 {
@@ -169,6 +181,8 @@
   log_unref (l);
 }
 
+/* Handles a page of stored records.  The log is open after the last page,
+   which names no key to continue after.  */
 static void
 on_records (const mm_records_result *res, void *ctx)
 {
@@ -212,6 +226,8 @@
     }
 }
 
+/* Sends the batch again that has no answer yet, or else a new one.  While the
+   epoch is being announced, the append holds no records.  */
 static void
 send_append (mm_job_log *l)
 {
@@ -296,8 +312,8 @@
   e->done = done;
   e->ctx = ctx;
   g_queue_push_tail (l->entries, e);
-  /* While a page of stored records is being read, a tick would request the
-     page again.  */
+  /* The home may queue records while it is given a page of stored records.  A
+     tick would then request the same page again.  */
   if (l->stage == STAGE_OPEN)
     mm_job_log_tick (l);
 }
--- a/src/mm_job_log.h
+++ b/src/mm_job_log.h
@@ -1,7 +1,7 @@
 /* mm_job_log: one partition of kept jobs in the store, written by its home.
 
    Opening the log first announces the home's epoch, so that the store refuses
-   all earlier writers, and then reads the stored records.  */
+   records of all earlier homes, and then reads the stored records.  */
 #ifndef MM_JOB_LOG_H
 #define MM_JOB_LOG_H
 
@@ -9,10 +9,13 @@
 
 typedef struct mm_job_log mm_job_log;
 
+/* Callbacks to the home.  */
 typedef struct
 {
-  void (*record) (void *ctx, const mm_record *r); /* a stored record */
-  void (*opened) (void *ctx); /* all stored records have been read */
+  /* A stored record was read; @r is valid only during the call.  */
+  void (*record) (void *ctx, const mm_record *r);
+  /* All stored records have been read: records can be written from now on.  */
+  void (*opened) (void *ctx);
   /* Another home has the partition; nothing more is written.  */
   void (*fenced) (void *ctx);
   void *ctx;
@@ -25,7 +28,8 @@
                              uint64_t epoch, const mm_job_log_events *ev);
 /* Calls the outstanding @done callbacks with false.  */
 void mm_job_log_close (mm_job_log *l);
-/* Queues a record.  Takes @value; NULL drops the key.  @done may be NULL.  */
+/* Queues a record under @key, a job id.  Takes @value; NULL drops the key.
+   @done may be NULL.  */
 void mm_job_log_put (mm_job_log *l, const char *key, GBytes *value,
                      mm_job_log_done done, void *ctx);
 void mm_job_log_tick (mm_job_log *l); /* each MM_EXEC_TICK_MS */
--- a/src/mm_job_record.c
+++ b/src/mm_job_record.c
@@ -7,6 +7,7 @@
 #include "mm_msgpack.h"
 #include "mm_submission_codec.h"
 
+/* Lengths of the arrays that encode one value.  */
 enum
 {
   RECORD_FIELDS = 8,
@@ -119,6 +120,8 @@
   return true;
 }
 
+/* Decodes the fields of a record that only a job that has not ended has:
+   submission and progress.  @f: the fields of the record.  */
 static bool
 unpack_job (const msgpack_object *f, mm_job_record *r)
 {
--- a/src/mm_keyed_log.c
+++ b/src/mm_keyed_log.c
@@ -1,5 +1,5 @@
-/* mm_keyed_log: the history in an array, the newest record of each key in a
-   tree.  */
+/* mm_keyed_log: keeps the history in an array, and a copy of the newest record
+   of each key in a tree.  */
 #include "mm_keyed_log.h"
 
 #include <string.h>
@@ -8,8 +8,8 @@
 {
   GArray *history;       /* mm_keyed_record, oldest first */
   uint64_t first_offset; /* offset of the first record of the history */
-  uint64_t end_offset;   /* offset of the next record */
-  GTree *newest;         /* key -> mm_keyed_record */
+  uint64_t end_offset;   /* offset of the record that is put next */
+  GTree *newest;         /* key -> mm_keyed_record, without dropped keys */
 };
 
 static void
--- a/src/mm_submission_codec.c
+++ b/src/mm_submission_codec.c
@@ -1,15 +1,16 @@
 /* mm_submission_codec: a job is encoded as [id, payload, [step, ...]], and a
    step as [count, cpu_milli, mem_mb, gpus, estimate_ms, payload, once, label,
-   data_label, [after, ...]], where each "after" is the number of a step that
-   must end first.
+   data_label, [after, ...]], where each "after" is the index of a step that
+   must be done first.
 
-   Fields of kinds of jobs that are not served are left out: jobs that
-   mm_submission_unsupported_reason() rejects are not encoded.  */
+   Fields that only unsupported kinds of jobs have are left out, as a job that
+   mm_submission_unsupported_reason() rejects is not encoded.  */
 #include "mm_submission_codec.h"
 
 #include "config.h"
 #include "mm_msgpack.h"
 
+/* Lengths of the arrays that encode one value.  */
 enum
 {
   JOB_FIELDS = 3,
@@ -45,6 +46,7 @@
     pack_step (pk, &s->steps[i]);
 }
 
+/* Rejects a step that depends on itself or on a later one.  */
 static bool
 unpack_dependencies (const msgpack_object *o, uint32_t step_number, mm_step *s)
 {
--- a/src/mm_task_search.c
+++ b/src/mm_task_search.c
@@ -1,5 +1,6 @@
-/* mm_task_search: searches for tasks in doubt at all owners, in one round of
-   requests at a time.  No result is carried over to the next round.  */
+/* mm_task_search: searches for tasks in doubt at all owners.  One round of
+   requests is under way at a time, and no result is carried over to the
+   next.  */
 #include "mm_task_search.h"
 
 #include "config.h"
@@ -7,8 +8,8 @@
 
 struct mm_task_search
 {
-  int refs; /* one of the creator, one per outstanding request */
-  bool closed;
+  int refs;    /* one of the creator, one per outstanding request */
+  bool closed; /* mm_task_search_destroy() was called */
   mm_mesh *mesh;
   const mm_owner *owner;
   const mm_catalog *catalog;
@@ -16,16 +17,17 @@
   GHashTable *tasks;           /* the tasks of this round, NULL: no round */
   GHashTable *clear_upstreams; /* uint64_t mm_upstream_hash(): none of the
                                   tasks runs there */
-  uint32_t n_present;          /* tasks found waiting or running */
-  bool complete;               /* the catalog named every upstream */
+  uint32_t n_present; /* tasks found waiting or running in this round */
+  bool complete; /* the catalog names every upstream that may run a task */
   uint32_t outstanding; /* requests not answered yet, plus one while they are
                            being sent */
 };
 
+/* A request to one peer.  */
 typedef struct
 {
   mm_task_search *search;
-  char *peer;
+  char *peer; /* member name of the instance */
 } search_request;
 
 mm_task_search *
@@ -70,6 +72,8 @@
   return s->tasks != NULL;
 }
 
+/* Adds what one owner knows to the round, and reports the ends at once.
+   @owner: the peer that answered, NULL for this instance.  */
 static void
 add_result (mm_task_search *s, const mm_search_result *result,
             const char *owner)
@@ -85,6 +89,8 @@
                owner);
 }
 
+/* Whether an owner has answered for every upstream of the catalog that none of
+   the tasks runs there.  */
 static bool
 all_upstreams_clear (const mm_task_search *s)
 {
@@ -100,6 +106,7 @@
   return all;
 }
 
+/* Reports that no run is left, if the answers of this round show it.  */
 static void
 end_round (mm_task_search *s)
 {
@@ -115,8 +122,10 @@
   search_request *req = ctx;
   mm_task_search *s = req->search;
   mm_search_result result = mm_search_result_init ();
-  /* A round can succeed without the answer of a peer: the peer's upstreams are
-     reported by their present owner, or stay missing from clear_upstreams.  */
+  /* Without the answer of a peer a round can still succeed: it does if other
+     instances own the peer's upstreams now and answer for them.  Otherwise
+     these upstreams are missing from clear_upstreams, and the tasks stay in
+     doubt.  */
   if (!s->closed && ok && mm_search_result_read (data, len, &result))
     add_result (s, &result, req->peer);
   mm_search_result_clear (&result);
@@ -128,6 +137,7 @@
   search_unref (s);
 }
 
+/* Sends the tasks of the round to all peers.  */
 static void
 send_requests (mm_task_search *s)
 {
@@ -157,7 +167,8 @@
   s->n_present = 0;
   s->complete = list_fresh;
   g_hash_table_remove_all (s->clear_upstreams);
-  /* Owners need not be neighbours, so link to all known instances.  */
+  /* Owners need not be neighbours, so links to all known instances are needed.
+     A link that opens during this round serves the next one.  */
   mm_mesh_require_link (s->mesh, NULL);
   s->outstanding = 1;
   mm_search_result local = mm_search_result_init ();
