--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -169,6 +169,8 @@
   pending_write_finish (ctx, ok);
 }
 
+/* Stores the job's progress so far, and with it the ends that are to be
+   acknowledged.  */
 static void
 store_progress (job *j)
 {
@@ -285,6 +287,7 @@
                 MM_INT (g_hash_table_size (h->jobs)), MM_INT (h->n_open_jobs));
 }
 
+/* Another home has the partition: its jobs may differ from those here.  */
 static void
 on_fenced (void *ctx)
 {
--- a/src/mm_home.h
+++ b/src/mm_home.h
@@ -31,6 +31,7 @@
 /* Stops the tasks that run, and answers the waiting requests.  Ends that are
    not stored yet stay listed at the upstreams.  */
 void mm_home_destroy (mm_home *h);
+/* The epoch that the home was created with.  */
 uint64_t mm_home_epoch (const mm_home *h);
 
 /* Requests about a job of the partition.  The answer is MM_KEPT_MOVING until
@@ -39,10 +40,10 @@
 /* Accepts a new job, or refuses it.  Takes @rec.  */
 void mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_answered answered,
                      void *ctx);
-/* The job's state as this instance knows it.  */
+/* Sets @out to the job's state as this instance knows it.  */
 void mm_home_state (mm_home *h, const char *job_id, mm_kept_answer *out);
-/* The same, but "no such job" is answered only once the store has confirmed
-   that this instance is still the home.  */
+/* Answers with the job's state; with MM_KEPT_NO_JOB only once the store has
+   confirmed that this instance is still the home.  */
 void mm_home_confirm_state (mm_home *h, const char *job_id,
                             mm_kept_answered answered, void *ctx);
 /* Cancels a job that has not ended; answers once the outcome is stored.  */
--- a/src/mm_job_log.c
+++ b/src/mm_job_log.c
@@ -144,6 +144,8 @@
   mm_store_record_contact (&l->in_contact, ok, "kept jobs", why);
 }
 
+/* Handles the outcome of the last append and decides when the next call may be
+   sent.  */
 static void
 handle_verdict (mm_job_log *l, const mm_append_result *res)
 {
--- a/src/mm_kept.h
+++ b/src/mm_kept.h
@@ -24,11 +24,12 @@
 typedef struct
 {
   mm_store_port store;
-  mm_mesh *mesh;
-  mm_fleet *fleet;
-  mm_owner *owner;
-  const mm_catalog *catalog;
-  mm_predecessors *predecessors;
+  mm_mesh *mesh;             /* links to the other instances */
+  mm_fleet *fleet;           /* dispatches tasks to the owners of upstreams */
+  mm_owner *owner;           /* the upstreams that this instance owns */
+  const mm_catalog *catalog; /* the upstream list */
+  mm_predecessors *predecessors; /* removes previous incarnations of this
+                                    instance from the group */
   const char *member;    /* member name of this instance in groups; copied */
   uint32_t n_partitions; /* number of partitions of kept jobs */
 } mm_kept_deps;
@@ -48,8 +49,8 @@
 /* Answers with the phase of a job, or with MM_KEPT_NO_JOB.  */
 void mm_kept_state (mm_kept *k, const char *job_id, mm_kept_answered answered,
                     void *ctx);
-/* Cancels a job that has not ended.  The answer holds the job's phase and is
-   given once the outcome is stored.  */
+/* Cancels a job that has not ended.  Answers with the job's phase once the
+   outcome is stored, or with MM_KEPT_NO_JOB.  */
 void mm_kept_cancel (mm_kept *k, const char *job_id, mm_kept_answered answered,
                      void *ctx);
 /* Counts the accepted jobs of a queue that have not started, at all homes; the
@@ -60,8 +61,8 @@
 /* Call each MM_EXEC_TICK_MS.  @list_fresh: the catalog names every upstream
    that may run a task.  */
 void mm_kept_tick (mm_kept *k, bool list_fresh);
-/* Whether tasks are in doubt, so that the complete list of upstreams is
-   needed to search for them.  */
+/* Whether tasks in doubt can be searched for now, for which the complete
+   upstream list is needed.  */
 bool mm_kept_needs_upstream_list (const mm_kept *k);
 /* Stops starting tasks, and leaves the group once no task of a kept job runs
    here, at the latest after MM_HANDOVER_MS.  */
