--- a/src/config.h
+++ b/src/config.h
@@ -4,22 +4,22 @@
 #ifndef MM_CONFIG_H
 #define MM_CONFIG_H
 
-/* Mechanisms of a node; 0 switches one off.  scripts/ablate.py builds and
-   measures a node without each of them, and docs/DECISIONS.md gives the
+/* Mechanisms of an instance; 0 switches one off.  scripts/ablate.py builds and
+   measures an instance without each of them, and docs/DECISIONS.md gives the
    results.  */
 #define MM_WITH_ADMISSION 1 /* refuse jobs whose answer would be too late */
-#define MM_WITH_COST 1 /* estimate waits from cost of tasks, not run time */
+#define MM_WITH_COST 1 /* estimated waits include runs that were not done */
 #define MM_WITH_PRIORITY 1    /* admission ignores tasks of lower priority */
-#define MM_WITH_PATIENCE 1    /* late repeated calls only get free capacity */
+#define MM_WITH_PATIENCE 1    /* jobs sent again too late do not queue */
 #define MM_WITH_SPREAD_ANEW 1 /* tasks that wait long try another owner */
 #define MM_WITH_TRUST 1       /* circuit breaker: exclude failing upstreams */
 #define MM_WITH_SPEED 1       /* prefer fast upstreams */
-#define MM_WITH_TIGHT_FIT 1   /* then those with the least free capacity */
-#define MM_WITH_NEAR_DATA 1   /* prefer the rack of the data above all */
+#define MM_WITH_TIGHT_FIT 1   /* if equally fast, prefer the tightest fit */
+#define MM_WITH_NEAR_DATA 1   /* prefer the rack of the data to speed */
 #define MM_WITH_PROGRESS 1    /* stop tasks that make no progress */
 #define MM_WITH_RTO 1         /* timeouts adapt to the measured answer times */
 #define MM_WITH_LOSSY_HOLDS 1 /* shorter holds while answers get lost */
-#define MM_WITH_RUN_AGAIN 1   /* repeat tasks in doubt once they have ended */
+#define MM_WITH_RUN_AGAIN 1   /* run tasks in doubt again after their end */
 #define MM_WITH_ADOPTION 1 /* the next owner of an upstream keeps its runs */
 #define MM_WITH_STANDBY 1  /* serve data centres without instances */
 #define MM_WITH_PREDECESSORS 1  /* remove previous incarnations from groups */
@@ -30,7 +30,7 @@
 
 /* Entry instance.  */
 #define MM_DEFAULT_ENTRY_PORT 7100          /* HTTP port for callers */
-#define MM_DEFAULT_MAX_TASKS_PER_JOB 290    /* largest job that is accepted */
+#define MM_DEFAULT_MAX_TASKS_PER_JOB 290    /* larger jobs are refused */
 #define MM_DEFAULT_MAX_BODY_BYTES (4 << 20) /* largest request body; fixed */
 #define MM_DEFAULT_TASK_DEADLINE_MS 10000   /* for tasks without one; fixed */
 #define MM_DEFAULT_RETRY_BUDGET 2           /* retries per task */
@@ -41,10 +41,12 @@
 #define MM_DEFAULT_MEMBER_POLL_MS 500 /* between polls of the member list */
 #define MM_DEFAULT_CONFIG_POLL_MS 200 /* between polls of the config */
 #define MM_DEFAULT_HEARTBEAT_MS 500   /* between heartbeats to the platform */
-#define MM_DEFAULT_EJECT_AFTER_FAILURES 5 /* consecutive failures */
-#define MM_DEFAULT_EJECT_MS 5000          /* length of the first ejection */
+/* After so many consecutive failures an upstream is ejected: it gets no tasks
+   for a while.  */
+#define MM_DEFAULT_EJECT_AFTER_FAILURES 5
+#define MM_DEFAULT_EJECT_MS 5000  /* length of the first ejection */
 #define MM_EJECT_MAX_DOUBLINGS 4u /* longest ejection: 16 times the first */
-#define MM_DEFAULT_MAX_QUEUED_TASKS 20000  /* more are refused */
+#define MM_DEFAULT_MAX_QUEUED_TASKS 20000  /* further tasks are refused */
 #define MM_DEFAULT_UPSTREAM_SLOTS 8        /* for upstreams that report none */
 #define MM_DEFAULT_UPSTREAM_CONNECTIONS 60 /* connections per upstream */
 
@@ -56,15 +58,18 @@
 #define MM_SHARD_TAKE_BURST 3 /* takeover attempts, then wait for a tick */
 /* An instance that has been up for longer saw the earlier owners of shards. */
 #define MM_WITNESS_UPTIME_MS 15000
-#define MM_VERIFY_TIMEOUT_MS 300 /* after it, "not run" is not claimed */
+/* Timeout of the check with the log whether a shard is still owned here.
+   While that is not confirmed, no answer states that a task was not run.  */
+#define MM_VERIFY_TIMEOUT_MS 300
 /* Once the member list is unchanged for this long, shards are moved to the
    owners that it gives.  */
 #define MM_PEERS_SETTLE_MS 1000
 /* After an instance loses a shard, it does not take the shard over again for
    this long.  */
 #define MM_SHARD_HOLD_DOWN_MS 2000
-#define MM_SHARD_TICK_MS 150   /* between retries, takeovers and pings */
-#define MM_CONTACT_LOST_MS 500 /* calls fail this long: no contact */
+#define MM_SHARD_TICK_MS 150 /* between retries, takeovers and pings */
+/* The platform is out of contact once calls have failed for this long.  */
+#define MM_CONTACT_LOST_MS 500
 /* No member is removed from the list this soon after an outage.  */
 #define MM_LIST_GRACE_MS 3000
 /* Without contact for this long, and with no vote from a peer, an instance
@@ -72,10 +77,11 @@
 #define MM_CONTACT_ALONE_MS 1500
 #define MM_VOTE_VALID_MS 1000 /* age up to which the vote of a peer counts */
 #define MM_PEER_PING_TIMEOUT_MS 400 /* a slower peer has no vote */
-#define MM_PEER_SUSPECT_MS 3000     /* no request to a peer after it failed */
+#define MM_PEER_SUSPECT_MS 3000     /* a peer that failed is not called */
 #define MM_FORWARD_MAX_HOPS 3       /* then the job runs where it is */
 #define MM_RELEASE_LIMIT_MS 1500 /* a shutdown waits this long for the log */
-#define MM_FORWARD_SLACK_MS 500  /* wait for an answer after the deadline */
+/* The answer of a forwarded job is awaited this long after its deadline.  */
+#define MM_FORWARD_SLACK_MS 500
 #define MM_FENCE_TIMEOUT_MS 1000 /* for the report of an upstream on a job */
 #define MM_RECOVER_POLL_MS 100   /* between polls for tasks that still run */
 
@@ -118,7 +124,7 @@
    are seen up to this much later then.  */
 #define MM_UNACKED_POLL_MS 40
 #define MM_HOLD_RETRY_MS 200 /* between holds without an answer */
-/* The first retries in a row do not wait.  */
+/* Holds are retried at once until this many have failed in a row.  */
 #define MM_HOLD_IMMEDIATE_RETRIES 3u
 /* Delay after which ends of an idle upstream are acknowledged.  */
 #define MM_ACK_DELAY_MS 300
@@ -131,8 +137,9 @@
 /* The longest timeout after late answers.  A caller that waits for one of
    eight tasks can wait little longer than this.  */
 #define MM_RTO_LATE_MAX_MS 300
-#define MM_ORDER_BYTES 600u /* of an upstream call without its payload */
-#define MM_CALL_LATE_MS 500 /* an overdue answer is still received */
+#define MM_ORDER_BYTES 600u /* size of an upstream call without payload */
+/* After the timeout of a call, its answer is still received for this long.  */
+#define MM_CALL_LATE_MS 500
 /* Late answers of two upstreams within this time have a common cause, such as
    the link or the processor of this instance.  */
 #define MM_RTO_COMMON_CAUSE_MS 1000
@@ -140,7 +147,8 @@
    this long, as what delays the answers recurs.  */
 #define MM_RTO_FLOOR_TTL_MS 5000
 /* Time added to the end of a lease as estimated for the clock of the upstream:
-   2 % of a lease for a slow clock, and the error of the estimate.  */
+   2 % of a lease for a slow clock, and the rest for the error of the
+   estimate.  */
 #define MM_LEASE_SLACK_MS 60
 /* The monotonic clock of an upstream is slow by no more than this.  */
 #define MM_CLOCK_SLOW_PERCENT 2
@@ -159,7 +167,7 @@
 #define MM_BREAKER_FAILURES 3u
 /* How long the circuit breaker stays open the first time.  */
 #define MM_BREAKER_OPEN_MS 1000
-#define MM_BREAKER_MAX_DOUBLINGS 3u /* longest: 8 times the first */
+#define MM_BREAKER_MAX_DOUBLINGS 3u /* longest time: 8 times the first */
 /* Weight of one run in an upstream's slowness.  */
 #define MM_SLOWNESS_GAIN 0.2
 /* Weight of one task in the average task size.  */
@@ -169,7 +177,9 @@
 #define MM_PLACEMENT_SPEED_STEP 0.25
 
 /* Poison tasks, which crash their upstreams (mm_suspects).  */
-#define MM_SUSPECTS_CRASHES 2u     /* crashes after which a task is given up */
+/* A task is given up after this many crashes, or after one more if it ran
+   beside other tasks each time.  */
+#define MM_SUSPECTS_CRASHES 2u
 #define MM_SUSPECTS_MAX 512u       /* lost upstreams that are remembered */
 #define MM_SUSPECTS_TASKS_MAX 64u  /* tasks remembered for each of them */
 #define MM_SUSPECTS_KEEP_MS 600000 /* a crash counts this long */
@@ -180,8 +190,8 @@
 /* The queue of an owner (mm_owner).  */
 /* A pass through the queue ends after so many tasks that do not fit.  */
 #define MM_OWNER_MAX_MISSES 16u
-/* Share of runs that are done.  A lower share says nothing about the cost of
-   a task.  */
+/* Least share of done runs with which the cost of a task is computed.  A lower
+   share says nothing about that cost.  */
 #define MM_MIN_DONE_SHARE 0.2
 #define MM_PRIORITY_LEVELS 4u /* distinguished in capacity reports */
 
@@ -191,21 +201,21 @@
 /* Longest pause between the messages of each side of a link.  */
 #define MM_MESH_HEARTBEAT_MS 150
 /* A link without a message for this long is closed, and runs here for the
-   tasks of that peer are stopped.  That is well before their callers send
-   them again, 1,300 ms after their connections broke.  */
+   tasks of that peer are stopped.  That is well before the callers of these
+   tasks send their jobs again, 1,300 ms after their connections broke.  */
 #define MM_MESH_TIMEOUT_MS 600
-#define MM_MESH_RECONNECT_MS 250 /* between attempts */
+#define MM_MESH_RECONNECT_MS 250 /* between attempts to connect */
 /* Shortest pause between capacity reports over one link, when the capacity
    changes.  */
 #define MM_MESH_REPORT_MS 25
-/* Capacity reports over all links together, about.  Of all costs that grow
-   with the number of links, writing reports is the largest.  */
+/* Approximate rate of capacity reports over all links together.  Of all costs
+   that grow with the number of links, writing reports is the largest.  */
 #define MM_MESH_REPORTS_PER_S 240
-/* Links that an instance opens.  They are enough to find free capacity for
-   any number of instances.  */
+/* Links that an instance opens.  They are enough to find free capacity,
+   however many instances there are.  */
 #define MM_NEIGHBOURS_NEAR 10u    /* in its own data centre */
 #define MM_NEIGHBOURS_FAR 6u      /* in all other data centres together */
-#define MM_NEIGHBOURS_FAR_EACH 2u /* in any one of these */
+#define MM_NEIGHBOURS_FAR_EACH 2u /* in any one other data centre */
 /* For this long after a link is lost, its instance is tried after all others.
    Most restarts take less.  */
 #define MM_NEIGHBOUR_LOST_MS 2000
@@ -214,7 +224,8 @@
 #define MM_NEIGHBOUR_NEW_MS 5000
 /* A link is kept for this long after it was last needed.  */
 #define MM_MESH_LINK_KEEP_MS 10000
-#define MM_NEIGHBOURS_CHECK_MS 500 /* longest time between choices */
+/* The neighbours are chosen again at least this often.  */
+#define MM_NEIGHBOURS_CHECK_MS 500
 
 /* Time over which the least delay of a link is taken as typical.  */
 #define MM_QUEUE_DELAY_WINDOW_MS 30000
@@ -224,9 +235,9 @@
 /* Time from caller to instance to upstream and back, with the handling of
    calls.  */
 #define MM_OVERHEAD_MS 15
-/* Expected wait while no upstream has an owner in contact: a handover takes at
-   most this long.  After the death of an owner it is 1.5 s, which few jobs
-   can wait.  */
+/* Expected wait while no upstream has an owner in contact: a handover of which
+   other instances are not notified takes at most this long.  After the death
+   of an owner it is 1.5 s, which few jobs can wait.  */
 #define MM_NO_OWNER_WAIT_MS 500
 #define MM_RETRY_AFTER_NO_CAPACITY_S 1 /* no free capacity in time */
 /* Answers are of use up to 3 times the objective of their queue.  */
@@ -255,9 +266,10 @@
 /* The store sends no more than this in one answer.  */
 #define MM_STORE_ANSWER_MAX_BYTES (1u << 20)
 #define MM_STORE_ANSWER_TYPICAL_BYTES (128u << 10)
-/* A reader that is more than this many times the number of keys behind reads
-   the newest record of each key again.  These come with some text around
-   each, and below this factor the missed records are less to read.  */
+/* A reader that has missed more records than this many times the number of
+   keys reads the newest record of each key again.  The store sends some text
+   around each of these newest records, so that below this factor the missed
+   records are less to read.  */
 #define MM_STREAM_BEHIND_FACTOR 2u
 /* How long a read of the configuration waits at the store.  A configuration
    must be in force 2 s after it is published.  A waiting read gets it at
@@ -277,7 +289,8 @@
    upstream writes to the list more often than that.  */
 #define MM_LIST_OWN_READS_MS 5000
 #define MM_STREAM_CONTACT_MS 1500 /* in contact this long after an answer */
-#define MM_LIST_BEHIND_MS 3000 /* logged when not read to its end for this */
+/* A list that was not read to its end for this long is logged.  */
+#define MM_LIST_BEHIND_MS 3000
 /* An entry that is missing for longer is dropped.  Entries that were missing
    because of an outage come back within 2 s.  */
 #define MM_LIST_DROP_MS 2500
@@ -292,17 +305,19 @@
 #define MM_GROUP_FAST_POLL_FOR_MS (MM_GROUP_TTL_MS + MM_GROUP_HEARTBEAT_MS)
 /* A starting instance joins a group once it knows whether its previous
    incarnation is still a member; after the partitions are reassigned, the
-   store may not name that one any more.  The instance waits for this long at
-   most: a call takes 4 ms, and 0.2 to 0.4 s when the store is slow.  */
+   store may not name that incarnation any more.  The instance waits for this
+   long at most: a call takes 4 ms, and 0.2 to 0.4 s when the store is
+   slow.  */
 #define MM_PREDECESSORS_WAIT_MS 100
 /* For this long after a confirmed join, no other instance owns the partitions
    of this one.  The rest of the TTL is for calls that are under way.  */
 #define MM_GROUP_CONFIRMED_MS 1000
 #define MM_MEMBERS_POLL_MS 3000   /* between reads of the list of instances */
-#define MM_MEMBERS_FIRST_POLLS 4u /* the number of first reads at a start */
-#define MM_MEMBERS_FIRST_POLL_MS 100 /* between these */
-#define MM_MEMBERS_FAR_PER_POLL 4u   /* other data centres read each time */
-/* Runs may end within this time before their upstream is handed over.  */
+#define MM_MEMBERS_FIRST_POLLS 4u /* first reads of that list at a start */
+#define MM_MEMBERS_FIRST_POLL_MS 100 /* between these first reads */
+/* Other data centres whose list of instances is read at a time.  */
+#define MM_MEMBERS_FAR_PER_POLL 4u
+/* A handover waits this long at most for the runs on the upstream to end.  */
 #define MM_HANDOVER_MS 2500
 /* The next owner of an upstream notifies the other instances of the runs that
    it found there, and stops those that none of them claims within this time.
@@ -359,7 +374,9 @@
 /* Longest wait of a task at an owner; less than MM_GROUP_TTL_MS minus
    MM_GROUP_CONFIRMED_MS.  */
 #define MM_KEPT_START_WITHIN_MS 200
-/* The longest lease on a clock that is 2 % slow, and calls under way.  */
+/* After this time the lease of a task in doubt has lapsed, even if the clock
+   of its upstream is 2 % slow and the call that renewed the lease took long.
+ */
 #define MM_KEPT_LEASE_LAPSE_MS 1100
 #define MM_KEPT_SEARCH_PAUSE_MS 250 /* between searches for tasks in doubt */
 /* The outcomes of kept jobs are kept for this long; 120 s are required.  */
@@ -386,8 +403,8 @@
 #define MM_DEFAULT_MESH_PORT 7402
 #define MM_DEFAULT_STATE_PORT 7403
 #define MM_DEFAULT_PARTITIONS 16
-#define MM_DEFAULT_GRACE_MS 6000 /* from SIGTERM to the kill */
-#define MM_DEFAULT_LINK_MBPS 1000.0
+#define MM_DEFAULT_GRACE_MS 6000    /* from SIGTERM to the kill */
+#define MM_DEFAULT_LINK_MBPS 1000.0 /* of the machine's link */
 #define MM_RECONCILE_MS 500 /* longest pause between checks of ownership */
 
 #define MM_MAX_CALLER_TIMEOUT_MS 3600000 /* longest caller timeout */
@@ -404,7 +421,7 @@
 #define MM_LOG_RATE_HIGH 200u /* of failures and changes of state */
 #define MM_LOG_RATE_LOW 40u   /* of routine events */
 
-/* The context of a job begins this long before the job.  */
+/* masticctl explain shows the context of a job from this long before it.  */
 #define MM_EXPLAIN_BEFORE_MS 3000
 
 /* Stand-ins (mm_run_table).  */
@@ -430,7 +447,8 @@
 /* Delay until a standby takes over.  A link that was only reset is back
    within it.  */
 #define MM_STANDBY_AFTER_MS 100
-/* The instances of the data centre are restarted or replaced by then.  */
+/* No standby takes over later than this after the last link to the data centre
+   was lost: its instances are restarted or replaced by then.  */
 #define MM_STANDBY_FORGET_MS 20000
 
 #endif /* MM_CONFIG_H */
--- a/src/mm_task.c
+++ b/src/mm_task.c
@@ -1,4 +1,4 @@
-/* mm_task: resource arithmetic and task ids.  */
+/* mm_task: resource arithmetic, task ids and the names of outcomes.  */
 #include "mm_task.h"
 
 #include <string.h>
--- a/src/mm_task.h
+++ b/src/mm_task.h
@@ -1,4 +1,5 @@
-/* mm_task: resources of a task, its id, and the outcome of a run.  */
+/* mm_task: resources of a task, its id, the outcome of a run, and the request
+   to run a task.  */
 #ifndef MM_TASK_H
 #define MM_TASK_H
 
@@ -26,10 +27,11 @@
 typedef struct
 {
   char job[MM_JOB_ID_MAX + 1];
-  uint32_t step;  /* step of the job */
-  uint32_t index; /* of the task within its step */
+  uint32_t step;  /* number of the step in the job, from 0 */
+  uint32_t index; /* number of the task in its step, from 0 */
 } mm_task_id;
 
+/* Functions for a GHashTable whose keys are mm_task_id.  */
 guint mm_task_id_hash (gconstpointer id);
 gboolean mm_task_id_equal (gconstpointer a, gconstpointer b);
 
@@ -40,10 +42,10 @@
   MM_END_FAILED,  /* ran and failed */
   MM_END_STOPPED, /* stopped by an order, on request or as a precaution */
   MM_END_LOST,    /* upstream or lease is gone; certainly not running */
-  MM_END_NOT_RUN, /* returned, never started */
+  MM_END_NOT_RUN, /* returned by the owner, never started */
   MM_END_UNKNOWN  /* in doubt: may run for the rest of its lease */
 } mm_end;
-#define MM_END_COUNT (MM_END_UNKNOWN + 1)
+#define MM_END_COUNT (MM_END_UNKNOWN + 1) /* number of values of mm_end */
 
 const char *mm_end_name (mm_end end); /* such as "done" */
 
@@ -55,21 +57,22 @@
   mm_task_id id;
   const char *service;        /* service of the upstreams that may run it */
   const char *payload;        /* opaque to the dispatcher */
-  const char *label;          /* label that an upstream must have, or NULL */
+  const char *label;          /* label that the upstream must have, or NULL */
   const char *data_label;     /* label of upstreams near its data, or NULL */
   const char *avoid_upstream; /* name of an upstream not to use, or NULL */
   mm_resources resources;
   bool kept;                /* of a kept job: its home acknowledges its end */
   bool isolated;            /* suspected of crashing its upstreams */
-  uint32_t attempt;         /* earlier failed attempts */
+  uint32_t attempt;         /* number of earlier attempts that failed */
   uint32_t priority;        /* 0 is the highest */
   mm_time_ms estimate_ms;   /* declared run time, not binding */
   mm_time_ms waited_ms;     /* time spent in queues so far */
   mm_time_ms due_within_ms; /* ms from now; orders tasks of equal priority */
   mm_time_ms start_within_ms; /* ms from now; after that returned as not run */
-  const char *running_at; /* upstream where it runs already: adopt; or NULL */
-  uint32_t run;           /* with running_at: its run number there */
-  mm_time_ms ran_ms;      /* with running_at: run time so far */
+  /* Upstream where the task runs already, to be adopted there; or NULL.  */
+  const char *running_at;
+  uint32_t run;      /* with running_at: its run number there */
+  mm_time_ms ran_ms; /* with running_at: run time so far */
 } mm_task_request;
 
 #endif /* MM_TASK_H */
--- a/src/mm_upstream_info.h
+++ b/src/mm_upstream_info.h
@@ -4,6 +4,7 @@
 
 #include "mm_task.h"
 
+/* What the platform lists of one upstream.  */
 typedef struct
 {
   char *name;            /* of this incarnation; changes with a restart */
@@ -16,6 +17,7 @@
   bool draining;         /* takes no new work */
 } mm_upstream_info;
 
+/* Returns a deep copy; free with mm_upstream_info_free().  */
 mm_upstream_info *mm_upstream_info_copy (const mm_upstream_info *u);
 void mm_upstream_info_free (mm_upstream_info *u);
 
