--- a/src/mm_breaker.c
+++ b/src/mm_breaker.c
@@ -31,6 +31,7 @@
   b->on_trial = true;
 }
 
+/* While the breaker is half-open, one task at a time may run.  */
 bool
 mm_breaker_allows (mm_breaker *b, size_t running, mm_time_ms now_ms)
 {
--- a/src/mm_breaker.h
+++ b/src/mm_breaker.h
@@ -4,14 +4,15 @@
 
 #include "masticmill.h"
 
-/* The breaker is closed while excluded_until_ms is 0, open until that time,
-   and half-open after it.  */
+/* The breaker of one upstream.  It is closed while excluded_until_ms is 0,
+   open until that time, and half-open after it.  */
 typedef struct
 {
   uint32_t consecutive_failures; /* reset to 0 by a success */
   uint32_t doublings;            /* of the time for which it opens next */
   mm_time_ms excluded_until_ms;  /* open until this time, 0: closed */
-  bool on_trial;                 /* half-open: one task at a time */
+  /* Open or half-open: no success since it opened.  */
+  bool on_trial;
 } mm_breaker;
 
 /* Records whether a run at the upstream succeeded (@ok).  */
--- a/src/mm_exec.c
+++ b/src/mm_exec.c
@@ -282,10 +282,15 @@
           mm_exec_finish_run (r, MM_END_NOT_RUN, "upstream changed");
           break;
         }
+      /* A run with this number or a higher one has ended there.  Doubling
+         finds an unused number within a few attempts.  */
       r->number *= 2;
       send_start (r);
       break;
     case MM_CALL_NO_ANSWER:
+      /* The order may still be carried out.  The run is stopped, and its end
+         is reported once the upstream lists it or the run is certain not to
+         exist.  */
       r->phase = RUN_IN_DOUBT;
       record_unanswered (r, "start");
       mm_exec_become_suspect (x, "start", v);
@@ -317,6 +322,7 @@
     }
 }
 
+/* Logs a start that was answered after the upstream began to drain.  */
 static void
 log_if_draining (const mm_exec_run *r, mm_call_verdict v)
 {
@@ -347,6 +353,7 @@
   /* A hold may have listed the run before this answer arrived.  */
   if (r->phase == RUN_ORDERED)
     {
+      /* From now on the start does not count as open.  */
       r->phase = RUN_IN_DOUBT;
       on_start_verdict (r, res->verdict);
     }
@@ -437,7 +444,7 @@
 /**
  * mm_exec_stop() - stop a run.
  * @x: the session.
- * @work: as given to mm_exec_start(). The end of its run is reported.
+ * @work: as given to mm_exec_start(). The end of its run is reported later.
  */
 void
 mm_exec_stop (mm_exec *x, void *work)
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -48,7 +48,7 @@
 /* The end of a run in the answer to a hold.  */
 typedef struct
 {
-  uint64_t seq; /* increases within an incarnation */
+  uint64_t seq; /* sequence number; increases within an incarnation */
   mm_task_id task;
   uint32_t run;
   mm_end how;
@@ -70,22 +70,24 @@
 {
   const mm_task_id *task;
   uint32_t run;
-  const char *payload;
-  uint64_t fence;
-  mm_time_ms deadline_ms; /* void after this time of the upstream's clock */
+  const char *payload;    /* of the task; NULL for a stop */
+  uint64_t fence;         /* fencing token of the session */
+  mm_time_ms deadline_ms; /* a start is void after this time of the upstream's
+                             clock; 0 for a stop */
   bool new_connection;    /* use a new connection */
-  mm_time_ms timeout_ms;
+  mm_time_ms timeout_ms;  /* how long to wait for the answer */
 } mm_order;
 
 /* A call that renews the leases of all runs and lists runs and ends.  */
 typedef struct
 {
-  uint64_t fence;
+  uint64_t fence;         /* fencing token of the session */
   uint64_t acked_seq;     /* the upstream may forget ends up to this one */
-  mm_time_ms deadline_ms; /* new lease of all runs, 0: do not renew */
+  mm_time_ms deadline_ms; /* new end of all leases on the upstream's clock,
+                             0: do not renew */
   mm_time_ms wait_ms;     /* wait this long for an end before answering */
   bool new_connection;    /* use a new connection */
-  mm_time_ms timeout_ms;
+  mm_time_ms timeout_ms;  /* how long to wait for the answer */
 } mm_hold;
 
 /* An end that the upstream lists until it is acknowledged.  */
@@ -94,7 +96,7 @@
   mm_task_id task;
   uint32_t run;
   mm_end how;
-  uint64_t seq;
+  uint64_t seq;             /* sequence number in the upstream's list */
   mm_time_ms first_seen_ms; /* when this instance first saw it */
   bool foreign;             /* the run was started by an earlier owner */
 } mm_unacked_end;
@@ -120,7 +122,8 @@
 /* Notifications from a session to its owner.  */
 typedef struct
 {
-  /* The run @run of a task has ended; @why says how this was found out.  */
+  /* The run @run of the task with the handle @work has ended, @ran_ms after
+     its start order; @why says how this was found out.  */
   void (*run_ended) (void *ctx, mm_exec *x, void *work, uint32_t run,
                      mm_end how, mm_time_ms ran_ms, const char *why);
   /* Capacity became free, or the session became usable.  */
@@ -169,7 +172,8 @@
 void mm_exec_update (mm_exec *x, const mm_upstream_info *u);
 void mm_exec_tick (mm_exec *x);         /* call each MM_EXEC_TICK_MS */
 bool mm_exec_usable (const mm_exec *x); /* may be sent a start */
-/* Usable, or only suspect for a moment: its capacity still counts.  */
+/* Returns whether the upstream's capacity counts in reports: also while it is
+   not usable for a moment, because it is suspect or has foreign runs.  */
 bool mm_exec_in_service (const mm_exec *x);
 bool mm_exec_fenced (const mm_exec *x); /* another instance owns it */
 bool mm_exec_idle (const mm_exec *x);   /* has no runs */
@@ -187,8 +191,8 @@
 size_t mm_exec_count_in_doubt (const mm_exec *x);
 const mm_upstream_info *mm_exec_info (const mm_exec *x);
 uint64_t mm_exec_fence (const mm_exec *x);
-void mm_exec_start (mm_exec *x, const mm_task_request *t,
-                    void *work);            /* must fit */
+/* Orders the start of a task, which must fit the free capacity.  */
+void mm_exec_start (mm_exec *x, const mm_task_request *t, void *work);
 void mm_exec_stop (mm_exec *x, void *work); /* the run ends as stopped */
 /* Continues a foreign run as the run of this task.  Return: false when the
    run has ended or is being stopped.  */
@@ -198,13 +202,14 @@
    has no answer yet.  */
 uint32_t mm_exec_detach (mm_exec *x, void *work, mm_time_ms *ran_ms);
 double mm_exec_slowness (const mm_exec *x); /* run time / estimate */
-/* Ends that are not acknowledged yet.  */
+/* Ends that are not acknowledged yet; valid until the session changes.  */
 const mm_unacked_end *mm_exec_unacked_ends (const mm_exec *x, size_t *n);
 /* Acknowledges the end at index @i of mm_exec_unacked_ends().  */
 void mm_exec_ack_end (mm_exec *x, size_t i);
-/* Ends of this job's runs no longer wait for its home's acknowledgement.  */
+/* Ends of this job's runs no longer wait for an acknowledgement.  */
 void mm_exec_forget_job (mm_exec *x, const char *job_id);
-bool mm_exec_runs_confirmed (const mm_exec *x); /* the runs there are known */
+/* Returns whether the runs on the upstream are known.  */
+bool mm_exec_runs_confirmed (const mm_exec *x);
 /* Number of runs of @tasks, a set of mm_task_id.  */
 uint32_t mm_exec_count_runs_of (const mm_exec *x, GHashTable *tasks);
 
--- a/src/mm_exec_hold.c
+++ b/src/mm_exec_hold.c
@@ -26,6 +26,7 @@
     }
 }
 
+/* Sends stops again that got no answer before this tick.  */
 static void
 resend_due_stops (mm_exec *x)
 {
@@ -153,14 +154,15 @@
 {
   if (!x->hold_failed_ms || now <= x->leases_expire_ms + MM_LEASE_SLACK_MS)
     return;
+  /* Reported once: runs_known is false until the upstream answers again.  */
   if (x->runs_known)
     x->ev.upstream_lost (x->ev.ctx, x, false);
   GList *runs = g_hash_table_get_values (x->runs);
   for (GList *l = runs; l && !x->closed; l = l->next)
     {
       mm_exec_run *r = l->data;
-      /* A run whose start got no answer is included, as it may have run; one
-         whose start is still open is not.  */
+      /* A run whose start got no answer is ended too, as it may have run.  A
+         run whose start is still open is not.  */
       if (r->phase == RUN_ORDERED)
         continue;
       /* The run may have ended before its lease expired, and the upstream
@@ -187,6 +189,7 @@
   return false;
 }
 
+/* Returns how long a hold waits for an end: less while answers get lost.  */
 static mm_time_ms
 hold_wait_ms (const mm_exec *x, mm_time_ms now)
 {
@@ -201,7 +204,8 @@
  *
  * While there are runs, one hold is always waiting at the upstream. After a
  * hold without an answer, the next one does not renew the leases: while only
- * the answers are lost, leases must not be renewed for ever.
+ * the answers are lost, leases must not be renewed for ever. Once nothing
+ * runs on an upstream that answers, a hold is sent only to acknowledge ends.
  */
 void
 mm_exec_tick (mm_exec *x)
--- a/src/mm_exec_http.c
+++ b/src/mm_exec_http.c
@@ -9,12 +9,13 @@
   const mm_exec_wire *wire;
 };
 
+/* A call whose final answer has not come yet.  */
 typedef struct
 {
   const mm_exec_wire *wire;
-  mm_call_done call_done;
-  mm_hold_done hold_done;
-  void *ctx;
+  mm_call_done call_done; /* of a start or stop, else NULL */
+  mm_hold_done hold_done; /* of a hold, else NULL */
+  void *ctx;              /* for the callback */
 } pending_call;
 
 static mm_call_verdict
--- a/src/mm_exec_http.h
+++ b/src/mm_exec_http.h
@@ -15,6 +15,7 @@
   const char *hold_path;
   const char *upstream_header; /* names the incarnation that is called */
   const char *clock_field;     /* in every answer with a body */
+  /* Bodies of an order and of a hold; the caller frees them.  */
   cJSON *(*order_body) (const mm_order *o);
   cJSON *(*hold_body) (const mm_hold *h);
   /* Reads an answer whose status is not 200; returns MM_CALL_NO_ANSWER when
@@ -23,12 +24,14 @@
   const char *running_field; /* array of rows in the answer to a hold */
   const char *ended_field;   /* likewise */
   size_t max_ended; /* maximum rows of ends in one answer, 0: no limit */
+  /* Read one row; return false when it is invalid.  */
   bool (*read_running) (const cJSON *row, mm_listed_run *out);
   bool (*read_ended) (const cJSON *row, mm_listed_end *out);
 } mm_exec_wire;
 
 /* Reads the lists in the answer to a hold.  Allocates both lists of @out,
-   which the caller frees with g_free() also after a failure.  */
+   which the caller frees with g_free() also after a failure.  Returns false
+   when a list or a row is invalid.  */
 bool mm_exec_wire_read_lists (const mm_exec_wire *wire, const cJSON *body,
                               mm_hold_result *out);
 
@@ -37,6 +40,7 @@
 mm_exec_http *mm_exec_http_create (mm_http_client *client,
                                    const mm_exec_wire *wire);
 void mm_exec_http_destroy (mm_exec_http *x);
+/* The functions for mm_exec_create(); @x must outlive their use.  */
 mm_exec_port mm_exec_http_port (mm_exec_http *x);
 
 #endif /* MM_EXEC_HTTP_H */
--- a/src/mm_exec_lists.c
+++ b/src/mm_exec_lists.c
@@ -6,6 +6,8 @@
 #include "mm_event.h"
 #include "mm_metrics.h"
 
+/* Updates the upstream's slowness from a run that is done.  Adopted runs are
+   left out, as their start times are inexact.  */
 static void
 update_slowness (mm_exec *x, const mm_exec_run *r)
 {
@@ -22,15 +24,16 @@
 static void
 keep_end (mm_exec *x, const mm_listed_end *e, bool foreign)
 {
-  mm_unacked_end h = { .task = e->task,
-                       .run = e->run,
-                       .how = e->how,
-                       .seq = e->seq,
-                       .first_seen_ms = mm_clock_now_ms (),
-                       .foreign = foreign };
-  g_array_append_val (x->unacked, h);
+  mm_unacked_end end = { .task = e->task,
+                         .run = e->run,
+                         .how = e->how,
+                         .seq = e->seq,
+                         .first_seen_ms = mm_clock_now_ms (),
+                         .foreign = foreign };
+  g_array_append_val (x->unacked, end);
 }
 
+/* Processes the list of ends; skips ends that earlier lists had.  */
 static void
 process_ends (mm_exec *x, const mm_hold_result *res)
 {
@@ -42,6 +45,8 @@
       x->seen_seq = e->seq;
       mm_exec_run *r = g_hash_table_lookup (x->runs, &e->task);
       bool own_run = r && r->number == e->run && !r->foreign;
+      /* Whether the job of a foreign run is a kept job is not known here, so
+         its end is treated as one of a kept job.  */
       if (!own_run || r->kept)
         keep_end (x, e, !own_run);
       if (!r || r->number != e->run)
@@ -109,6 +114,7 @@
   x->ev.upstream_unhealthy (x->ev.ctx, x);
 }
 
+/* Processes the list of running tasks; adds their runs to the set @present. */
 static void
 process_running (mm_exec *x, const mm_hold_result *res, GHashTable *present)
 {
--- a/src/mm_exec_priv.h
+++ b/src/mm_exec_priv.h
@@ -21,19 +21,22 @@
   mm_resources resources;
   void *work; /* the owner's handle, NULL once reported or detached */
   mm_exec_phase phase;
-  bool foreign;       /* started by an earlier owner, not adopted */
-  bool adopted;       /* was foreign: its start time is inexact */
-  bool kept;          /* of a kept job: its end waits for acknowledgement */
-  bool stop_wanted;   /* by the owner, or because the start had no answer */
-  bool stop_by_owner; /* ends as MM_END_STOPPED, not MM_END_NOT_RUN */
-  bool start_in_flight;
-  bool stop_in_flight;
-  uint64_t running_event;       /* when it was first confirmed, 0: never */
-  uint64_t stop_answered_event; /* 0: not answered */
-  mm_time_ms ordered_ms; /* start ordered; foreign: found; adopted: started */
-  mm_time_ms sent_ms;    /* when the last start order was sent */
-  mm_time_ms estimate_ms;
-  int32_t percent;
+  bool foreign; /* started by an earlier owner, not adopted */
+  bool adopted; /* was foreign: its start time is inexact */
+  bool kept;    /* of a kept job: its end waits for acknowledgement */
+  /* Set by the owner, or because the start had no answer, the task is stalled
+     or the run was not adopted.  */
+  bool stop_wanted;
+  bool stop_by_owner;   /* ends as MM_END_STOPPED, not MM_END_NOT_RUN */
+  bool start_in_flight; /* a start order has no answer yet */
+  bool stop_in_flight;  /* a stop order has no answer yet */
+  /* Event numbers (mm_exec.last_event).  */
+  uint64_t running_event;       /* first confirmed as running, 0: never */
+  uint64_t stop_answered_event; /* stop order was answered, 0: not yet */
+  mm_time_ms ordered_ms;  /* start ordered; foreign: found; adopted: started */
+  mm_time_ms sent_ms;     /* when the last start order was sent */
+  mm_time_ms estimate_ms; /* declared run time of the task */
+  int32_t percent;        /* last reported progress, negative: not reported */
   mm_time_ms progress_ms; /* when the percentage last changed */
   char *payload;          /* kept to send the start again */
   bool gone;              /* removed from the table, a call is still open */
@@ -41,15 +44,15 @@
 
 struct mm_exec
 {
-  int refs; /* one for the owner, one for each open call */
-  bool closed;
-  mm_upstream_info *info;
+  int refs;    /* one for the owner, one for each open call */
+  bool closed; /* destroyed by its owner; open calls are still answered */
+  mm_upstream_info *info; /* latest list entry of the upstream */
   uint64_t fence;
   mm_exec_port port;
   mm_exec_events ev;
-  GHashTable *runs; /* mm_task_id -> run */
-  mm_resources used;
-  uint32_t n_foreign;
+  GHashTable *runs;   /* mm_task_id -> run */
+  mm_resources used;  /* sum over all runs */
+  uint32_t n_foreign; /* number of foreign runs */
   bool runs_known;  /* a hold has listed the runs; false again after a loss */
   bool fence_known; /* the upstream knows our fencing token */
   bool suspect;     /* the last call got no answer or a bad one */
@@ -57,33 +60,37 @@
   bool fenced;      /* another instance owns the upstream */
   bool gone;        /* another incarnation has replaced this one */
   int holds_in_flight;
-  uint64_t last_event;           /* counter that orders calls and answers */
-  mm_time_ms start_sent_ms;      /* of the last start, 0: none */
-  mm_time_ms hold_sent_ms;       /* of the last hold */
-  uint64_t processed_hold_event; /* when the newest processed hold was sent */
-  mm_time_ms hold_failed_ms;     /* of the last hold, 0: it did not fail */
-  mm_time_ms leases_expire_ms;   /* on our clock: no run has a longer lease */
-  mm_time_ms unacked_since_ms;   /* first unacknowledged end, 0: none */
-  uint64_t seen_seq;             /* newest end that was seen */
+  /* Number of the last event.  Calls, answers and confirmations of runs are
+     numbered, which shows which of them came first.  */
+  uint64_t last_event;
+  mm_time_ms start_sent_ms; /* of the last start, 0: none */
+  mm_time_ms hold_sent_ms;  /* of the last hold */
+  /* Event number at which the newest hold with processed lists was sent.  */
+  uint64_t processed_hold_event;
+  mm_time_ms hold_failed_ms;   /* of the last hold, 0: it did not fail */
+  mm_time_ms leases_expire_ms; /* on our clock: no run has a longer lease */
+  mm_time_ms unacked_since_ms; /* first unacknowledged end, 0: none */
+  uint64_t seen_seq;           /* sequence number of the newest end seen */
   uint64_t acked_seq;    /* newest end whose acknowledgement was answered */
   GArray *unacked;       /* mm_unacked_end */
   uint32_t holds_failed; /* consecutively */
-  mm_rto rto;
+  mm_rto rto;            /* timeout of the calls to this upstream */
   mm_exec_common *common;
   mm_time_ms last_unanswered_ms; /* last call without an answer, 0: none */
-  bool clock_known;
-  mm_time_ms clock_offset_ms; /* upstream's clock minus ours: upper bound */
-  mm_time_ms clock_offset_set_ms;
-  double slowness; /* average of run time / estimate */
+  bool clock_known; /* an answer has stated the upstream's clock */
+  /* Upstream's clock minus ours: the largest value seen lately.  */
+  mm_time_ms clock_offset_ms;
+  mm_time_ms clock_offset_set_ms; /* when that offset was seen */
+  double slowness;                /* average of run time / estimate */
 };
 
 /* A call to the upstream that is still open.  */
 typedef struct
 {
   mm_exec *exec;
-  mm_exec_run *run; /* NULL for a hold */
-  uint64_t sent_event;
-  uint64_t acked_seq; /* sent with a hold */
+  mm_exec_run *run;    /* NULL for a hold */
+  uint64_t sent_event; /* event number at which it was sent */
+  uint64_t acked_seq;  /* sent with a hold */
   mm_time_ms sent_ms;
   mm_time_ms wait_ms; /* time for which a hold may wait for an end */
 } mm_exec_call;
@@ -92,10 +99,11 @@
 void mm_exec_finish_run (mm_exec_run *r, mm_end how, const char *why);
 void mm_exec_send_stop (mm_exec_run *r,
                         bool new_connection); /* unless one is open */
-void mm_exec_set_running (mm_exec_run *r);    /* by the upstream's answer */
+void mm_exec_set_running (mm_exec_run *r);    /* the upstream confirmed it */
 void mm_exec_become_usable (mm_exec *x);      /* after an answer */
 
-/* Stops placing tasks on the upstream after a call that failed.  */
+/* Stops placing tasks on the upstream after a call that failed.  @what: the
+   call, for the log.  */
 void mm_exec_become_suspect (mm_exec *x, const char *what, mm_call_verdict v);
 /* Ends the session because another owner has taken over.  That owner may stop
    the runs, so they are reported as in doubt, except @refused (or NULL): the
@@ -105,6 +113,7 @@
 /* Renews the leases; returns their end on the upstream's clock.  */
 mm_time_ms mm_exec_lease_deadline (mm_exec *x);
 
+/* Drops a reference; the last one frees the session.  */
 void mm_exec_unref (mm_exec *x);
 
 /* mm_exec_hold.c */
@@ -114,6 +123,7 @@
 void mm_exec_send_hold (mm_exec *x, mm_time_ms wait_ms, bool renew);
 
 /* mm_exec_call.c */
+/* Creates the record of a call that is sent now.  @r: NULL for a hold.  */
 mm_exec_call *mm_exec_call_open (mm_exec *x, mm_exec_run *r);
 /* Frees the call, unless @overdue: a late answer may still follow.  */
 void mm_exec_call_close (mm_exec_call *c, bool overdue);
@@ -124,9 +134,11 @@
    from the lack of an answer.  */
 void mm_exec_record_time (mm_exec *x, const mm_exec_call *c,
                           mm_call_verdict v);
+/* Updates the estimate of the upstream's clock from an answer.  */
 void mm_exec_update_clock (mm_exec *x, const mm_call_result *res);
 
-/* mm_exec_lists.c: the lists in the answer to a hold */
+/* mm_exec_lists.c */
+/* Updates the session's runs from the lists in the answer to a hold.  */
 void mm_exec_process_lists (mm_exec *x, const mm_exec_call *c,
                             const mm_hold_result *res);
 
--- a/src/mm_placement.h
+++ b/src/mm_placement.h
@@ -8,13 +8,16 @@
 typedef struct
 {
   mm_resources free_capacity;
-  bool allowed; /* usable, circuit breaker closed, right service and label */
+  /* The task may start there if it fits: the upstream is usable and has the
+     right service and label, and its circuit breaker allows it.  */
+  bool allowed;
   double slowness;     /* observed run time / estimate, 1: as estimated */
   uint32_t contention; /* weight of the runs beside it: less is better */
   bool near_data;      /* in the rack that holds the task's data */
 } mm_placement_candidate;
 
-/* Index of the best candidate, -1 when none fits.  */
+/* Returns the index of the best of @n candidates for a task that requires
+   @required, -1 when it may start on none.  */
 int mm_placement_choose (const mm_placement_candidate *c, size_t n,
                          const mm_resources *required);
 
--- a/src/mm_rto.c
+++ b/src/mm_rto.c
@@ -63,6 +63,7 @@
   if (r->mean_ms <= 0 || !MM_WITH_RTO)
     return MM_RTO_MAX_MS;
   double rto_ms = r->mean_ms + DEVIATIONS * r->deviation_ms;
+  /* Eight doublings exceed every upper bound.  */
   rto_ms = ldexp (MAX (rto_ms, MM_RTO_MIN_MS), (int)MIN (r->doublings, 8));
   double max_timeout_ms
       = CLAMP (r->max_timeout_ms, MM_RTO_MAX_MS, MM_RTO_LATE_MAX_MS);
@@ -72,7 +73,7 @@
 /**
  * mm_rto_floor_late() - record an answer that came after its timeout.
  * @f: the lower bound of the timeouts of all upstreams.
- * @upstream: the upstream that answered.
+ * @upstream: identifies the upstream that answered.
  * @took_ms: time between the call and the answer.
  * @now_ms: the current time.
  *
@@ -85,13 +86,13 @@
 mm_rto_floor_late (mm_rto_floor *f, const void *upstream, mm_time_ms took_ms,
                    mm_time_ms now_ms)
 {
-  bool shared = f->last_upstream && f->last_upstream != upstream
-                && now_ms - f->last_late_ms < MM_RTO_COMMON_CAUSE_MS;
+  bool common_cause = f->last_upstream && f->last_upstream != upstream
+                      && now_ms - f->last_late_ms < MM_RTO_COMMON_CAUSE_MS;
   f->last_upstream = upstream;
   f->last_late_ms = now_ms;
   double min_timeout_ms
       = MIN (LATE_MARGIN * (double)took_ms, MM_RTO_LATE_MAX_MS);
-  if (!shared || min_timeout_ms < (double)mm_rto_floor_ms (f, now_ms))
+  if (!common_cause || min_timeout_ms < (double)mm_rto_floor_ms (f, now_ms))
     return;
   f->min_timeout_ms = (mm_time_ms)min_timeout_ms;
   f->raised_ms = now_ms;
--- a/src/mm_rto.h
+++ b/src/mm_rto.h
@@ -15,25 +15,28 @@
 {
   double mean_ms;      /* smoothed answer time, 0: no answer yet */
   double deviation_ms; /* smoothed deviation of the answer time */
-  /* Upper bound of the timeout where above MM_RTO_MAX_MS, after late
-     answers.  */
+  /* Upper bound of the timeout where this value is above MM_RTO_MAX_MS.  A
+     late answer raises it, and faster answers lower it again.  */
   double max_timeout_ms;
   uint32_t doublings; /* consecutive calls without an answer */
 } mm_rto;
 
-/* Record how long an answer took, or that a call got no answer.  */
+/* Records how long an answer took that came in time.  */
 void mm_rto_answered (mm_rto *r, mm_time_ms took_ms);
+/* Records that a call got no answer in time.  */
 void mm_rto_unanswered (mm_rto *r);
-void mm_rto_late (mm_rto *r, mm_time_ms took_ms); /* late answer */
-mm_time_ms mm_rto_ms (const mm_rto *r);           /* of the next call */
+/* Records an answer that came after its timeout.  */
+void mm_rto_late (mm_rto *r, mm_time_ms took_ms);
+/* Returns the timeout of the next call.  */
+mm_time_ms mm_rto_ms (const mm_rto *r);
 
 /* Lower bound of the timeouts of all upstreams.  A delay of the answers of
    several upstreams has its cause on our side.  */
 typedef struct
 {
-  const void *last_upstream; /* the upstream whose answer was late */
+  const void *last_upstream; /* identifies that of the last late answer */
   mm_time_ms last_late_ms;   /* when that answer came */
-  mm_time_ms min_timeout_ms; /* 0: none */
+  mm_time_ms min_timeout_ms; /* the lower bound, 0: none */
   mm_time_ms raised_ms;      /* when min_timeout_ms was last set */
 } mm_rto_floor;
 
--- a/src/mm_suspects.c
+++ b/src/mm_suspects.c
@@ -22,7 +22,7 @@
 typedef struct
 {
   char *upstream; /* name of the incarnation */
-  char *addr;
+  char *addr;     /* "ip:port" */
   mm_loss_verdict verdict;
   mm_time_ms unresponsive_since_ms; /* when it stopped answering */
   mm_time_ms verdict_ms;            /* when the verdict was set */
@@ -32,9 +32,9 @@
 struct mm_suspects
 {
   GQueue *losses;     /* loss, oldest first */
-  GHashTable *hashes; /* set of the tasks in all losses */
-  mm_suspects_changed changed;
-  void *ctx;
+  GHashTable *hashes; /* set of the task hashes (uint64_t) in all losses */
+  mm_suspects_changed changed; /* called for each change, or NULL */
+  void *ctx;                   /* for @changed */
 };
 
 static void
@@ -86,6 +86,7 @@
   return XXH3_64bits_withSeed (id->job, strlen (id->job), task);
 }
 
+/* Returns the loss in the form that callbacks get; valid until @l changes.  */
 static mm_loss
 view_of (const loss *l)
 {
@@ -179,8 +180,8 @@
   return l;
 }
 
-/* Returns whether the verdict of @from replaces that of @l.  An upstream that
-   answered again may be lost a second time.  */
+/* Returns whether the verdict of @from replaces that of @l: a later verdict of
+   the same loss, or a second loss of an upstream that had answered again.  */
 static bool
 is_newer (const loss *l, const mm_loss *from)
 {
@@ -211,6 +212,7 @@
       g_array_set_size (l->tasks, 0);
       l->unresponsive_since_ms = from->unresponsive_since_ms;
     }
+  /* An upstream that answers again makes no further tasks suspect.  */
   bool tasks_added
       = l->verdict == MM_LOSS_ALIVE && !newer ? false : add_tasks (l, from);
   if (newer)
@@ -255,6 +257,7 @@
     }
 }
 
+/* Number of losses with this verdict whose upstream ran the task.  */
 static uint32_t
 count_losses (const mm_suspects *s, uint64_t hash, mm_loss_verdict v)
 {
@@ -264,8 +267,9 @@
   return n;
 }
 
-/* After MM_SUSPECTS_CRASHES crashes, a task that always ran beside others may
-   not be the one that caused them: a further crash decides.  */
+/* Returns whether a task with @crashes crashes counts as a poison task.  After
+   MM_SUSPECTS_CRASHES crashes, a task that always ran beside others may not be
+   the one that caused them: a further crash decides.  */
 static bool
 is_poison (const mm_suspects *s, uint64_t hash, uint32_t crashes)
 {
--- a/src/mm_suspects.h
+++ b/src/mm_suspects.h
@@ -10,25 +10,27 @@
 
 #include "mm_upstream_info.h"
 
+/* What is known of a lost upstream.  */
 typedef enum
 {
   MM_LOSS_OPEN,    /* unresponsive: crashed or disconnected */
   MM_LOSS_CRASHED, /* another incarnation is at its address */
   MM_LOSS_ALIVE    /* it answered again, or left as planned */
 } mm_loss_verdict;
-#define MM_LOSS_VERDICT_COUNT (MM_LOSS_ALIVE + 1)
+#define MM_LOSS_VERDICT_COUNT (MM_LOSS_ALIVE + 1) /* number of verdicts */
 
 /* A lost upstream.  */
 typedef struct
 {
   const char *upstream; /* name of the incarnation */
-  const char *addr;
+  const char *addr;     /* "ip:port" */
   mm_loss_verdict verdict;
   mm_time_ms unresponsive_since_ms; /* when it stopped answering */
   const uint64_t *tasks; /* mm_task_hash() of the tasks that ran there */
   size_t n_tasks;
 } mm_loss;
 
+/* How a task may be run.  */
 typedef enum
 {
   MM_SUSPECT_RUN,     /* not suspect */
@@ -44,16 +46,19 @@
 
 mm_suspects *mm_suspects_create (void);
 void mm_suspects_destroy (mm_suspects *s);
+/* Sets the callback for losses that are added or changed.  */
 void mm_suspects_on_changed (mm_suspects *s, mm_suspects_changed changed,
                              void *ctx);
 /* Hash that identifies a task in messages and records of losses.  */
 uint64_t mm_task_hash (const mm_task_id *id);
+/* Records that an upstream was lost with tasks running.  */
 void mm_suspects_record (mm_suspects *s, const mm_loss *l);
 /* Records that this incarnation of an upstream answers.  */
 void mm_suspects_alive (mm_suspects *s, const char *upstream);
 /* Updates losses from an entry of the upstream list: another incarnation at
    the address of a lost upstream proves a crash.  */
 void mm_suspects_listed (mm_suspects *s, const mm_upstream_info *u);
+/* Decides from the recorded losses how a task may be run.  */
 mm_suspect_action mm_suspects_decide (const mm_suspects *s,
                                       const mm_task_id *task);
 /* Returns whether a task of a job may start while @n_isolated suspect tasks of
@@ -65,7 +70,9 @@
                                     const mm_task_id *task);
 /* Names of the upstreams that crashed while they ran the task; g_free().  */
 char *mm_suspects_crashed_names (const mm_suspects *s, const mm_task_id *task);
-size_t mm_suspects_count (const mm_suspects *s); /* without MM_LOSS_ALIVE */
+/* Number of recorded losses without those that are MM_LOSS_ALIVE.  */
+size_t mm_suspects_count (const mm_suspects *s);
+/* Calls @each for every recorded loss.  */
 void mm_suspects_foreach (const mm_suspects *s, mm_suspects_changed each,
                           void *ctx);
 void mm_suspects_tick (mm_suspects *s); /* removes old losses */
