--- a/src/mm_accepted_jobs.c
+++ b/src/mm_accepted_jobs.c
@@ -5,7 +5,7 @@
 typedef struct
 {
   char *job_id;
-  uint64_t fingerprint; /* of the upstreams listed at acceptance */
+  uint64_t fingerprint; /* of the upstream list when it was accepted */
   mm_time_ms added_ms;  /* time of the last mm_accepted_jobs_add() */
   GList *link;          /* its element of mm_accepted_jobs.order */
 } accepted_job;
--- a/src/mm_accepted_jobs.h
+++ b/src/mm_accepted_jobs.h
@@ -1,6 +1,6 @@
 /* mm_accepted_jobs: ids of accepted jobs that this instance does not store:
    jobs that the shard's log lists as accepted by an earlier owner, and jobs
-   that have moved to another instance.  Internal.  */
+   that have moved to another instance.  */
 #ifndef MM_ACCEPTED_JOBS_H
 #define MM_ACCEPTED_JOBS_H
 
@@ -13,8 +13,10 @@
    mm_pool_list_fingerprint() when the job was accepted.  */
 void mm_accepted_jobs_add (mm_accepted_jobs *k, const char *job_id,
                            uint64_t fingerprint, mm_time_ms now);
+/* Returns whether the job is in the set, and sets @fingerprint, unless NULL,
+   to the one given when it was added.  */
 bool mm_accepted_jobs_find (const mm_accepted_jobs *k, const char *job_id,
-                            uint64_t *fingerprint); /* false: not in the set */
+                            uint64_t *fingerprint);
 /* Drops the jobs that were added before the time @before.  */
 void mm_accepted_jobs_expire (mm_accepted_jobs *k, mm_time_ms before);
 uint32_t mm_accepted_jobs_count (const mm_accepted_jobs *k);
--- a/src/mm_admission.c
+++ b/src/mm_admission.c
@@ -17,7 +17,8 @@
  * @chain_ms: declared run time of the longest chain of steps.
  *
  * Return: how long the job can wait for free capacity and still meet its
- * objective, with the overhead of the calls to the upstream subtracted.
+ * objective: the objective less the run time of the chain and MM_OVERHEAD_MS
+ * for the calls to the upstream.
  */
 mm_time_ms
 mm_admission_slack_ms (double stretch, mm_time_ms slo_ms, mm_time_ms chain_ms)
--- a/src/mm_admission.h
+++ b/src/mm_admission.h
@@ -22,16 +22,17 @@
   uint32_t retry_after_s; /* when a refused caller should retry */
 } mm_admission;
 
-/* The objective of a job is @stretch * @chain_ms + @slo_ms.  @chain_ms:
-   declared run time of its longest chain of steps.  */
-/* How long a job can wait and still meet its objective.  */
+/* How long a job can wait and still meet its objective, which is @stretch *
+   @chain_ms + @slo_ms after its submission.  @chain_ms: declared run time of
+   its longest chain of steps.  */
 mm_time_ms mm_admission_slack_ms (double stretch, mm_time_ms slo_ms,
                                   mm_time_ms chain_ms);
-/* How long after its submission a job's answer is of use to the caller.  */
+/* How long after its submission a job's answer is of use to the caller.  The
+   parameters are those of mm_admission_slack_ms().  */
 mm_time_ms mm_admission_useful_ms (double stretch, mm_time_ms slo_ms,
                                    mm_time_ms chain_ms);
-/* How long a job can wait and still be answered while the answer, though
-   late, is of use.  */
+/* How long a job can wait and still be answered while the answer, though late,
+   is of use.  The parameters are those of mm_admission_slack_ms().  */
 mm_time_ms mm_admission_limit_ms (double stretch, mm_time_ms slo_ms,
                                   mm_time_ms chain_ms);
 /* Like mm_admission_limit_ms(), for an objective that is already computed. */
--- a/src/mm_caller_wait.c
+++ b/src/mm_caller_wait.c
@@ -17,7 +17,7 @@
 
 /**
  * mm_caller_wait_is_too_late() - records a caller's remaining timeout and
- * judges it.
+ * checks whether an answer is still of use to the caller.
  * @callers: record of the callers of the same queue.
  * @caller_timeout_ms: how long this caller still waits.
  * @useful_ms: how long after its first request an answer is of use to it.
@@ -36,5 +36,7 @@
   bool resent = spare_ms < callers->average_spare_ms / 2;
   callers->average_spare_ms
       += MM_CALLER_WAIT_GAIN * (spare_ms - callers->average_spare_ms);
+  /* The caller sent the job again MM_RESEND_MS after its connection broke.  An
+     answer that is of use for longer than that is still of use now.  */
   return resent && useful_ms < MM_RESEND_MS;
 }
--- a/src/mm_dispatch.c
+++ b/src/mm_dispatch.c
@@ -6,14 +6,16 @@
    the rest to other data centres.  */
 #include "mm_dispatch.h"
 
+/* Returns the waiting tasks per place, with one more task.  */
 static double
 queue_length (const mm_capacity_report *r)
 {
   return ((double)r->waiting + 1.0) / (double)r->places;
 }
 
+/* Returns whether @a is preferred to @b.  */
 static bool
-better (const mm_dispatch_candidate *a, const mm_dispatch_candidate *b)
+is_better (const mm_dispatch_candidate *a, const mm_dispatch_candidate *b)
 {
   bool a_free = a->capacity.free > 0, b_free = b->capacity.free > 0;
   if (a_free != b_free)
@@ -34,7 +36,7 @@
 {
   int best = -1;
   for (size_t i = 0; i < n; i++)
-    if (c[i].capacity.places > 0 && (best < 0 || better (&c[i], &c[best])))
+    if (c[i].capacity.places > 0 && (best < 0 || is_better (&c[i], &c[best])))
       best = (int)i;
   return best;
 }
--- a/src/mm_exec_priv.h
+++ b/src/mm_exec_priv.h
@@ -5,6 +5,7 @@
 #include "mm_exec.h"
 #include "mm_rto.h"
 
+/* What is known of a run.  */
 typedef enum
 {
   RUN_ORDERED,  /* start sent, call still open */
@@ -39,7 +40,7 @@
   int32_t percent;        /* last reported progress, negative: not reported */
   mm_time_ms progress_ms; /* when the percentage last changed */
   char *payload;          /* kept to send the start again */
-  bool gone;              /* removed from the table, a call is still open */
+  bool gone; /* removed from the table; freed once no call is open */
 } mm_exec_run;
 
 struct mm_exec
@@ -47,35 +48,36 @@
   int refs;    /* one for the owner, one for each open call */
   bool closed; /* destroyed by its owner; open calls are still answered */
   mm_upstream_info *info; /* latest list entry of the upstream */
-  uint64_t fence;
-  mm_exec_port port;
-  mm_exec_events ev;
-  GHashTable *runs;   /* mm_task_id -> run */
-  mm_resources used;  /* sum over all runs */
-  uint32_t n_foreign; /* number of foreign runs */
+  uint64_t fence;         /* our fencing token there */
+  mm_exec_port port;      /* calls to the upstream */
+  mm_exec_events ev;      /* notifications to the owner */
+  GHashTable *runs;       /* mm_task_id -> run */
+  mm_resources used;      /* sum over all runs */
+  uint32_t n_foreign;     /* number of foreign runs */
   bool runs_known;  /* a hold has listed the runs; false again after a loss */
   bool fence_known; /* the upstream knows our fencing token */
   bool suspect;     /* the last call got no answer or a bad one */
   bool stops_due;   /* stops are sent again at the next tick */
   bool fenced;      /* another instance owns the upstream */
-  bool gone;        /* another incarnation has replaced this one */
-  int holds_in_flight;
+  bool gone;        /* another incarnation is at the address */
+  int holds_in_flight; /* holds that have no answer yet */
   /* Number of the last event.  Calls, answers and confirmations of runs are
      numbered, which shows which of them came first.  */
   uint64_t last_event;
-  mm_time_ms start_sent_ms; /* of the last start, 0: none */
-  mm_time_ms hold_sent_ms;  /* of the last hold */
+  mm_time_ms start_sent_ms; /* when the last start was sent, 0: none */
+  mm_time_ms hold_sent_ms;  /* when the last hold was sent, 0: none */
   /* Event number at which the newest hold with processed lists was sent.  */
   uint64_t processed_hold_event;
-  mm_time_ms hold_failed_ms;   /* of the last hold, 0: it did not fail */
-  mm_time_ms leases_expire_ms; /* on our clock: no run has a longer lease */
-  mm_time_ms unacked_since_ms; /* first unacknowledged end, 0: none */
+  mm_time_ms hold_failed_ms;   /* the last hold failed then, 0: it did not */
+  mm_time_ms leases_expire_ms; /* all leases end by then on our clock */
+  mm_time_ms unacked_since_ms; /* when the first unacknowledged end was seen,
+                                  0: none */
   uint64_t seen_seq;           /* sequence number of the newest end seen */
-  uint64_t acked_seq;    /* newest end whose acknowledgement was answered */
-  GArray *unacked;       /* mm_unacked_end */
-  uint32_t holds_failed; /* consecutively */
-  mm_rto rto;            /* timeout of the calls to this upstream */
-  mm_exec_common *common;
+  uint64_t acked_seq;     /* newest end whose acknowledgement was answered */
+  GArray *unacked;        /* mm_unacked_end, which homes still need */
+  uint32_t holds_failed;  /* consecutively */
+  mm_rto rto;             /* timeout of the calls to this upstream */
+  mm_exec_common *common; /* shared with the owner's other sessions */
   mm_time_ms last_unanswered_ms; /* last call without an answer, 0: none */
   bool clock_known; /* an answer has stated the upstream's clock */
   /* Upstream's clock minus ours: the largest value seen lately.  */
@@ -90,9 +92,9 @@
   mm_exec *exec;
   mm_exec_run *run;    /* NULL for a hold */
   uint64_t sent_event; /* event number at which it was sent */
-  uint64_t acked_seq;  /* sent with a hold */
-  mm_time_ms sent_ms;
-  mm_time_ms wait_ms; /* time for which a hold may wait for an end */
+  uint64_t acked_seq;  /* ends that a hold acknowledged: up to this number */
+  mm_time_ms sent_ms;  /* when it was sent */
+  mm_time_ms wait_ms;  /* time for which a hold may wait for an end */
 } mm_exec_call;
 
 /* Ends a run: frees its capacity and notifies the owner.  */
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -73,6 +73,8 @@
     enqueue (o, w);
 }
 
+/* Records a success or failure in the upstream's circuit breaker, and logs
+   when the breaker opens or closes.  */
 static void
 update_breaker (mm_owned_upstream *owned, const char *name, bool ok,
                 mm_time_ms now)
@@ -90,6 +92,7 @@
                 MM_INT (owned->breaker.excluded_until_ms - now));
 }
 
+/* Updates an exponential moving average; 0: no value yet.  */
 static void
 update_average (double *average, double value)
 {
@@ -161,6 +164,7 @@
   update_breaker (ctx, mm_exec_info (x)->name, false, mm_clock_now_ms ());
 }
 
+/* Requests a run of a previous owner from the other owners.  */
 static bool
 on_found (void *ctx, mm_exec *x, const mm_task_id *task, uint32_t run)
 {
@@ -175,6 +179,7 @@
   return true;
 }
 
+/* Another owner has the upstream: its tasks here become orphans.  */
 static void
 on_fenced (void *ctx, mm_exec *x)
 {
@@ -301,11 +306,11 @@
   g_hash_table_remove (o->owned_upstreams, upstream);
 }
 
-/* Begins the handover of an upstream.  The handover waits up to 1 s for the
-   longest task that runs on any upstream being handed over.  Tasks that end
-   before the longest one may still start: they do not delay the handover, and
-   keeping the upstreams idle would take half of a data centre's capacity away
-   for that time at each restart.  */
+/* Begins the handover of an upstream.  The handover waits for the longest task
+   that runs on any upstream being handed over, which takes up to 1 s.  Tasks
+   that end before the longest one may still start: they do not delay the
+   handover, and keeping the upstreams idle would take half of a data centre's
+   capacity away for that time at each restart.  */
 void
 mm_owner_freeze_upstream (mm_owner *o, const char *upstream)
 {
@@ -355,6 +360,7 @@
   return !owned || (owned->frozen && mm_exec_idle (owned->exec));
 }
 
+/* Returns whether @label is NULL or one of the upstream's labels.  */
 static bool
 has_label (const mm_upstream_info *u, const char *label)
 {
@@ -363,6 +369,7 @@
              && g_strv_contains ((const char *const *)u->labels, label));
 }
 
+/* Describes @owned as a candidate for @w to the placement.  */
 static mm_placement_candidate
 candidate (mm_owned_upstream *owned, const mm_work *w, mm_time_ms now)
 {
@@ -472,6 +479,8 @@
     }
 }
 
+/* Starts waiting tasks that fit.  A call from a callback of the pass that is
+   running makes another pass follow.  */
 static void
 start_waiting (mm_owner *o)
 {
@@ -564,9 +573,9 @@
 drop_expired_ends (mm_exec *x, mm_time_ms now)
 {
   size_t n;
-  const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
+  const mm_unacked_end *unacked = mm_exec_unacked_ends (x, &n);
   for (size_t i = n; i-- > 0;)
-    if (now - h[i].first_seen_ms >= MM_UNACKED_END_TTL_MS)
+    if (now - unacked[i].first_seen_ms >= MM_UNACKED_END_TTL_MS)
       mm_exec_ack_end (x, i);
 }
 
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -20,14 +20,15 @@
 /* The outcome of a task.  */
 typedef struct
 {
-  mm_end how;
+  mm_end how;           /* how its last run ended */
   const char *upstream; /* where it ran last, or NULL */
   uint32_t run;         /* its run number there */
   mm_time_ms ran_ms;    /* from the order to start to the end, 0: not run */
-  const char *why;
-  const char *owner; /* the peer that ran it, NULL: this instance */
+  const char *why;      /* what showed the end, for logs */
+  const char *owner;    /* the peer that ran it, NULL: this instance */
 } mm_work_result;
 
+/* Called once with the outcome of a task, unless the task is cancelled.  */
 typedef void (*mm_work_done) (void *ctx, const mm_work_result *r);
 
 /* Capacity and load of one service on the upstreams of one owner.  */
@@ -35,8 +36,8 @@
 {
   uint32_t places;  /* capacity, in tasks of average size */
   uint32_t free;    /* places that are free */
-  uint32_t task_ms; /* average time that places were in use for each task that
-                       was done, 0: unknown */
+  uint32_t task_ms; /* average time that a task needs a place until it is
+                       done, unsuccessful runs included, 0: unknown */
   uint32_t waiting; /* tasks that wait for free capacity */
   /* Waiting tasks by priority; the last level counts all beyond it.  */
   uint32_t waiting_by_priority[MM_PRIORITY_LEVELS];
@@ -50,7 +51,7 @@
 /* Totals over all services, for metrics.  */
 typedef struct
 {
-  uint32_t upstreams;
+  uint32_t upstreams;          /* owned upstreams */
   uint32_t runs;               /* runs that use capacity */
   uint32_t in_doubt;           /* of these, starts that have no answer yet */
   mm_capacity_report capacity; /* sums of places, free and waiting */
@@ -76,12 +77,15 @@
   void *ctx;
 } mm_owner_links;
 
+/* Creates an owner without upstreams.  @port: the calls that reach them.  */
 mm_owner *mm_owner_create (const mm_exec_port *port);
-/* Sets the bandwidth of the uplink on which orders are sent, 0: no limit.  */
+/* Sets the bandwidth of the uplink on which orders are sent, in Mbit/s, 0: no
+   limit.  */
 void mm_owner_set_link (mm_owner *o, double mbps);
 /* Records other data that was sent on the same uplink.  */
 void mm_owner_record_sent (mm_owner *o, size_t bytes);
-void mm_owner_set_view (mm_owner *o, const mm_exec_view *v); /* copied */
+/* Sets how the age of the upstream list is read; @v is copied.  */
+void mm_owner_set_view (mm_owner *o, const mm_exec_view *v);
 /* Sets where lost upstreams and the tasks there are recorded; @s must outlive
    the owner.  */
 void mm_owner_set_suspects (mm_owner *o, mm_suspects *s);
@@ -115,7 +119,8 @@
 /* Sets whether this instance's membership is confirmed, so that no other
    instance can own its upstreams.  */
 void mm_owner_set_confirmed (mm_owner *o, bool confirmed);
-/* Searches for tasks (a set of mm_task_id) here and adds to @out.  */
+/* Searches for tasks (a set of mm_task_id) here and adds what is known of them
+   to @out.  */
 void mm_owner_search (const mm_owner *o, GHashTable *tasks,
                       mm_search_result *out);
 /* Adds copies of the ids of jobs for which ends of a previous owner's runs are
@@ -124,7 +129,8 @@
 /* Drops the ends of a job that no home will request: it is not a kept job, or
    its outcome is stored.  */
 void mm_owner_forget_job (mm_owner *o, const char *job_id);
-void mm_owner_set_links (mm_owner *o, const mm_owner_links *l); /* copied */
+/* Sets the callbacks that transfer runs; @l is copied.  */
+void mm_owner_set_links (mm_owner *o, const mm_owner_links *l);
 /* Claims a run that the upstream's next owner has found.  If its task was
    submitted here, fills @t with the request that the next owner take the run
    over, and returns the task for mm_owner_transfer().  Returns NULL if the
@@ -132,18 +138,21 @@
    run is not higher than the one held here.  */
 mm_work *mm_owner_claim (mm_owner *o, const mm_found_run *r,
                          mm_task_request *t);
-/* A claimed task was dispatched to the next owner; @transfer is its handle
-   there, NULL when it could not be dispatched.  Its end is to be reported
-   with mm_owner_transferred_end().  */
+/* Records that a claimed task was dispatched to the next owner; @transfer is
+   its handle there, NULL when it could not be dispatched.  Its end is to be
+   reported with mm_owner_transferred_end().  */
 void mm_owner_transfer (mm_owner *o, mm_work *w, void *transfer);
+/* Reports the end of a transferred task, @work, to its submitter.  */
 void mm_owner_transferred_end (void *work, const mm_work_result *r);
 void mm_owner_tick (mm_owner *o); /* call each MM_EXEC_TICK_MS */
 /* Capacity and load of a service here, in tasks of the average size of those
    submitted recently.  */
 mm_capacity_report mm_owner_report (const mm_owner *o, const char *service);
+/* Computes the totals over all services.  */
 mm_owner_gauges mm_owner_measure (const mm_owner *o);
 /* Distinct services of the owned upstreams; free the list, not the names.  */
 GList *mm_owner_services (const mm_owner *o);
-char *mm_owner_dump (const mm_owner *o); /* JSON */
+/* Returns the state as JSON; free with free().  */
+char *mm_owner_dump (const mm_owner *o);
 
 #endif /* MM_OWNER_H */
--- a/src/mm_owner_adopt.c
+++ b/src/mm_owner_adopt.c
@@ -41,8 +41,8 @@
       mm_owner_finish (w, MM_END_UNKNOWN, upstream, 0, 0, why);
       return;
     }
-  /* Two callers have submitted the same task; the earlier one is answered
-     now, as only one can claim the run.  */
+  /* Two callers have submitted the same task.  The earlier one is answered
+     now, as the run can be transferred for only one of them.  */
   mm_work *duplicate = g_hash_table_lookup (o->orphans, &w->request.id);
   if (duplicate)
     {
@@ -75,10 +75,10 @@
   g_list_free (works);
 }
 
-/* Returns the task here that started the run @r, if its finder holds a higher
-   fencing token at the upstream; NULL otherwise.  The finder may also be a
-   previous owner with a lower token: a hold that it sent before the change of
-   owner is still answered and lists runs that were started here.  */
+/* Returns the task here that started the run @r, if the owner that found the
+   run holds a higher fencing token at the upstream; NULL otherwise.  A
+   previous owner with a lower token may also find runs that were started here:
+   a hold that it sent before the change of owner is still answered.  */
 static mm_work *
 running_work (mm_owner *o, const mm_found_run *r)
 {
--- a/src/mm_owner_kept.c
+++ b/src/mm_owner_kept.c
@@ -14,10 +14,10 @@
     {
       mm_exec *x = ((mm_owned_upstream *)v)->exec;
       size_t n;
-      const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
+      const mm_unacked_end *unacked = mm_exec_unacked_ends (x, &n);
       for (size_t i = n; i-- > 0;)
-        if (mm_task_id_equal (&h[i].task, task)
-            && mm_run_hash (mm_exec_info (x)->name, h[i].run) == hash)
+        if (mm_task_id_equal (&unacked[i].task, task)
+            && mm_run_hash (mm_exec_info (x)->name, unacked[i].run) == hash)
           mm_exec_ack_end (x, i);
     }
 }
@@ -32,18 +32,19 @@
   return n;
 }
 
-/* Appends the unacknowledged ends of the set's tasks to @ends.  */
+/* Appends the unacknowledged ends of the set's tasks to @ends, an array of
+   mm_found_end.  */
 static void
 append_unacked_ends (const mm_exec *x, GHashTable *tasks, GArray *ends)
 {
   size_t n;
-  const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
+  const mm_unacked_end *unacked = mm_exec_unacked_ends (x, &n);
   for (size_t i = 0; i < n; i++)
     {
-      mm_found_end e
-          = { .task = h[i].task,
-              .how = h[i].how,
-              .run_hash = mm_run_hash (mm_exec_info (x)->name, h[i].run) };
+      mm_found_end e = { .task = unacked[i].task,
+                         .how = unacked[i].how,
+                         .run_hash = mm_run_hash (mm_exec_info (x)->name,
+                                                  unacked[i].run) };
       if (g_hash_table_contains (tasks, &e.task))
         g_array_append_val (ends, e);
     }
@@ -88,11 +89,12 @@
   while (g_hash_table_iter_next (&it, NULL, &v))
     {
       size_t n;
-      const mm_unacked_end *h
+      const mm_unacked_end *unacked
           = mm_exec_unacked_ends (((mm_owned_upstream *)v)->exec, &n);
       for (size_t i = 0; i < n; i++)
-        if (h[i].foreign && !g_hash_table_contains (ids, h[i].task.job))
-          g_hash_table_add (ids, g_strdup (h[i].task.job));
+        if (unacked[i].foreign
+            && !g_hash_table_contains (ids, unacked[i].task.job))
+          g_hash_table_add (ids, g_strdup (unacked[i].task.job));
     }
 }
 
@@ -106,9 +108,9 @@
     {
       mm_exec *x = ((mm_owned_upstream *)v)->exec;
       size_t n;
-      const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
+      const mm_unacked_end *unacked = mm_exec_unacked_ends (x, &n);
       for (size_t i = n; i-- > 0;)
-        if (strcmp (h[i].task.job, job_id) == 0)
+        if (strcmp (unacked[i].task.job, job_id) == 0)
           mm_exec_ack_end (x, i);
       mm_exec_forget_job (x, job_id);
     }
--- a/src/mm_owner_priv.h
+++ b/src/mm_owner_priv.h
@@ -9,21 +9,23 @@
 typedef struct
 {
   mm_owner *owner;
-  mm_exec *exec;
+  mm_exec *exec; /* the session with the upstream */
   mm_breaker breaker;
   bool frozen;         /* a handover to another owner is under way */
-  bool gone;           /* no longer owned, and its session is closed */
+  bool gone;           /* no longer owned; its session is being closed */
   uint32_t n_suspects; /* suspected poison tasks that run there */
 } mm_owned_upstream;
 
+/* A task that was submitted to the owner.  An orphan is a task that runs at an
+   upstream which this instance no longer owns.  */
 struct mm_work
 {
   mm_owner *owner;
   mm_task_request request; /* its strings are copies */
   mm_time_ms start_by_ms;  /* returned as not run after this time */
   mm_time_ms due_ms;       /* decides the order among equal priorities */
-  mm_time_ms accepted_ms;
-  uint64_t arrival; /* rises with each task that is submitted */
+  mm_time_ms accepted_ms;  /* when it was submitted here */
+  uint64_t arrival;        /* rises with each task that is submitted */
   /* Where the task runs or is being stopped; NULL while it waits.  */
   mm_owned_upstream *running_on;
   char *orphaned_on;       /* orphans: the upstream that is no longer owned */
@@ -36,34 +38,34 @@
   void *transfer;
   bool cancelled; /* the submitter waits no longer: @done is not called */
   mm_work_done done;
-  void *ctx;
+  void *ctx; /* for @done */
 };
 
 struct mm_owner
 {
-  mm_exec_port port;
-  mm_exec_common common;
+  mm_exec_port port;           /* calls to upstreams */
+  mm_exec_common common;       /* shared by the sessions */
   GHashTable *owned_upstreams; /* upstream name -> mm_owned_upstream */
   GQueue *waiting;             /* mm_work, by priority, due time and arrival */
   GHashTable *active;          /* mm_task_id -> mm_work that has a run here */
   GHashTable *orphans;         /* mm_task_id -> mm_work that run at an upstream
                                   that is no longer owned */
-  GHashTable *transferred; /* set of mm_work that run under another owner */
-  GList *unadopted;        /* mm_work whose run could not be taken over */
-  mm_owner_links links;
+  GHashTable *transferred;    /* set of mm_work that run under another owner */
+  GList *unadopted;           /* mm_work whose run could not be taken over */
+  mm_owner_links links;       /* callbacks that transfer runs */
   mm_suspects *suspects;      /* NULL: suspected tasks are not recorded */
   uint64_t last_arrival;      /* arrival number of the last task */
   mm_time_ms handover_end_ms; /* all frozen upstreams are idle by then */
   double average_run_ms;      /* average declared run time, for reports */
   double average_cpu_milli;   /* average declared cpu of a task, for reports */
-  double average_place_ms;    /* average time a run used its place, with
-                                 runs that were not done */
+  double average_place_ms;    /* average time for which a run used its place,
+                                 done or not */
   double done_share;          /* share of the runs that ended as done, 0..1 */
   bool confirmed;   /* membership is confirmed: no other instance can own
                        the upstreams owned here */
   bool starting;    /* start_waiting() is running */
   bool start_again; /* start_waiting() was called while it was running */
-  bool destroyed;
+  bool destroyed;   /* mm_owner_destroy() is running: start nothing */
 };
 
 /* mm_owner_adopt.c */
@@ -72,24 +74,30 @@
                           const char *why);
 /* Attaches a submitted task to its run at @w->request.running_at.  */
 void mm_owner_adopt (mm_owner *o, mm_work *w);
+/* Reports the ends of orphans that no next owner requested in time, and of
+   tasks whose run could not be adopted.  */
 void mm_owner_tick_adoption (mm_owner *o, mm_time_ms now);
 /* Cancels a task that is orphaned, transferred or not adopted.  Returns
    whether @w was one.  */
 bool mm_owner_cancel_transfer (mm_owner *o, mm_work *w);
 /* Frees all tasks that are orphaned, transferred or not adopted.  */
 void mm_owner_destroy_transfers (mm_owner *o);
+/* Frees a task without a report to its submitter.  */
 void mm_owner_free_work (mm_work *w);
 
 /* mm_owner_suspects.c */
 /* Adds @by (1 or -1) to the suspects that run at @owned, if @w is one.  */
 void mm_owner_count_suspect (mm_owned_upstream *owned, const mm_work *w,
                              int by);
+/* Returns whether @w may start at @owned beside the suspects there.  */
 bool mm_owner_suspect_allowed (const mm_owned_upstream *owned,
                                const mm_work *w);
 /* Weight of the tasks at @owned that @w should not run beside; lower is
    better.  */
 uint32_t mm_owner_contention (const mm_owned_upstream *owned,
                               const mm_work *w);
+/* Events of the session with an owned upstream (mm_exec_events); @ctx: its
+   mm_owned_upstream.  */
 void mm_owner_on_upstream_lost (void *ctx, mm_exec *x, bool crashed);
 void mm_owner_on_upstream_back (void *ctx, mm_exec *x);
 
--- a/src/mm_owner_report.c
+++ b/src/mm_owner_report.c
@@ -5,8 +5,8 @@
 #include <cJSON.h>
 #include <string.h>
 
-/* Returns the average cpu of a task.  Until a task was submitted, the estimate
-   is one slot of the upstream.  */
+/* Returns the average cpu of a task, in thousandths of a core.  Until a task
+   was submitted, the estimate is one slot of the upstream.  */
 static int64_t
 average_cpu_milli (const mm_owner *o, const mm_upstream_info *u)
 {
@@ -21,6 +21,10 @@
  * @o: the owner.
  * @service: the service.
  *
+ * An upstream has no places while it is not in service, while its circuit
+ * breaker is open, or when a handover begins that ends before an average task
+ * would. A suspect upstream has places, but none of them counts as free.
+ *
  * Return: the report; capacity is counted in tasks of the average size of
  * those submitted recently.
  */
--- a/src/mm_requests.c
+++ b/src/mm_requests.c
@@ -2,18 +2,19 @@
    when no answer will come.  */
 #include "mm_requests.h"
 
+/* A request that has no answer yet.  */
 typedef struct
 {
-  uint64_t number;
-  mm_time_ms expires_ms;
+  uint64_t number;       /* identifies the request in its answer */
+  mm_time_ms expires_ms; /* fails at this time */
   mm_answered answered;
   void *ctx;
 } request;
 
 struct mm_requests
 {
-  GQueue *pending; /* in order of their numbers */
-  uint64_t last_number;
+  GQueue *pending;      /* request, in order of their numbers */
+  uint64_t last_number; /* number of the last request added */
 };
 
 mm_requests *
@@ -46,6 +47,7 @@
   return r->number;
 }
 
+/* Removes a request and calls its callback.  */
 static void
 finish (mm_requests *requests, GList *link, bool ok, const void *data,
         size_t len)
--- a/src/mm_search_result.h
+++ b/src/mm_search_result.h
@@ -8,11 +8,12 @@
 typedef struct
 {
   mm_task_id task;
-  mm_end how;
+  mm_end how;        /* how the run ended */
   uint32_t run_hash; /* mm_run_hash() of the run */
 } mm_found_end;
 
-/* Identifies one run among the runs of a task.  */
+/* Returns a hash that identifies one run among the runs of a task.  @run: its
+   run number at the upstream.  */
 uint32_t mm_run_hash (const char *upstream, uint32_t run);
 
 /* What an owner knows of the tasks that are searched for.  */
@@ -25,6 +26,7 @@
   uint32_t present; /* number of the tasks that are queued or running */
 } mm_search_result;
 
+/* Returns a hash of the name of an upstream.  */
 uint64_t mm_upstream_hash (const char *upstream);
 mm_search_result mm_search_result_init (void); /* empty */
 /* Frees the arrays, not @result.  */
--- a/src/mm_steps.c
+++ b/src/mm_steps.c
@@ -4,19 +4,20 @@
 
 #include <string.h>
 
+/* Progress of one step.  */
 typedef struct
 {
   uint32_t first_task; /* number of its first task in the job */
   uint32_t done;       /* tasks of the step that are done */
-  bool started;
+  bool started;        /* its tasks were passed to mm_steps_start */
 } step_state;
 
 struct mm_steps
 {
   const mm_submission *submission;
-  step_state *steps;
-  uint32_t n_tasks; /* tasks of all steps */
-  uint32_t done;    /* tasks of all steps that are done */
+  step_state *steps; /* one for each step of the submission */
+  uint32_t n_tasks;  /* tasks of all steps */
+  uint32_t done;     /* tasks of all steps that are done */
 };
 
 mm_steps *
@@ -42,6 +43,7 @@
   g_free (t);
 }
 
+/* Returns the number of the step that the task belongs to.  */
 static uint32_t
 step_of (const mm_steps *t, uint32_t task)
 {
@@ -83,6 +85,7 @@
   return t->done == t->n_tasks;
 }
 
+/* Returns whether all tasks of the steps that @step depends on are done.  */
 static bool
 ready (const mm_steps *t, uint32_t step)
 {
