--- a/src/config.h
+++ b/src/config.h
@@ -37,7 +37,7 @@
 #define MM_DEFAULT_RETRY_AFTER_S 1          /* Retry-After of refused calls */
 /* Timeout of a call to an upstream.  */
 #define MM_DEFAULT_DISPATCH_TIMEOUT_MS 15000
-#define MM_DEFAULT_DONE_TTL_MS 600000 /* answers of ended jobs are kept */
+#define MM_DEFAULT_DONE_TTL_MS 600000 /* answers are kept this long */
 #define MM_DEFAULT_MEMBER_POLL_MS 500 /* between polls of the member list */
 #define MM_DEFAULT_CONFIG_POLL_MS 200 /* between polls of the config */
 #define MM_DEFAULT_HEARTBEAT_MS 500   /* between heartbeats to the platform */
@@ -93,7 +93,7 @@
 /* Platform stand-in.  */
 #define MM_DEFAULT_PLATFORM_PORT 7000
 #define MM_DEFAULT_RETENTION_MS 600000 /* log records are kept this long */
-#define MM_DEFAULT_MEMBER_TTL_MS 3000  /* members without heartbeat expire */
+#define MM_DEFAULT_MEMBER_TTL_MS 3000  /* without heartbeat, members expire */
 #define MM_DEFAULT_MEMBER_LAG_MS 1000  /* delay of the member list */
 #define MM_DEFAULT_LOG_READ_MAX 512    /* records per read; fixed */
 
@@ -120,8 +120,8 @@
    100 ms (MM_RTO_MAX_MS) after its wait.  */
 #define MM_HOLD_WAIT_LOSSY_MS 60
 #define MM_LOSSY_PERIOD_MS 1000 /* holds stay short after a lost answer */
-/* Pause between holds while some listed ends are not acknowledged yet.  Ends
-   are seen up to this much later then.  */
+/* Pause between holds while some listed ends are not acknowledged yet.  During
+   that time, new ends are seen up to this much later.  */
 #define MM_UNACKED_POLL_MS 40
 #define MM_HOLD_RETRY_MS 200 /* between holds without an answer */
 /* Holds are retried at once until this many have failed in a row.  */
--- a/src/mm_breaker.c
+++ b/src/mm_breaker.c
@@ -1,6 +1,6 @@
 /* mm_breaker: consecutive failures open the circuit breaker of an upstream for
-   a while.  After that time the breaker is half-open: one task runs there at a
-   time until one succeeds.
+   a while.  After that time the breaker is half-open: the upstream runs one
+   task at a time until a task succeeds.
 
    Guards against an upstream that reports itself healthy and fails each task
    at once: as it always has free capacity, it would attract all tasks.  */
@@ -13,6 +13,9 @@
  * @b: the upstream's circuit breaker.
  * @ok: true when the task succeeded; false when it failed or could not start.
  * @now_ms: the current time.
+ *
+ * A failure while the breaker is half-open opens it again at once, for twice
+ * as long as before, up to MM_BREAKER_MAX_DOUBLINGS doublings.
  */
 void
 mm_breaker_record (mm_breaker *b, bool ok, mm_time_ms now_ms)
--- a/src/mm_exec_http.h
+++ b/src/mm_exec_http.h
@@ -1,5 +1,5 @@
-/* mm_exec_http: calls to upstreams as HTTP with JSON bodies.  Paths, field
-   names and encodings are those of an interface.  */
+/* mm_exec_http: calls to upstreams as HTTP with JSON bodies.  An mm_exec_wire
+   gives the paths, field names and encodings.  */
 #ifndef MM_EXEC_HTTP_H
 #define MM_EXEC_HTTP_H
 
@@ -21,8 +21,8 @@
   /* Reads an answer whose status is not 200; returns MM_CALL_NO_ANSWER when
      the interface does not define that answer.  */
   mm_call_verdict (*verdict) (long status, const cJSON *body);
-  const char *running_field; /* array of rows in the answer to a hold */
-  const char *ended_field;   /* likewise */
+  const char *running_field; /* array of runs in the answer to a hold */
+  const char *ended_field;   /* array of ends in the answer to a hold */
   size_t max_ended; /* maximum rows of ends in one answer, 0: no limit */
   /* Read one row; return false when it is invalid.  */
   bool (*read_running) (const cJSON *row, mm_listed_run *out);
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -114,6 +114,8 @@
   update_average (&o->done_share, how == MM_END_DONE ? 1 : 0);
 }
 
+/* Processes the end of a run: reports it, or queues a task again that did not
+   run.  */
 static void
 on_ended (void *ctx, mm_exec *x, void *work, uint32_t run, mm_end how,
           mm_time_ms ran_ms, const char *why)
@@ -158,6 +160,7 @@
   g_free (owned);
 }
 
+/* A refused start or a stalled task counts as a failure in the breaker.  */
 static void
 on_unhealthy (void *ctx, mm_exec *x)
 {
@@ -399,8 +402,9 @@
 place_task (mm_owner *o, mm_work *w, mm_time_ms now)
 {
   guint n = g_hash_table_size (o->owned_upstreams);
+  /* A task cannot start while an earlier run of the task has not ended.  */
   if (n == 0 || g_hash_table_contains (o->active, &w->request.id))
-    return false; /* an earlier run of the task has not ended */
+    return false;
   mm_placement_candidate *c = g_new (mm_placement_candidate, n);
   mm_owned_upstream **candidates = g_new (mm_owned_upstream *, n);
   GHashTableIter it;
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -89,6 +89,7 @@
 /* Sets where lost upstreams and the tasks there are recorded; @s must outlive
    the owner.  */
 void mm_owner_set_suspects (mm_owner *o, mm_suspects *s);
+/* Frees the owner and its tasks; calls no @done.  */
 void mm_owner_destroy (mm_owner *o);
 /* Starts to own an upstream, or cancels a handover of it that has begun.  */
 void mm_owner_add_upstream (mm_owner *o, const mm_upstream_info *u,
