--- a/src/config.h
+++ b/src/config.h
@@ -190,8 +190,9 @@
 /* The queue of an owner (mm_owner).  */
 /* A pass through the queue ends after so many tasks that do not fit.  */
 #define MM_OWNER_MAX_MISSES 16u
-/* Least share of done runs with which the cost of a task is computed.  A lower
-   share says nothing about that cost.  */
+/* The cost of a task is the average cost of a run, divided by the share of
+   runs that are done.  A share below this value says nothing about the cost,
+   and this value is used instead.  */
 #define MM_MIN_DONE_SHARE 0.2
 #define MM_PRIORITY_LEVELS 4u /* distinguished in capacity reports */
 
@@ -246,8 +247,8 @@
 #define MM_RESEND_MS 1300
 #define MM_CALLER_WAIT_GAIN 0.02 /* weight of one caller in the average */
 /* A task in doubt has ended after this time.  Its lease takes 1,000 ms on a
-   clock that may be 2 % slow; in the rest its owner notices that the link to
-   this instance is gone.  */
+   clock that may be 2 % slow; in the rest of the time its owner notices that
+   the link to this instance is gone.  */
 #define MM_IN_DOUBT_MS MM_RESEND_MS
 /* Wait of a task in the queue of one owner before it tries another.  */
 #define MM_OWNER_WAIT_MS 40
@@ -278,8 +279,9 @@
 /* Upstreams write to their list all the time, so reads of the list do not
    wait at the store.  A leaving upstream must get no start from 2 s after it
    announced that it leaves.  The instances take turns: the list is read every
-   MM_LIST_POLL_MS, and MM_LIST_RANK_DELAY_MS later for each instance that is
-   before this one and fails, MM_LIST_RANK_MAX of them at most.  */
+   MM_LIST_POLL_MS.  If the instance whose turn it is fails, the next one reads
+   the list MM_LIST_RANK_DELAY_MS later, and so on; no instance waits for more
+   than MM_LIST_RANK_MAX others.  */
 #define MM_LIST_POLL_MS 800
 #define MM_LIST_RANK_DELAY_MS 60 /* longer than an update takes to arrive */
 #define MM_LIST_RANK_MAX 5u
@@ -375,8 +377,7 @@
    MM_GROUP_CONFIRMED_MS.  */
 #define MM_KEPT_START_WITHIN_MS 200
 /* After this time the lease of a task in doubt has lapsed, even if the clock
-   of its upstream is 2 % slow and the call that renewed the lease took long.
- */
+   of its upstream is 2 % slow and the last renewal was long under way.  */
 #define MM_KEPT_LEASE_LAPSE_MS 1100
 #define MM_KEPT_SEARCH_PAUSE_MS 250 /* between searches for tasks in doubt */
 /* The outcomes of kept jobs are kept for this long; 120 s are required.  */
@@ -400,9 +401,9 @@
 #define MM_KEPT_FOREIGN_PAUSE_MS 100
 
 /* An instance (mm_node).  */
-#define MM_DEFAULT_MESH_PORT 7402
-#define MM_DEFAULT_STATE_PORT 7403
-#define MM_DEFAULT_PARTITIONS 16
+#define MM_DEFAULT_MESH_PORT 7402   /* for the other instances */
+#define MM_DEFAULT_STATE_PORT 7403  /* of the state dump for operators */
+#define MM_DEFAULT_PARTITIONS 16    /* of a topic of the store */
 #define MM_DEFAULT_GRACE_MS 6000    /* from SIGTERM to the kill */
 #define MM_DEFAULT_LINK_MBPS 1000.0 /* of the machine's link */
 #define MM_RECONCILE_MS 500 /* longest pause between checks of ownership */
