--- a/src/config.h
+++ b/src/config.h
@@ -172,7 +172,7 @@
 #define MM_SLOWNESS_GAIN 0.2
 /* Weight of one task in the average task size.  */
 #define MM_AVERAGE_GAIN 0.05
-/* Upstreams whose speeds differ by less count as equally fast, as run time
+/* The slowness of upstreams is compared in steps of this size, as run time
    estimates are off by up to 40 %.  */
 #define MM_PLACEMENT_SPEED_STEP 0.25
 
