--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -73,6 +73,8 @@
     enqueue (o, w);
 }
 
+/* Records a success or failure in the upstream's circuit breaker, and logs
+   when the breaker opens or closes.  */
 static void
 update_breaker (mm_owned_upstream *owned, const char *name, bool ok,
                 mm_time_ms now)
@@ -90,6 +92,7 @@
                 MM_INT (owned->breaker.excluded_until_ms - now));
 }
 
+/* Updates an exponential moving average; 0: no value yet.  */
 static void
 update_average (double *average, double value)
 {
@@ -111,6 +114,8 @@
   update_average (&o->done_share, how == MM_END_DONE ? 1 : 0);
 }
 
+/* Processes the end of a run: reports it, or queues a task again that did not
+   run.  */
 static void
 on_ended (void *ctx, mm_exec *x, void *work, uint32_t run, mm_end how,
           mm_time_ms ran_ms, const char *why)
@@ -155,12 +160,14 @@
   g_free (owned);
 }
 
+/* A refused start or a stalled task counts as a failure in the breaker.  */
 static void
 on_unhealthy (void *ctx, mm_exec *x)
 {
   update_breaker (ctx, mm_exec_info (x)->name, false, mm_clock_now_ms ());
 }
 
+/* Requests a run of a previous owner from the other owners.  */
 static bool
 on_found (void *ctx, mm_exec *x, const mm_task_id *task, uint32_t run)
 {
@@ -175,6 +182,7 @@
   return true;
 }
 
+/* Another owner has the upstream: its tasks here become orphans.  */
 static void
 on_fenced (void *ctx, mm_exec *x)
 {
@@ -301,11 +309,11 @@
   g_hash_table_remove (o->owned_upstreams, upstream);
 }
 
-/* Begins the handover of an upstream.  The handover waits up to 1 s for the
-   longest task that runs on any upstream being handed over.  Tasks that end
-   before the longest one may still start: they do not delay the handover, and
-   keeping the upstreams idle would take half of a data centre's capacity away
-   for that time at each restart.  */
+/* Begins the handover of an upstream.  The handover waits for the longest task
+   that runs on any upstream being handed over, which takes up to 1 s.  Tasks
+   that end before the longest one may still start: they do not delay the
+   handover, and keeping the upstreams idle would take half of a data centre's
+   capacity away for that time at each restart.  */
 void
 mm_owner_freeze_upstream (mm_owner *o, const char *upstream)
 {
@@ -355,6 +363,7 @@
   return !owned || (owned->frozen && mm_exec_idle (owned->exec));
 }
 
+/* Returns whether @label is NULL or one of the upstream's labels.  */
 static bool
 has_label (const mm_upstream_info *u, const char *label)
 {
@@ -363,6 +372,7 @@
              && g_strv_contains ((const char *const *)u->labels, label));
 }
 
+/* Describes @owned as a candidate for @w to the placement.  */
 static mm_placement_candidate
 candidate (mm_owned_upstream *owned, const mm_work *w, mm_time_ms now)
 {
@@ -392,8 +402,9 @@
 place_task (mm_owner *o, mm_work *w, mm_time_ms now)
 {
   guint n = g_hash_table_size (o->owned_upstreams);
+  /* A task cannot start while an earlier run of the task has not ended.  */
   if (n == 0 || g_hash_table_contains (o->active, &w->request.id))
-    return false; /* an earlier run of the task has not ended */
+    return false;
   mm_placement_candidate *c = g_new (mm_placement_candidate, n);
   mm_owned_upstream **candidates = g_new (mm_owned_upstream *, n);
   GHashTableIter it;
@@ -472,6 +483,8 @@
     }
 }
 
+/* Starts waiting tasks that fit.  A call from a callback of the pass that is
+   running makes another pass follow.  */
 static void
 start_waiting (mm_owner *o)
 {
@@ -564,9 +577,9 @@
 drop_expired_ends (mm_exec *x, mm_time_ms now)
 {
   size_t n;
-  const mm_unacked_end *h = mm_exec_unacked_ends (x, &n);
+  const mm_unacked_end *unacked = mm_exec_unacked_ends (x, &n);
   for (size_t i = n; i-- > 0;)
-    if (now - h[i].first_seen_ms >= MM_UNACKED_END_TTL_MS)
+    if (now - unacked[i].first_seen_ms >= MM_UNACKED_END_TTL_MS)
       mm_exec_ack_end (x, i);
 }
 
