--- a/src/mm_counters.c
+++ b/src/mm_counters.c
@@ -5,7 +5,7 @@
 
 struct mm_counters
 {
-  GHashTable *by_name; /* char * -> int64_t * */
+  GHashTable *by_name; /* name (char *) -> value (int64_t *) */
 };
 
 /**
--- a/src/mm_event.c
+++ b/src/mm_event.c
@@ -6,7 +6,7 @@
 
 #include <string.h>
 
-#define MAX_FIELDS 12
+#define MAX_FIELDS 12 /* no event has more fields */
 
 /* Rate limit of the lines of one event.  */
 typedef enum
@@ -15,9 +15,10 @@
   RATE_LOW   /* routine events: MM_LOG_RATE_LOW a second */
 } rate_limit;
 
+/* An event in the table.  */
 typedef struct
 {
-  const char *name;
+  const char *name; /* value of "event" in the line */
   rate_limit rate;
   const char *fields;  /* names of the fields, separated by spaces */
   const char *meaning; /* for operators, shown in docs/LOGS.md */
@@ -225,16 +226,16 @@
       "These upstreams crashed while they ran the task; its job fails." },
 };
 
-/* Log lines of one event in the current second.  */
+/* State of the rate limit of one event.  */
 typedef struct
 {
-  mm_time_ms second; /* mm_clock_now_ms() / 1000 */
-  uint32_t written;  /* lines written in this second */
+  mm_time_ms second; /* of the last call, mm_clock_now_ms() / 1000 */
+  uint32_t written;  /* lines written in that second */
   uint64_t left_out; /* lines left out since the last written one */
 } line_budget;
 
 static line_budget budgets[MM_EV_COUNT];
-static uint64_t mismatches;
+static uint64_t mismatches; /* see mm_event_mismatches() */
 
 const char *
 mm_event_name (mm_event event)
@@ -248,6 +249,7 @@
   return mismatches;
 }
 
+/* Appends a text as a JSON string, or null for NULL.  */
 static void
 append_text (GString *s, const char *text)
 {
@@ -269,6 +271,7 @@
   g_string_append_c (s, '"');
 }
 
+/* Appends an integer or a text; of an MM_TASK value only the job's id.  */
 static void
 append_value (GString *s, const mm_field *f)
 {
@@ -278,8 +281,8 @@
     append_text (s, f->text);
 }
 
-/* Returns the next of the space-separated names, @len bytes long, and advances
-   @names past it.  */
+/* Returns the first of the space-separated @names, which is @len bytes long,
+   and advances @names to the following one.  */
 static const char *
 next_name (const char **names, size_t *len)
 {
@@ -289,6 +292,8 @@
   return name;
 }
 
+/* Appends the first of @names as the name of a JSON field and advances @names
+   to the following one.  */
 static void
 append_name (GString *s, const char **names)
 {
@@ -308,6 +313,8 @@
  * @left_out: number of lines of this event that the rate limit left out since
  *     the last written one.
  *
+ * Values beyond the fields that the table lists are ignored.
+ *
  * Return: a newly allocated line without newline, free with g_free().
  */
 char *
@@ -337,6 +344,7 @@
   return g_string_free (s, FALSE);
 }
 
+/* Returns the number of space-separated names.  */
 static size_t
 count_names (const char *names)
 {
@@ -349,6 +357,7 @@
   return n;
 }
 
+/* Returns the number of JSON fields that @n values fill.  */
 static size_t
 count_values (const mm_field *fields, size_t n)
 {
@@ -386,8 +395,9 @@
  * @fields: values in the order of the table.
  * @n: number of values.
  *
- * A call whose values don't match the table counts as a mismatch.  A line
- * beyond the rate limit of its event is counted, but not written.
+ * A call with more or fewer values than the table lists is counted by
+ * mm_event_mismatches().  A line beyond the rate limit of its event is
+ * counted, but not written.
  */
 void
 mm_event_write (mm_event event, const mm_field *fields, size_t n)
@@ -399,6 +409,7 @@
   uint64_t left_out = budgets[event].left_out;
   budgets[event].left_out = 0;
   char *line = mm_event_line (event, fields, n, left_out);
+  /* mm_log writes the line as it is; MESSAGE is for other log writers.  */
   GLogField log[] = { { "MESSAGE", table[event].name, -1 },
                       { MM_LOG_LINE_FIELD, line, -1 } };
   g_log_structured_array (G_LOG_LEVEL_MESSAGE, log, G_N_ELEMENTS (log));
--- a/src/mm_event.h
+++ b/src/mm_event.h
@@ -9,6 +9,7 @@
 
 #include "masticmill.h"
 
+/* The events; the table in mm_event.c gives the name and meaning of each.  */
 typedef enum
 {
   MM_EV_STARTED,
@@ -67,21 +68,25 @@
   MM_EV_COUNT
 } mm_event;
 
+/* Type of a value, as JSON.  */
 typedef enum
 {
-  MM_FIELD_TEXT,
-  MM_FIELD_INT,
-  MM_FIELD_TASK /* two fields: the id of the job, "STEP.INDEX" of the task */
+  MM_FIELD_TEXT, /* a string or null */
+  MM_FIELD_INT,  /* an integer */
+  MM_FIELD_TASK  /* two strings: the job's id, "STEP.INDEX" of the task */
 } mm_field_type;
 
+/* A value of an event.  Which members are used depends on its type.  */
 typedef struct
 {
   mm_field_type type;
-  const char *text; /* TEXT: the value; TASK: the job; NULL gives null */
-  int64_t number;   /* INT: the value; TASK: the step */
-  int64_t index;    /* TASK: index within the step */
+  const char *text; /* TEXT: the value, NULL for null; TASK: the job's id */
+  int64_t number;   /* INT: the value; TASK: the step of the job */
+  int64_t index;    /* TASK: index of the task within the step */
 } mm_field;
 
+/* Values for mm_log_event(): a text or NULL, an integer, the address of an
+   mm_task_id.  */
 #define MM_TEXT(v) ((mm_field){ .type = MM_FIELD_TEXT, .text = (v) })
 #define MM_INT(v) ((mm_field){ .type = MM_FIELD_INT, .number = (int64_t)(v) })
 #define MM_TASK(id)                                                           \
@@ -90,19 +95,23 @@
                .number = (id)->step,                                          \
                .index = (id)->index })
 
-/* Logs an event.  The values are exactly the fields that the table lists.  */
+/* Logs an event.  The values are those that the table lists for it, in the
+   same order; one MM_TASK() stands for the two fields "job" and "task".  */
 #define mm_log_event(event, ...)                                              \
   mm_event_write ((event), (const mm_field[]){ __VA_ARGS__ },                 \
                   sizeof ((const mm_field[]){ __VA_ARGS__ })                  \
                       / sizeof (mm_field))
 
 void mm_event_write (mm_event event, const mm_field *fields, size_t n);
+/* Returns the name of an event in the log, such as "task_ended".  */
 const char *mm_event_name (mm_event event);
-/* One JSON object and the table as Markdown; free both with g_free().  */
+/* Returns the line of an event, one JSON object; free with g_free().  */
 char *mm_event_line (mm_event event, const mm_field *fields, size_t n,
                      uint64_t left_out);
+/* Returns the table of events as Markdown; free with g_free().  */
 char *mm_event_table_markdown (void);
-/* The number of calls whose values didn't match the table.  Each is a bug.  */
+/* Returns the number of calls of mm_log_event() with more or fewer values than
+   the table lists.  Each such call is a bug.  */
 uint64_t mm_event_mismatches (void);
 
 #endif /* MM_EVENT_H */
--- a/src/mm_explain.c
+++ b/src/mm_explain.c
@@ -12,18 +12,19 @@
 #include <cJSON.h>
 #include <string.h>
 
+/* A log line.  */
 typedef struct
 {
-  cJSON *fields;
+  cJSON *fields;    /* the JSON object of the line, NULL if it has none */
   char *source;     /* name of the log that has the line */
   mm_time_ms ts_ms; /* wall-clock time of the line */
   size_t order;     /* position in the input, sorts lines of the same time */
-  bool own;         /* the line has the id of the job */
+  bool own;         /* has the id of the job; all others are context */
 } line;
 
 struct mm_explain
 {
-  char *job;
+  char *job;             /* id of the job */
   GPtrArray *lines;      /* lines of the job, and possible context lines */
   GHashTable *instances; /* source -> instance name, from its "started" line */
 };
@@ -59,7 +60,8 @@
   g_free (x);
 }
 
-/* Returns the text of a field, "" when the line has no such text field.  */
+/* Returns the text in the field @name, "" when the line has no such field or
+   it holds no text.  */
 static const char *
 text_of (const line *l, const char *name)
 {
@@ -68,7 +70,8 @@
   return t ? t : "";
 }
 
-/* Returns the number in a field, 0 when the line has no such number field.  */
+/* Returns the number in the field @name, 0 when the line has no such field or
+   it holds no number.  */
 static long long
 number_of (const line *l, const char *name)
 {
@@ -126,21 +129,22 @@
     line_free (l);
 }
 
-/* Returns whether the line has the outcome of a job, whether its caller waited
-   for the outcome or the job was kept.  */
+/* Returns whether the line has the outcome of a job: "job_answered" of one
+   whose caller waited, "kept_over" of a kept job.  */
 static bool
 is_outcome (const line *l)
 {
   return is_event (l, "job_answered") || is_event (l, "kept_over");
 }
 
+/* Orders lines by time.  */
 static gint
 by_time (gconstpointer a, gconstpointer b)
 {
   const line *x = *(line *const *)a, *y = *(line *const *)b;
   if (x->ts_ms != y->ts_ms)
     return x->ts_ms < y->ts_ms ? -1 : 1;
-  /* At equal times, the outcome is sorted after its causes.  */
+  /* At equal times, outcomes come after the lines of their causes.  */
   bool x_answers = is_outcome (x);
   bool y_answers = is_outcome (y);
   if (x_answers != y_answers)
@@ -148,15 +152,18 @@
   return x->order < y->order ? -1 : x->order > y->order;
 }
 
-/* Selects the context lines of a job.  */
+/* What selects the context lines of a job.  Texts in the sets belong to the
+   lines.  */
 typedef struct
 {
-  mm_time_ms from_ms;  /* time of the first line of the job, or G_MAXINT64 */
-  mm_time_ms to_ms;    /* time of its last line */
-  GHashTable *names;   /* upstreams and instances that the job's lines name */
-  GHashTable *sources; /* logs that have lines of the job */
+  mm_time_ms from_ms; /* time of the job's first line, G_MAXINT64: no line */
+  mm_time_ms to_ms;   /* time of the job's last line */
+  GHashTable *names;  /* set: upstreams and owners that the job's lines name */
+  GHashTable *sources; /* set: logs that have lines of the job */
 } scope;
 
+/* Returns the scope of the lines that were added; the caller destroys both
+   sets.  */
 static scope
 scope_of (const mm_explain *x)
 {
@@ -178,7 +185,11 @@
   return s;
 }
 
-/* Returns whether the line is of the job or of its context.  */
+/* Returns whether the line is of the job or of its context.  A context line
+   was logged at most MM_EXPLAIN_BEFORE_MS before the job's first line and not
+   after its last one.  If it names an upstream or a peer, a line of the job
+   must name that too; any other line must be in a log that has lines of the
+   job.  */
 static bool
 in_scope (const scope *s, const line *l)
 {
@@ -192,6 +203,8 @@
   return g_hash_table_contains (s->sources, l->source);
 }
 
+/* Appends the fields of a line as NAME=VALUE, without the time, the event and
+   the id of the job, which are shown apart, and without nulls.  */
 static void
 append_fields (GString *out, const line *l)
 {
@@ -209,6 +222,7 @@
     }
 }
 
+/* Appends a line: its time after @from_ms, its instance, event and fields.  */
 static void
 append_line (const mm_explain *x, GString *out, const line *l,
              mm_time_ms from_ms)
@@ -221,8 +235,8 @@
   g_string_append_c (out, '\n');
 }
 
-/* Returns the last line of @event of the job before line @end_line, or NULL.
-   Unless @field is NULL, that field must have @value.  */
+/* Returns the job's last line of @event before the index @end_line, or NULL.
+   Unless @field is NULL, that field must have the text @value.  */
 static const line *
 last_own (const mm_explain *x, guint end_line, const char *event,
           const char *field, const char *value)
@@ -238,7 +252,7 @@
 }
 
 /* Returns the first context line of @event, or NULL.  Unless @field is NULL,
-   that field must have @value.  */
+   that field must have the text @value.  */
 static const line *
 first_context (const mm_explain *x, const scope *s, const char *event,
                const char *field, const char *value)
@@ -253,6 +267,7 @@
   return NULL;
 }
 
+/* Appends why the job was refused, from its line of "job_refused".  */
 static void
 cause_of_refusal (GString *out, const line *l)
 {
@@ -266,7 +281,10 @@
       number_of (l, "wait_ms"), number_of (l, "slack_ms"));
 }
 
-/* Appends why the outcome of the job is unknown.  */
+/* Appends why the outcome of the job is unknown.  Possible
+   causes, in the order in which they are tried: the owner of the task in doubt
+   was lost, the instance of the caller was stalled, another instance took an
+   upstream over, the reason that was logged with the task.  */
 static void
 cause_of_unknown_outcome (const mm_explain *x, const scope *s, guint end_line,
                           GString *out)
@@ -287,7 +305,7 @@
                             text_of (peer, "peer"), text_of (failed, "task"),
                             text_of (peer, "why"));
   else if (stalled)
-    g_string_append_printf (out, "its instance stood still for %lld ms",
+    g_string_append_printf (out, "its instance was stalled for %lld ms",
                             number_of (stalled, "gap_ms"));
   else if (fenced)
     g_string_append_printf (out, "another instance took over upstream %s",
@@ -296,9 +314,12 @@
     g_string_append (out, failed ? text_of (failed, "why")
                                  : "no log line has the reason");
   g_string_append (out, ". Its caller was told to send it again; what ran "
-                        "of it is stopped or lapses within a second.");
+                        "of it is stopped or ends with its lease within a "
+                        "second.");
 }
 
+/* Appends why the job failed: a poison task, or the last task that failed
+   before the index @end_line.  */
 static void
 cause_of_failure (const mm_explain *x, const scope *s, guint end_line,
                   GString *out)
@@ -336,6 +357,8 @@
   g_string_append_c (out, '.');
 }
 
+/* Appends how long the job took, by the answer at the index @end_line, and how
+   many runs of its tasks failed before.  */
 static void
 cause_of_success (const mm_explain *x, guint end_line, GString *out)
 {
@@ -354,6 +377,7 @@
   g_string_append_c (out, '.');
 }
 
+/* Appends the cause of the outcome in the line at the index @answer_line.  */
 static void
 cause_of_answer (const mm_explain *x, const scope *s, guint answer_line,
                  GString *out)
@@ -371,8 +395,8 @@
                             number_of (l, "took_ms"), text_of (l, "why"));
 }
 
-/* Appends one cause for each answer, as a job may have been sent more than
-   once.  */
+/* Appends one cause for each answer or refusal of the job and each caller that
+   left.  There may be several, as the job may have been sent repeatedly.  */
 static void
 append_causes (const mm_explain *x, const scope *s, GString *out)
 {
--- a/src/mm_explain.h
+++ b/src/mm_explain.h
@@ -7,6 +7,7 @@
 
 typedef struct mm_explain mm_explain;
 
+/* Creates an empty report on a job.  */
 mm_explain *mm_explain_create (const char *job_id);
 void mm_explain_destroy (mm_explain *x);
 /* Adds a line of the log named @source.  Lines that are not JSON, or that say
--- a/src/mm_log.c
+++ b/src/mm_log.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <unistd.h>
 
-static char *program_name;
+static char *program_name; /* NULL before mm_log_init() */
 
 static const char *
 level_name (GLogLevelFlags level)
@@ -69,6 +69,8 @@
   return NULL;
 }
 
+/* Writes a log record to mm_log_sink.  Lines of events are buffered, all
+   others are written at once.  */
 static GLogWriterOutput
 json_writer (GLogLevelFlags level, const GLogField *fields, gsize n_fields,
              gpointer user_data)
@@ -85,6 +87,7 @@
       return G_LOG_WRITER_HANDLED;
     }
   char *line = mm_log_format_json (fields, n_fields);
+  /* Inserts the level after the opening brace of the line.  */
   char *with_level
       = g_strdup_printf ("{\"level\":\"%s\",%s", level_name (level), line + 1);
   mm_log_sink_put (with_level, strlen (with_level));
@@ -124,7 +127,8 @@
 }
 
 /**
- * mm_log_close() - flush buffered lines and restore the mode of the output.
+ * mm_log_close() - flush buffered lines and make the output blocking again, if
+ * it was so before mm_log_init().
  */
 void
 mm_log_close (void)
--- a/src/mm_log_sink.c
+++ b/src/mm_log_sink.c
@@ -13,10 +13,10 @@
 #include <glib.h>
 #include <unistd.h>
 
-static int sink_fd = -1;
-static int old_flags; /* of sink_fd, before it was set non-blocking */
-static GByteArray *buffer;
-static uint64_t dropped; /* number of lines dropped */
+static int sink_fd = -1;   /* output, -1 before mm_log_sink_open() */
+static int old_flags;      /* of sink_fd, before it was set non-blocking */
+static GByteArray *buffer; /* lines that are not written yet */
+static uint64_t dropped;   /* lines dropped because the buffer was full */
 
 void
 mm_log_sink_open (int fd)
@@ -43,7 +43,7 @@
         break;
       if (n <= 0)
         {
-          /* The reader is gone for good, so the rest is discarded.  */
+          /* The output has failed for good, so the buffer is discarded.  */
           written = buffer->len;
           break;
         }
--- a/src/mm_log_sink.h
+++ b/src/mm_log_sink.h
@@ -6,15 +6,18 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Sets @fd non-blocking and sends further lines to it.  */
+/* Sets @fd non-blocking and writes all further lines to it.  */
 void mm_log_sink_open (int fd);
-/* Buffers a line without its newline.  Returns false when it is dropped.  */
+/* Buffers a line of @len bytes, which has no newline, and appends one.
+   Returns false when the line is dropped because the buffer is full.  */
 bool mm_log_sink_put (const char *line, size_t len);
 /* Writes as many buffered bytes as the output accepts without blocking.  */
 void mm_log_sink_flush (void);
-/* Returns the number of lines dropped since the process started.  */
+/* Returns the number of lines dropped at a full buffer since the process
+   started.  */
 uint64_t mm_log_sink_dropped (void);
-/* Flushes and restores the mode of the file descriptor.  */
+/* Flushes and restores the flags that the file descriptor had before
+   mm_log_sink_open().  */
 void mm_log_sink_close (void);
 
 #endif /* MM_LOG_SINK_H */
--- a/src/mm_metrics.c
+++ b/src/mm_metrics.c
@@ -5,13 +5,15 @@
    C++ runtime and an HTTP server for what is one array here.  */
 #include "mm_metrics.h"
 
+/* A series in the output.  */
 typedef struct
 {
   const char *name;
-  const char *label; /* LABEL="VALUE", or NULL */
+  const char *label; /* LABEL="VALUE", several joined by commas, or NULL */
   const char *help;  /* shared by all series of the name */
 } series;
 
+/* Names and help texts that several series share.  */
 #define JOBS "masticmill_jobs_answered_total"
 #define JOBS_HELP "Jobs answered, by outcome."
 #define REFUSED "masticmill_jobs_refused_total"
@@ -175,9 +177,11 @@
 
 typedef struct
 {
-  uint64_t in_bucket[N_BOUNDS + 1]; /* the last one: above all bounds */
-  uint64_t n_observations;
-  int64_t sum_ms; /* sum of all observations */
+  /* Durations up to each bound and above the one before; the last bucket has
+     those above all bounds.  */
+  uint64_t in_bucket[N_BOUNDS + 1];
+  uint64_t n_observations; /* durations in all buckets */
+  int64_t sum_ms;          /* sum of all durations */
 } histogram;
 
 static uint64_t counters[MM_CT_COUNT];
@@ -226,8 +230,8 @@
   return histograms[id].n_observations;
 }
 
-/* Appends the help and type lines, once before all series of a name.  @before
-   is the previous series, or NULL.  */
+/* Appends the help and type lines of @row, unless @before, the series before
+   it or NULL, has the same name: they come once for all series of a name.  */
 static void
 append_header (GString *s, const series *row, const series *before,
                const char *type)
@@ -238,6 +242,7 @@
                           row->help, row->name, type);
 }
 
+/* Appends the line of a counter or gauge.  */
 static void
 append_value (GString *s, const series *row, int64_t value)
 {
@@ -247,6 +252,7 @@
   g_string_append_printf (s, " %" G_GINT64_FORMAT "\n", value);
 }
 
+/* Appends a duration in seconds, with a decimal point in every locale.  */
 static void
 append_seconds (GString *s, mm_time_ms ms)
 {
@@ -255,6 +261,8 @@
       s, g_ascii_formatd (text, sizeof text, "%g", (double)ms / 1000.0));
 }
 
+/* Appends the lines of a histogram.  In this format each bucket also counts
+   the durations in all buckets below it.  */
 static void
 append_histogram (GString *s, const series *row, const histogram *h)
 {
--- a/src/mm_metrics.h
+++ b/src/mm_metrics.h
@@ -8,6 +8,8 @@
 
 #include "masticmill.h"
 
+/* The counters, which only increase.  The tables in mm_metrics.c give the name
+   and meaning of each counter and gauge.  */
 typedef enum
 {
   MM_CT_JOBS_SUBMITTED,
@@ -66,6 +68,7 @@
   MM_CT_COUNT
 } mm_counter_id;
 
+/* The gauges, which hold the value set last.  */
 typedef enum
 {
   MM_GG_JOBS_OPEN,
@@ -84,6 +87,7 @@
   MM_GG_COUNT
 } mm_gauge_id;
 
+/* The histograms of durations.  */
 typedef enum
 {
   MM_HG_JOB,        /* from submission to answer, of completed jobs */
@@ -97,7 +101,9 @@
 
 /* Adds one to a counter.  */
 void mm_metrics_count (mm_counter_id id);
+/* Adds @n to a counter.  */
 void mm_metrics_add (mm_counter_id id, uint64_t n);
+/* Returns the value of a counter.  */
 uint64_t mm_metrics_counter (mm_counter_id id);
 /* Sets a gauge.  */
 void mm_metrics_set (mm_gauge_id id, int64_t value);
