--- a/daemons/ctl_bench.c
+++ b/daemons/ctl_bench.c
@@ -7,6 +7,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 
+/* Returns a counter of an entry instance; 0 when the instance does not answer
+   or has no such counter.  */
 static int64_t
 entry_counter (const char *entry, const char *name)
 {
@@ -22,6 +24,7 @@
   return value;
 }
 
+/* Returns the sum of a counter over all entry instances.  */
 static int64_t
 sum_counter (char **entries, const char *name)
 {
@@ -31,9 +34,12 @@
   return sum;
 }
 
+/* Counters of entry instances that add up to the wasted work.  */
 static const char *const waste_counters[]
     = { "retries", "answers_unused", "resends_not_run", NULL };
 
+/* Runs the load and prints the results as one JSON object.  Counters are shown
+   by how much they grew during the run.  */
 int
 ctl_bench (int argc, char **argv)
 {
@@ -95,6 +101,8 @@
         plan.kinds = mm_bench_site (optarg);
         if (!plan.kinds)
           return ctl_usage ();
+        /* Sites submit jobs at given rates, and this only allows enough
+           connections.  */
         plan.concurrency = 1000;
         break;
       case 'T':
--- a/daemons/ctl_config.c
+++ b/daemons/ctl_config.c
@@ -5,8 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Returns the highest config offset that live entry instances report, or -1.
-   @n_live counts these instances, @n_reached those that report @wanted or a
+/* Returns the highest log offset of a configuration that a live entry instance
+   in the member list reports, or -1.  Sets @n_live to the number of live entry
+   instances and @n_reached to the number of those that report @wanted or a
    later offset.  */
 static int64_t
 reported_head (cJSON *list, uint32_t *n_live, uint32_t *n_reached,
@@ -36,9 +37,9 @@
 
 /* Looks in the log for a record whose append was not answered.  If the append
    took effect and only its answer was lost, the operator would publish again
-   and be rejected because of their own record.  The log is read until it
-   answers; the record is recognised by its content.  Return: the record's
-   offset, or -1 when the log does not have it.  */
+   and be rejected because of their own record.  The platform is asked for the
+   log until it answers, for at most @wait_ms; the record is recognised by its
+   content.  Return: the record's offset, or -1 when it was not found.  */
 static int64_t
 find_record (const char *record, int64_t parent, int64_t wait_ms)
 {
@@ -70,8 +71,10 @@
   return offset;
 }
 
-/* Reads the base and the overlays that the command line names and returns them
-   as a checked record whose parent is the record at offset @parent.  */
+/* Reads the files of the base and the overlays, given as BASE
+   [SITE=OVERLAY]..., and returns them as a checked record, free with free(),
+   whose parent is the record at offset @parent.  Returns NULL with @error set
+   when a file cannot be read or a setting is not valid.  */
 static char *
 read_record (int argc, char **argv, int64_t parent, GError **error)
 {
@@ -108,7 +111,8 @@
   return record;
 }
 
-/* Appends a record to the log.  Return: its offset, or -1 with @error set.  */
+/* Appends a record to the log and, without an answer of status 200, looks for
+   it there.  Return: its offset, or -1 with @error set.  */
 static int64_t
 append_record (const char *record, int64_t parent, int64_t wait_ms,
                GError **error)
@@ -164,8 +168,9 @@
   return ancestor == offset;
 }
 
-/* Waits until every live entry instance reports @offset or a later offset that
-   builds on it.  */
+/* Waits until every live entry instance reports @offset or a later one, and
+   says so.  Returns false with @error set when the newest record does not
+   build on the one at @offset, or after @wait_ms.  */
 static bool
 wait_in_force (int64_t offset, int64_t wait_ms, GError **error)
 {
--- a/daemons/ctl_explain.c
+++ b/daemons/ctl_explain.c
@@ -9,6 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Adds all lines of a log to the report.  */
 static void
 read_log (mm_explain *explain, const char *source, FILE *in)
 {
@@ -19,6 +20,9 @@
   free (text);
 }
 
+/* Adds the lines of all files to the report, or those of standard input when
+   there are no files.  Returns the exit status: 1 when a file cannot be
+   read.  */
 static int
 read_files (mm_explain *explain, int n_files, char **files)
 {
@@ -43,15 +47,15 @@
 {
   mm_explain *explain = mm_explain_create (argv[0]);
   int exit_status = read_files (explain, argc - 1, argv + 1);
-  char *story = exit_status == 0 ? mm_explain_report (explain) : NULL;
-  if (story)
-    fputs (story, stdout);
+  char *report = exit_status == 0 ? mm_explain_report (explain) : NULL;
+  if (report)
+    fputs (report, stdout);
   else if (exit_status == 0)
     {
       fprintf (stderr, "masticctl: no log line mentions job %s\n", argv[0]);
       exit_status = 1;
     }
-  g_free (story);
+  g_free (report);
   mm_explain_destroy (explain);
   return exit_status;
 }
--- a/daemons/ctl_queues.c
+++ b/daemons/ctl_queues.c
@@ -1,11 +1,13 @@
 /* masticctl queues set FILE: sets the queues that instances serve.  */
 #include "ctl.h"
 
+/* URL of the record with the queues, after the platform's base URL.  */
 #define QUEUES_URL "%s/v1/streams/config/config"
 
-/* Checks that @text has a version and that each queue has a name and a
-   service: the store takes only a complete list of queues.  The version must
-   be above the last one's, as instances ignore an older version.  */
+/* Checks that @text has a version and a list of queues, each with a name and a
+   service.  The list replaces the whole one before.  The version is not
+   compared with the last one's, although instances ignore a version that is
+   not higher.  */
 static bool
 check_queues (const char *text, GError **error)
 {
--- a/daemons/ctl_top.c
+++ b/daemons/ctl_top.c
@@ -6,6 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Columns of the table after the address: title and metric series.  */
 static const struct
 {
   const char *title;
@@ -24,8 +25,8 @@
   { "CONFIG", "masticmill_config_version" },
 };
 
-/* Return: the value of @series in metrics in the text format, g_free(); NULL
-   when it is missing.  */
+/* Return: the value of @series in @text, metrics in the Prometheus text
+   format; free with g_free().  NULL when the series is missing.  */
 static char *
 series_value (const char *text, const char *series)
 {
@@ -39,6 +40,8 @@
   return NULL;
 }
 
+/* Prints the row of an instance, or why its metrics cannot be read.  Returns
+   whether they were read.  */
 static bool
 print_row (const char *addr)
 {
--- a/daemons/masticctl.c
+++ b/daemons/masticctl.c
@@ -21,6 +21,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Submits the job in @file and prints the answer.  Return: exit status.  */
 static int
 cmd_job_submit (const char *file)
 {
@@ -35,6 +36,7 @@
   return exit_status;
 }
 
+/* Prints the answer to GET @url.  Return: exit status.  */
 static int
 cmd_print (const char *url)
 {
@@ -47,6 +49,8 @@
   return 0;
 }
 
+/* Sends @json to the stand-in at @addr, as faults of a platform or as the mode
+   of an upstream.  Return: exit status.  */
 static int
 cmd_fault (const char *addr, const char *json)
 {
--- a/daemons/masticmill_entry.c
+++ b/daemons/masticmill_entry.c
@@ -5,7 +5,7 @@
 #include <signal.h>
 #include <stdio.h>
 
-static struct ev_loop *loop;
+static struct ev_loop *loop; /* ended by on_shutdown_done() */
 
 static void
 on_shutdown_done (void *ctx)
--- a/daemons/masticmill_node.c
+++ b/daemons/masticmill_node.c
@@ -11,21 +11,25 @@
 #include <stdio.h>
 #include <string.h>
 
+/* The parts of the process.  */
 typedef struct
 {
   struct ev_loop *loop;
   mm_node *node;
-  mm_front *front;
-  mm_http_handler on_request; /* handles callers' requests */
-  mm_http_client *upstream_client;
-  mm_http_client *store_client;
-  mm_exec_http *exec;
-  mm_store_http *store_http;
-  mm_store_port store;
-  ev_timer leave_timer;
-  mm_time_ms leave_started_ms; /* when the shutdown started, 0: not yet */
+  mm_front *front;                 /* servers for callers and the balancer */
+  mm_http_handler on_request;      /* handles callers' requests */
+  mm_http_client *upstream_client; /* connections to upstreams */
+  mm_http_client *store_client;    /* connections to the store */
+  mm_exec_http *exec;              /* calls to upstreams */
+  mm_store_http *store_http;       /* calls to the store */
+  mm_store_port store;             /* uses store_http */
+  ev_timer leave_timer;            /* runs during a graceful shutdown */
+  mm_time_ms leave_started_ms;     /* when the shutdown started, 0: not yet */
 } process;
 
+/* Sets up the protocols spoken with upstreams, store and callers, by the
+   setting node.interface.  Returns false with @error set for an unknown
+   interface.  */
 static bool
 choose_interface (process *p, const mm_node_settings *settings, GError **error)
 {
@@ -49,6 +53,9 @@
   return false;
 }
 
+/* Continues a graceful shutdown.  After MM_LEAVE_DRAIN_MS the load balancer
+   has stopped sending new connections, and the open ones are closed with their
+   next answers.  The process exits when mm_node_can_exit() allows it.  */
 static void
 check_left_cb (struct ev_loop *loop, ev_timer *watcher, int revents)
 {
@@ -59,6 +66,7 @@
     ev_break (loop, EVBREAK_ALL);
 }
 
+/* Starts a graceful shutdown; later signals are ignored.  */
 static void
 on_stop (struct ev_loop *loop, ev_signal *watcher, int revents)
 {
@@ -96,6 +104,8 @@
   free (text);
 }
 
+/* Starts the three @watchers: SIGTERM, SIGINT and SIGHUP.  SIGPIPE is ignored,
+   so that writing to a closed connection only returns an error.  */
 static void
 watch_signals (process *p, ev_signal *watchers)
 {
@@ -111,6 +121,9 @@
   signal (SIGPIPE, SIG_IGN);
 }
 
+/* Creates all parts of the process and starts its servers.  Returns false with
+   @error set on failure; what was created is left to the exit of the
+   process.  */
 static bool
 start (process *p, const mm_node_settings *settings, GError **error)
 {
@@ -133,6 +146,7 @@
              MM_STATE_MAX_BODY_BYTES, on_state, p, error);
 }
 
+/* Runs the instance until its shutdown is complete.  Return: exit status.  */
 static int
 run (const mm_node_settings *settings)
 {
--- a/daemons/masticmill_upstream.c
+++ b/daemons/masticmill_upstream.c
@@ -8,7 +8,7 @@
 #include <unistd.h>
 
 static struct ev_loop *loop;
-static char **arguments;
+static char **arguments; /* of main(), for the restart in crash() */
 
 /* Simulates a crash and a restart.  Closing all descriptors resets the
    connections, and nothing listens for back_ms.  The program is then executed
