--- a/src/mm_daemon.c
+++ b/src/mm_daemon.c
@@ -24,6 +24,8 @@
     printf ("  %-28s %s\n", spec->key, spec->help);
 }
 
+/* Applies @arg, the KEY=VALUE of a --set option, to @settings.  Returns false
+   with @error set when it is not valid.  */
 static bool
 apply_set (const mm_setting_spec *specs, void *settings, const char *arg,
            GError **error)
@@ -32,7 +34,7 @@
   if (!equals || equals == arg)
     {
       g_set_error (error, MM_ERROR, MM_ERROR_CONFIG_SYNTAX,
-                   "--set %s: want KEY=VALUE", arg);
+                   "--set %s: expected KEY=VALUE", arg);
       return false;
     }
   /* "a.b=1" becomes a table [a] that contains b = 1.  */
@@ -54,10 +56,12 @@
  * @argc: argument of main().
  * @argv: argument of main().
  * @summary: one line for --help that says what the daemon does.
- * @specs: its settings table.
- * @settings: its settings struct, which contains the defaults.
+ * @specs: the daemon's settings table.
+ * @settings: the daemon's settings struct, which contains the defaults.
  * @error: set when MM_DAEMON_ERROR is returned.
  *
+ * The file of --config is applied first, then each --set in the given order.
+ *
  * Return: whether to run, exit or fail.
  */
 mm_daemon_verdict
@@ -145,8 +149,7 @@
 }
 
 /**
- * mm_daemon_catch_crashes() - print the stack to stderr on SIGSEGV and
- * SIGABRT.
+ * mm_daemon_catch_crashes() - print the stack to stderr on SIGSEGV or SIGABRT.
  */
 void
 mm_daemon_catch_crashes (void)
--- a/src/mm_explain.c
+++ b/src/mm_explain.c
@@ -314,8 +314,7 @@
     g_string_append (out, failed ? text_of (failed, "why")
                                  : "no log line has the reason");
   g_string_append (out, ". Its caller was told to send it again; what ran "
-                        "of it is stopped or ends with its lease within a "
-                        "second.");
+                        "of it is stopped or lapses within a second.");
 }
 
 /* Appends why the job failed: a poison task, or the last task that failed
--- a/src/mm_http_client.c
+++ b/src/mm_http_client.c
@@ -12,8 +12,8 @@
 {
   struct ev_loop *loop;
   CURLM *multi;
-  ev_timer timer;
-  uint32_t in_flight;
+  ev_timer timer;      /* runs curl at its next timeout */
+  uint32_t in_flight;  /* calls that have not ended */
   char *member_header; /* "X-Masticmill-Member: NAME", or NULL */
 };
 
@@ -21,27 +21,29 @@
 typedef struct
 {
   const char *data;
-  size_t len_bytes;
-  size_t sent_bytes;
+  size_t len_bytes;  /* length of @data */
+  size_t sent_bytes; /* bytes of @data that were passed to curl */
 } body_cursor;
 
+/* A call that has not ended.  */
 typedef struct
 {
   mm_http_client *client;
-  CURL *easy;
+  CURL *easy; /* curl's handle of the call */
   struct curl_slist *headers;
-  GString *answer;
-  char *body;
-  body_cursor cursor;
-  ev_timer overdue_timer;
-  bool overdue; /* @done was called because the answer is overdue */
+  GString *answer;        /* body of the answer, as far as received */
+  char *body;             /* body of the request */
+  body_cursor cursor;     /* reads @body */
+  ev_timer overdue_timer; /* started if the call may become overdue */
+  bool overdue;           /* @done was called because the answer is overdue */
   mm_http_done done;
-  void *ctx;
+  void *ctx; /* argument of @done */
 } call;
 
+/* A socket that curl watches.  */
 typedef struct
 {
-  ev_io io;
+  ev_io io; /* first member: socket_event_cb() casts its address */
   mm_http_client *client;
 } socket_watch;
 
@@ -60,6 +62,7 @@
   g_error_free (res.error);
 }
 
+/* Reports the result of a call that has ended with @code, and frees it.  */
 static void
 finish_call (call *c, CURLcode code)
 {
@@ -93,6 +96,7 @@
   g_free (c);
 }
 
+/* Finishes all calls that curl reports as ended.  */
 static void
 check_done (mm_http_client *client)
 {
@@ -108,6 +112,7 @@
     }
 }
 
+/* Lets curl read from or write to a socket.  */
 static void
 socket_event_cb (struct ev_loop *loop, ev_io *w, int revents)
 {
@@ -124,6 +129,7 @@
   check_done (client);
 }
 
+/* Lets curl handle its timeouts.  */
 static void
 timer_event_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
@@ -133,6 +139,8 @@
   check_done (client);
 }
 
+/* Called by curl when it begins or ceases to watch a socket, or watches it for
+   other events.  @sockp: the socket_watch of the socket, NULL at first.  */
 static int
 curl_sock_cb (CURL *e, curl_socket_t s, int what, void *cbp, void *sockp)
 {
@@ -163,6 +171,7 @@
   return 0;
 }
 
+/* Called by curl to set its timer; a negative @timeout_ms stops the timer.  */
 static int
 curl_timer_cb (CURLM *multi, long timeout_ms, void *userp)
 {
@@ -176,6 +185,7 @@
   return 0;
 }
 
+/* Called by curl with a part of an answer's body.  */
 static size_t
 write_cb (char *ptr, size_t size, size_t n, void *userdata)
 {
@@ -184,8 +194,8 @@
 }
 
 /**
- * mm_http_client_create() - an HTTP client on a libev loop.
- * @loop: the loop.
+ * mm_http_client_create() - create an HTTP client on a libev loop.
+ * @loop: the loop that drives the client.
  * @max_host_connections: most connections to one host (an upstream's limit).
  *
  * Return: the client; free with mm_http_client_destroy().
@@ -264,6 +274,7 @@
   return take;
 }
 
+/* Returns a cursor at the start of a body.  @data must outlive the cursor.  */
 static body_cursor
 make_cursor (const char *data, size_t len_bytes)
 {
@@ -271,6 +282,10 @@
   return b;
 }
 
+/* Returns a curl handle for a call with a body of JSON; the answer's body goes
+   to @out.  Sets @headers to a list that the caller adds to, passes to the
+   handle and frees.  The empty Expect header stops curl from waiting for "100
+   Continue" before it sends a body.  */
 static CURL *
 make_easy (const char *method, const char *url, body_cursor *body,
            mm_time_ms timeout_ms, struct curl_slist **headers, GString *out)
@@ -300,7 +315,7 @@
  * mm_http_client_send() - start an HTTP call.
  * @c: the client.
  * @spec: what to send; copied.
- * @done: called once from the loop with the result and @ctx; twice when the
+ * @done: called from the loop with the result and @ctx: once, or twice if the
  *        answer is overdue and the call stays open (keep_overdue_ms of @spec).
  * @ctx: context pointer for @done.
  */
@@ -380,7 +395,7 @@
  * @url: full URL.
  * @body: JSON body or NULL.
  * @timeout_ms: timeout of the whole call.
- * @status: set to the HTTP status.
+ * @status: set to the HTTP status, 0 without an answer.
  * @error: MM_ERROR_IO or MM_ERROR_TIMEOUT when no answer was received.
  *
  * Return: the body of the answer, g_free(), or NULL with @error set.
--- a/src/mm_http_server.c
+++ b/src/mm_http_server.c
@@ -4,7 +4,8 @@
    descriptor of that set and MHD's timeout.  A handler may answer at once or
    later: a request that is not answered when the handler returns is suspended,
    and resumed when mm_http_reply() is called.  MHD does not poll suspended
-   connections, so a request stays valid until it is answered.  */
+   connections, so a request stays valid until it is answered, even if its
+   caller closes the connection.  */
 #include "masticmill.h"
 
 #include "config.h"
@@ -20,17 +21,17 @@
 {
   struct ev_loop *loop;
   struct MHD_Daemon *daemon;
-  ev_io io;
-  ev_timer timer;
+  ev_io io;         /* watches MHD's epoll set */
+  ev_timer timer;   /* runs MHD at its next timeout */
   ev_idle run_soon; /* runs MHD when the loop has nothing else to do */
   mm_http_handler handler;
-  void *ctx;
-  size_t max_body_bytes;
+  void *ctx;               /* argument of @handler */
+  size_t max_body_bytes;   /* larger bodies are answered 413 */
   uint32_t in_flight;      /* requests passed to the handler, not completed */
   GHashTable *connections; /* set of struct MHD_Connection */
   GHashTable *suspended;   /* set of mm_http_request */
   bool leaving;            /* see mm_http_server_set_leaving() */
-  uint16_t port;
+  uint16_t port;           /* port that the server listens on */
 };
 
 struct mm_http_request
@@ -39,18 +40,18 @@
   struct MHD_Connection *conn;
   char *method;
   char *path;
-  GByteArray *body;
-  bool too_large;
-  bool dispatched; /* passed to the handler, or answered 413 */
-  bool in_handler;
-  bool suspended;
-  bool answered;
-  unsigned status;
-  char *answer;
+  GByteArray *body; /* ends with an additional NUL once it is complete */
+  bool too_large;   /* the body is longer than the server accepts */
+  bool dispatched;  /* passed to the handler, or answered 413 */
+  bool in_handler;  /* the handler has not returned yet */
+  bool suspended;   /* MHD waits for mm_http_reply() */
+  bool answered;    /* mm_http_reply() was called */
+  unsigned status;  /* HTTP status of the answer */
+  char *answer;     /* JSON body of the answer */
   uint32_t retry_after_s;
   ev_io caller_socket_io; /* watches the caller's socket until the answer */
-  mm_http_left_cb left;
-  void *left_ctx;
+  mm_http_left_cb left;   /* NULL: not set, called already, or answered */
+  void *left_ctx;         /* argument of @left */
 };
 
 static void server_run (mm_http_server *s);
@@ -74,6 +75,8 @@
   server_run (w->data);
 }
 
+/* Lets MHD do all work that is ready, then sets the timer for MHD's next
+   timeout.  */
 static void
 server_run (mm_http_server *s)
 {
@@ -87,6 +90,7 @@
     }
 }
 
+/* Passes the answer of a request to MHD, which sends it.  */
 static enum MHD_Result
 queue_answer (mm_http_request *r)
 {
@@ -106,6 +110,9 @@
   return ret;
 }
 
+/* Called by MHD several times for a request: first with its header, then with
+   each part of its body, then when the body is complete, and again when the
+   suspended request is resumed.  */
 static enum MHD_Result
 access_cb (void *cls, struct MHD_Connection *conn, const char *url,
            const char *method, const char *version, const char *upload,
@@ -162,6 +169,7 @@
   return MHD_YES;
 }
 
+/* Frees a request once its answer is sent or its connection has failed.  */
 static void
 completed_cb (void *cls, struct MHD_Connection *conn, void **con_cls,
               enum MHD_RequestTerminationCode toe)
@@ -190,6 +198,7 @@
                                (unsigned)MM_HTTP_LEAVING_IDLE_S);
 }
 
+/* Keeps the set of open connections.  */
 static void
 connection_cb (void *cls, struct MHD_Connection *conn, void **socket_ctx,
                enum MHD_ConnectionNotificationCode toe)
@@ -269,13 +278,13 @@
 }
 
 /**
- * mm_http_server_listen() - like mm_http_server_create(), with one address.
+ * mm_http_server_listen() - like mm_http_server_create(), at "ip:port".
  * @loop: the loop that drives the server.
  * @addr: "ip:port".
  * @max_body_bytes: larger bodies are answered 413.
  * @handler: called once per request with @ctx.
  * @ctx: context pointer for @handler.
- * @error: MM_ERROR_IO.
+ * @error: MM_ERROR_IO when @addr is invalid or cannot be bound.
  *
  * Return: the server, or NULL with @error set.
  */
@@ -326,7 +335,8 @@
 
 /* Answers all suspended requests, since libmicrohttpd aborts the process when
    it is stopped with suspended connections.  The status is not 503, which
-   would claim that the request had no effect.  */
+   would claim that the request had no effect.  Each mm_http_reply() removes
+   its request from the set, so the iteration starts again each time.  */
 static void
 answer_suspended (mm_http_server *s)
 {
@@ -400,7 +410,9 @@
   ssize_t n = recv (w->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (n < 0 && (errno == EAGAIN || errno == EINTR))
     return;
-  ev_io_stop (loop, w); /* closed, or the next request came early */
+  /* n == 0: the caller has closed the connection; n < 0: it failed; n > 0: the
+     caller already sends its next request.  */
+  ev_io_stop (loop, w);
   if (n > 0 || !r->left)
     return;
   mm_http_left_cb left = r->left;
@@ -461,12 +473,12 @@
 
 /**
  * mm_http_reply() - answer a request with a JSON body.
- * @r: the request; it must not be used after this call.
+ * @r: the request, which is freed when the answer has been sent.
  * @status: HTTP status.
  * @body: JSON text, copied.
  * @retry_after_s: sent as Retry-After when not 0.
  *
- * A second reply to the same request is ignored.
+ * A second reply to the same request before then is ignored.
  */
 void
 mm_http_reply (mm_http_request *r, unsigned status, const char *body,
--- a/src/mm_json.c
+++ b/src/mm_json.c
@@ -7,8 +7,8 @@
  * mm_json_error_body() - format an error answer as JSON.
  * @code: an mm_error_code.
  * @message: human-readable description of the error.
- * @retry_after_s: seconds after which to retry; with 0 the caller must not
- *     retry, and the field is left out.
+ * @retry_after_s: seconds after which the caller may retry; 0 leaves the field
+ *     out and means that the caller must not retry.
  *
  * Return: {"status":"failed","error":{"code":..,"message":..},
  * "retry_after_s":..}, newly allocated, free with free().
--- a/src/mm_msgpack.h
+++ b/src/mm_msgpack.h
@@ -21,14 +21,16 @@
 bool mm_mp_read_i64 (const msgpack_object *o, int64_t *v);
 bool mm_mp_read_double (const msgpack_object *o, double *v);
 bool mm_mp_read_bool (const msgpack_object *o, bool *v);
-/* Copies a string; free with g_free().  With @nil_ok, nil gives NULL.  */
+/* Copies a string; free with g_free().  Nil gives NULL, which is an error
+   without @nil_ok.  */
 bool mm_mp_read_text (const msgpack_object *o, bool nil_ok, char **v);
-/* Copies a string into a buffer of @cap bytes, which must hold it and its
-   NUL.  */
+/* Copies a string and a NUL into a buffer of @cap bytes.  Returns false when
+   they do not fit.  */
 bool mm_mp_read_fixed (const msgpack_object *o, char *out, size_t cap);
-/* Reads the three values of mm_mp_pack_task().  */
+/* Reads three consecutive values, as mm_mp_pack_task() packs them.  */
 bool mm_mp_read_task (const msgpack_object *values, mm_task_id *id);
-/* Returns whether a value is an array of @n values; 0 means any number.  */
+/* Returns whether a value is an array of @n values, or of any number of values
+   when @n is 0.  */
 bool mm_mp_is_array (const msgpack_object *o, uint32_t n);
 
 #endif /* MM_MSGPACK_H */
--- a/src/mm_settings.c
+++ b/src/mm_settings.c
@@ -15,6 +15,7 @@
   return strncmp (setting->key, key, prefix) == 0 && key[prefix];
 }
 
+/* Returns the spec of @key, or NULL for an unknown key.  */
 static const mm_setting_spec *
 find_spec (const mm_setting_spec *specs, const char *key)
 {
@@ -25,6 +26,7 @@
   return NULL;
 }
 
+/* Returns the expected type of a value, as text for error messages.  */
 static const char *
 type_name (mm_setting_type t)
 {
@@ -46,6 +48,8 @@
   return "?";
 }
 
+/* Returns whether a value of type @actual is allowed for a setting; an integer
+   also is a number.  */
 static bool
 type_matches (mm_setting_type expected, mm_toml_type actual)
 {
@@ -66,6 +70,7 @@
   return false;
 }
 
+/* Copies a valid value into the field of @target that @spec refers to.  */
 static void
 store_value (const mm_setting_spec *spec, void *target, const mm_toml_entry *e)
 {
@@ -87,6 +92,8 @@
       *(char ***)field = g_strdupv (e->strings);
       break;
     case MM_SETTING_INT_TABLE:
+      /* Adds an entry, whose name is the part of the key after the last dot of
+         the spec.  */
       if (!*(GHashTable **)field)
         *(GHashTable **)field
             = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -111,8 +118,10 @@
  * @error: MM_ERROR_CONFIG_UNKNOWN_KEY, MM_ERROR_CONFIG_TYPE or
  *         MM_ERROR_CONFIG_RANGE, naming "source:line: key: reason".
  *
- * Nothing is copied unless every entry is valid, so an invalid file leaves the
- * settings in @target unchanged.  Return: true on success.
+ * Only integer settings have a range.  Nothing is copied unless every entry is
+ * valid, so an invalid file leaves the settings in @target unchanged.
+ *
+ * Return: true on success.
  */
 bool
 mm_settings_apply (const mm_setting_spec *specs, void *target,
--- a/src/mm_toml.cc
+++ b/src/mm_toml.cc
@@ -11,10 +11,11 @@
 
 struct mm_toml
 {
-  std::string source;
+  std::string source; // name used in error messages
   std::vector<mm_toml_entry> entries;
 };
 
+// Frees the texts of an entry.
 static void
 free_entry (mm_toml_entry *e)
 {
@@ -23,6 +24,8 @@
   g_strfreev (e->strings);
 }
 
+// Adds the value of a key.  Returns false with @error set when the value is of
+// a type that no setting has.
 static bool
 add_leaf (mm_toml *t, const std::string &key, const toml::node &node,
           GError **error)
@@ -81,6 +84,8 @@
   return true;
 }
 
+// Adds all values of a table and of the tables in it.  Keys are put after
+// @prefix and a dot, or alone when @prefix is empty.
 static bool
 flatten (mm_toml *t, const std::string &prefix, const toml::table &table,
          GError **error)
@@ -101,6 +106,7 @@
   return true;
 }
 
+// Returns the document of a parsed table, or NULL with @error set.
 static mm_toml *
 from_table (const toml::table &table, const char *source, GError **error)
 {
@@ -121,7 +127,7 @@
  * @error: MM_ERROR_CONFIG_SYNTAX with line and column on bad TOML,
  *         MM_ERROR_CONFIG_TYPE for a value of a type that no setting has.
  *
- * Return: the document, or NULL with @error set.
+ * Return: the document, free with mm_toml_destroy(), or NULL with @error set.
  */
 mm_toml *
 mm_toml_parse_string (const char *text, const char *source, GError **error)
@@ -193,6 +199,7 @@
   return t->source.c_str ();
 }
 
+// Returns a copy with its own texts.
 static mm_toml_entry
 copy_entry (const mm_toml_entry *src)
 {
