--- a/tests/explain.sh
+++ b/tests/explain.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Guards against masticctl explain naming no cause, or a wrong one, for a failed
-# request: an on-call engineer has only the job's id and the instances' logs.
-# scripts/explain.sh makes three kinds of failed request, and explains each.
+# Guards against masticctl explain naming no cause, or a wrong one, for a job
+# that was not completed: an operator has only the job's id and the instances'
+# logs.  scripts/explain.sh causes three such outcomes and explains each.
 set -euo pipefail
 here=$(cd "$(dirname "$0")/.." && pwd)
 log=$(mktemp -d)
 out=$("$here/scripts/explain.sh" "$log" 2>&1) || { echo "$out"; exit 1; }
 failed=0
+# Counts a failure if no line of the output matches the pattern $1.
 want () {
   if ! grep -qE "$1" <<<"$out"; then
     echo "missing: $1"
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -16,17 +16,24 @@
     *h_upstream_extra_setting;
 const char *h_datacentres[8];
 int h_platform_port, h_upstream_ports[8], h_instance_ports[8];
+/* Numbers of used elements in h_upstreams and h_instances.  */
 static int n_started_upstreams, n_started_instances;
 
 /* Test cases run in parallel.  Each uses its own block of ports, below the
    ephemeral range (32768 and up), so that no client socket occupies one.  The
    last port of a block is listened on while the case runs, which marks the
    block as used: without that, two cases whose process ids map to the same
-   block used each other's stand-ins.  */
+   block used each other's stand-ins.
+
+   Ports in a block: platform 0, upstreams from 10 on, instances from 20 on for
+   callers, 24 for the readiness check, 28 for other instances and 32 for the
+   state dump; entry instances use 30 on for each other.  */
 #define FIRST_PORT 10000
 #define PORT_BLOCKS 500
 #define PORTS_PER_BLOCK 40
 
+/* Listens on a port of the loopback address until the process exits.  Returns
+   false when the port is in use.  */
 static bool
 listen_on_port (int port)
 {
@@ -42,7 +49,8 @@
   return false;
 }
 
-/* Each test case runs in its own process, so that it chooses a block again. */
+/* Each test case runs in a forked process.  That inherits @base, but must
+   choose a block of its own.  */
 int
 h_port_base (void)
 {
@@ -181,8 +189,6 @@
   return g_string_free (out, FALSE);
 }
 
-/* Returns how many tasks of a job have started on one upstream.  Raises
-   @max_count, if not NULL, to the most starts of one of these tasks.  */
 int
 h_count_upstream_starts (int upstream_port, const char *job_id, int *max_count)
 {
@@ -236,6 +242,8 @@
   _exit ((int)(st / 100));
 }
 
+/* Returns the exit code of a child process when it has exited; 0 when a signal
+   ended it.  */
 static int
 wait_exit_code (pid_t pid)
 {
@@ -289,7 +297,6 @@
   return false;
 }
 
-/* Starts entry instance @i of the cluster on its own ports.  */
 void
 h_start_entry (int i)
 {
@@ -308,7 +315,6 @@
   n_started_instances = MAX (n_started_instances, i + 1);
 }
 
-/* Starts instance @i of the dispatcher on its own ports.  */
 void
 h_start_node (int i)
 {
@@ -385,8 +391,9 @@
   return log;
 }
 
+/* Returns how often @text occurs in the log of a process.  */
 static int
-count_lines (const char *program, pid_t pid, const char *text)
+count_occurrences (const char *program, pid_t pid, const char *text)
 {
   char *log = read_log (program, pid);
   int n = 0;
@@ -399,13 +406,13 @@
 int
 h_count_in_log (pid_t pid, const char *text)
 {
-  return count_lines ("masticmill-node", pid, text);
+  return count_occurrences ("masticmill-node", pid, text);
 }
 
 int
 h_count_in_upstream_log (int i, const char *text)
 {
-  return count_lines ("masticmill-upstream", h_upstreams[i], text);
+  return count_occurrences ("masticmill-upstream", h_upstreams[i], text);
 }
 
 mm_time_ms
@@ -426,6 +433,7 @@
   return (mm_time_ms)logged_ms;
 }
 
+/* Starts upstream @i for h_start_nodes(), on its own port.  */
 static void
 start_upstream (int i, int slots)
 {
@@ -469,7 +477,6 @@
   ck_assert (h_wait_nodes (n_nodes, n_upstreams, 10000));
 }
 
-/* Starts a platform, upstreams and entry instances on ports from the base.  */
 void
 h_start_cluster (int n_upstreams, int n_entries, int member_lag_ms)
 {
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -19,6 +19,8 @@
   gint requests; /* number of complete requests read (atomic) */
 } closing_server;
 
+/* Reads one request with a Content-Length.  Returns false when the connection
+   is closed first, or the request is too long.  */
 static bool
 read_request (int fd)
 {
@@ -41,6 +43,7 @@
   return false;
 }
 
+/* Thread of the server.  */
 static void *
 serve (void *data)
 {
@@ -62,6 +65,7 @@
   return NULL;
 }
 
+/* Starts the server on any free port; it runs until the process exits.  */
 static void
 closing_server_start (closing_server *s)
 {
@@ -78,9 +82,10 @@
   pthread_detach (t);
 }
 
+/* Result of a call of the client, as in mm_http_result.  */
 typedef struct
 {
-  struct ev_loop *loop;
+  struct ev_loop *loop; /* ended when the call ends */
   long status;
   bool sent;
 } call_result;
--- a/tests/test_logs.c
+++ b/tests/test_logs.c
@@ -52,6 +52,7 @@
 }
 END_TEST
 
+/* Counts log lines in the int at @data instead of writing them.  */
 static GLogWriterOutput
 count_lines (GLogLevelFlags level, const GLogField *fields, gsize n,
              gpointer data)
@@ -132,15 +133,17 @@
 }
 END_TEST
 
+/* Returns the report on a job, g_free(), or NULL.  @lines alternates the name
+   of a log and a line of that log; NULL ends it.  */
 static char *
-story_of (const char *job, const char *const *lines)
+explain_job (const char *job, const char *const *lines)
 {
   mm_explain *x = mm_explain_create (job);
   for (; *lines; lines += 2)
     mm_explain_add (x, lines[0], lines[1]);
-  char *story = mm_explain_report (x);
+  char *report = mm_explain_report (x);
   mm_explain_destroy (x);
-  return story;
+  return report;
 }
 
 /* A job is refused in a burst.  From its id alone, the report must show how
@@ -156,13 +159,13 @@
           "\"waiting\":14,\"wait_ms\":70,\"slack_ms\":63,"
           "\"why\":\"would come too late\"}",
           NULL };
-  char *story = story_of ("j1", lines);
-  ck_assert_ptr_nonnull (strstr (story, "n1"));
+  char *report = explain_job ("j1", lines);
+  ck_assert_ptr_nonnull (strstr (report, "n1"));
   ck_assert_ptr_nonnull (strstr (
-      story, "cause: refused: would come too late. Its 10 tasks found 2 of "
-             "100 places free and 14 tasks waiting"));
-  g_free (story);
-  ck_assert_ptr_null (story_of ("j2", lines));
+      report, "cause: refused: would come too late. Its 10 tasks found 2 of "
+              "100 places free and 14 tasks waiting"));
+  g_free (report);
+  ck_assert_ptr_null (explain_job ("j2", lines));
 }
 END_TEST
 
@@ -191,15 +194,15 @@
           "\"task\":\"0.1\",\"upstream\":\"u7\",\"run\":1,\"fence\":3,"
           "\"waited_ms\":1}",
           NULL };
-  char *story = story_of ("j1", lines);
-  const char *handed = strstr (story, "task_handed");
-  const char *started = strstr (story, "task_started");
-  const char *lost = strstr (story, "peer_lost");
+  char *report = explain_job ("j1", lines);
+  const char *handed = strstr (report, "task_handed");
+  const char *started = strstr (report, "task_started");
+  const char *lost = strstr (report, "peer_lost");
   ck_assert_ptr_nonnull (handed);
   ck_assert (handed < started && started < lost);
   ck_assert_ptr_nonnull (
-      strstr (story, "instance n9, which ran task 0.1, was lost (silent)"));
-  g_free (story);
+      strstr (report, "instance n9, which ran task 0.1, was lost (silent)"));
+  g_free (report);
 }
 END_TEST
 
@@ -220,10 +223,10 @@
           "\"queue\":\"q\",\"outcome\":\"failed\",\"took_ms\":20,"
           "\"why\":\"a task failed in every attempt\"}",
           NULL };
-  char *story = story_of ("j1", lines);
+  char *report = explain_job ("j1", lines);
   ck_assert_ptr_nonnull (strstr (
-      story, "Upstream u3 failed 3 tasks in a row, with good reports"));
-  g_free (story);
+      report, "Upstream u3 failed 3 tasks in a row, with good reports"));
+  g_free (report);
 }
 END_TEST
 
@@ -240,11 +243,11 @@
           "\"queue\":\"q\",\"outcome\":\"failed\",\"took_ms\":4200,"
           "\"why\":\"a task crashes its upstreams\"}",
           NULL };
-  char *story = story_of ("j1", lines);
+  char *report = explain_job ("j1", lines);
   ck_assert_ptr_nonnull (strstr (
-      story, "2 upstreams crashed under its task 0.3, which is run no more: "
-             "u3, u7"));
-  g_free (story);
+      report, "2 upstreams crashed under its task 0.3, which is run no more: "
+              "u3, u7"));
+  g_free (report);
 }
 END_TEST
 
@@ -264,13 +267,13 @@
           "{\"ts_ms\":8000,\"event\":\"kept_over\",\"job\":\"j1\","
           "\"queue\":\"q\",\"outcome\":\"completed\",\"took_ms\":1300}",
           NULL };
-  char *story = story_of ("j1", lines);
-  ck_assert_ptr_nonnull (strstr (story, "jobs_loaded"));
+  char *report = explain_job ("j1", lines);
+  ck_assert_ptr_nonnull (strstr (report, "jobs_loaded"));
   ck_assert_ptr_nonnull (strstr (
-      story, "cause: its caller was told to send it again, as it is not "
-             "known whether it was stored: its home did not answer."));
-  ck_assert_ptr_nonnull (strstr (story, "cause: completed after 1300 ms."));
-  g_free (story);
+      report, "cause: its caller was told to send it again, as it is not "
+              "known whether it was stored: its home did not answer."));
+  ck_assert_ptr_nonnull (strstr (report, "cause: completed after 1300 ms."));
+  g_free (report);
 }
 END_TEST
 
