--- a/daemons/ctl_config.c
+++ b/daemons/ctl_config.c
@@ -204,6 +204,9 @@
   return false;
 }
 
+/* Publishes a configuration as an edit of the newest record that a live entry
+   instance reports, and waits up to @wait_ms until it is in force everywhere.
+   @argv: BASE [SITE=OVERLAY]...  */
 int
 ctl_config_publish (int argc, char **argv, int64_t wait_ms)
 {
--- a/daemons/masticmill_platform.c
+++ b/daemons/masticmill_platform.c
@@ -4,6 +4,7 @@
 #include <signal.h>
 #include <stdio.h>
 
+/* Ends the process; the stand-in has nothing to finish.  */
 static void
 on_signal (struct ev_loop *signal_loop, ev_signal *w, int revents)
 {
--- a/src/mm_http_server.c
+++ b/src/mm_http_server.c
@@ -352,6 +352,7 @@
   MHD_run (s->daemon);
 }
 
+/* Answers the requests that still wait and closes all connections.  */
 void
 mm_http_server_destroy (mm_http_server *s)
 {
@@ -379,6 +380,8 @@
   return r->path;
 }
 
+/* Returns the body, which ends with a NUL that @len does not count.  @len may
+   be NULL.  */
 const char *
 mm_http_request_body (const mm_http_request *r, size_t *len)
 {
--- a/src/mm_metrics.c
+++ b/src/mm_metrics.c
@@ -212,6 +212,7 @@
   gauges[id] = value;
 }
 
+/* Adds a duration to the first bucket whose bound is not below it.  */
 void
 mm_metrics_time (mm_histogram_id id, mm_time_ms ms)
 {
