--- a/src/mm_log_sink.c
+++ b/src/mm_log_sink.c
@@ -13,11 +13,12 @@
 #include <glib.h>
 #include <unistd.h>
 
-static int sink_fd = -1;
-static int old_flags; /* of sink_fd, before it was set non-blocking */
-static GByteArray *buffer;
-static uint64_t dropped; /* number of lines dropped */
+static int sink_fd = -1;   /* output, -1 before mm_log_sink_open() */
+static int old_flags;      /* of sink_fd, before it was set non-blocking */
+static GByteArray *buffer; /* lines that are not written yet */
+static uint64_t dropped;   /* lines dropped because the buffer was full */
 
+/* Sets @fd non-blocking and writes all further lines to it.  */
 void
 mm_log_sink_open (int fd)
 {
@@ -29,6 +30,7 @@
     buffer = g_byte_array_sized_new (MM_LOG_FLUSH_BYTES * 2);
 }
 
+/* Writes the buffer until it is empty or the output accepts no more now.  */
 void
 mm_log_sink_flush (void)
 {
@@ -43,7 +45,7 @@
         break;
       if (n <= 0)
         {
-          /* The reader is gone for good, so the rest is discarded.  */
+          /* The output has failed for good, so the buffer is discarded.  */
           written = buffer->len;
           break;
         }
@@ -53,6 +55,8 @@
     g_byte_array_remove_range (buffer, 0, written);
 }
 
+/* Buffers a line and a newline; flushes the buffer from MM_LOG_FLUSH_BYTES on.
+   Returns false when the line is dropped because the buffer is full.  */
 bool
 mm_log_sink_put (const char *line, size_t len)
 {
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -16,17 +16,24 @@
     *h_upstream_extra_setting;
 const char *h_datacentres[8];
 int h_platform_port, h_upstream_ports[8], h_instance_ports[8];
+/* Numbers of used elements in h_upstreams and h_instances.  */
 static int n_started_upstreams, n_started_instances;
 
 /* Test cases run in parallel.  Each uses its own block of ports, below the
    ephemeral range (32768 and up), so that no client socket occupies one.  The
    last port of a block is listened on while the case runs, which marks the
    block as used: without that, two cases whose process ids map to the same
-   block used each other's stand-ins.  */
+   block used each other's stand-ins.
+
+   Ports in a block: platform 0, upstreams from 10 on, instances from 20 on for
+   callers, 24 for the readiness check, 28 for other instances and 32 for the
+   state dump; entry instances use 30 on for each other.  */
 #define FIRST_PORT 10000
 #define PORT_BLOCKS 500
 #define PORTS_PER_BLOCK 40
 
+/* Listens on a port of the loopback address until the process exits.  Returns
+   false when the port is in use.  */
 static bool
 listen_on_port (int port)
 {
@@ -42,7 +49,8 @@
   return false;
 }
 
-/* Each test case runs in its own process, so that it chooses a block again. */
+/* Each test case runs in a forked process.  That inherits @base, but must
+   choose a block of its own.  */
 int
 h_port_base (void)
 {
@@ -111,6 +119,8 @@
   return pid;
 }
 
+/* Continues a process that may be stopped, sends @sig and waits for its end;
+   kills it after 5 s.  */
 void
 h_stop (pid_t pid, int sig)
 {
@@ -203,6 +213,7 @@
   return n;
 }
 
+/* Returns the sum of h_count_upstream_starts() over all upstreams.  */
 int
 h_count_starts (const char *job_id, int *max_count)
 {
@@ -218,6 +229,8 @@
                            job is complete */
 };
 
+/* Submits a job from a child process, whose exit code is the status class of
+   the answer, plus SUBMIT_COMPLETE when the job is complete.  */
 pid_t
 h_submit (int instance, const char *job)
 {
@@ -236,6 +249,8 @@
   _exit ((int)(st / 100));
 }
 
+/* Returns the exit code of a child process when it has exited; 0 when a signal
+   ended it.  */
 static int
 wait_exit_code (pid_t pid)
 {
@@ -272,6 +287,8 @@
   return failed ? 1 : 0;
 }
 
+/* Waits until GET @path answers with a JSON object whose field @key is @want;
+   returns false after @timeout_ms.  */
 bool
 h_wait_json (int port, const char *path, const char *key, double want,
              mm_time_ms timeout_ms)
@@ -357,6 +374,8 @@
   return owned;
 }
 
+/* Waits until the instances are linked to each other and own all upstreams;
+   returns false after @timeout_ms.  */
 bool
 h_wait_nodes (int n_nodes, int n_upstreams, mm_time_ms timeout_ms)
 {
@@ -385,8 +404,9 @@
   return log;
 }
 
+/* Returns how often @text occurs in the log of a process.  */
 static int
-count_lines (const char *program, pid_t pid, const char *text)
+count_occurrences (const char *program, pid_t pid, const char *text)
 {
   char *log = read_log (program, pid);
   int n = 0;
@@ -399,15 +419,17 @@
 int
 h_count_in_log (pid_t pid, const char *text)
 {
-  return count_lines ("masticmill-node", pid, text);
+  return count_occurrences ("masticmill-node", pid, text);
 }
 
 int
 h_count_in_upstream_log (int i, const char *text)
 {
-  return count_lines ("masticmill-upstream", h_upstreams[i], text);
+  return count_occurrences ("masticmill-upstream", h_upstreams[i], text);
 }
 
+/* Returns the wall-clock time of the first line in the log of an instance that
+   contains both texts; -1: there is none.  */
 mm_time_ms
 h_log_time_ms (pid_t pid, const char *text, const char *second_text)
 {
@@ -426,6 +448,7 @@
   return (mm_time_ms)logged_ms;
 }
 
+/* Starts upstream @i for h_start_nodes(), on its own port.  */
 static void
 start_upstream (int i, int slots)
 {
@@ -445,6 +468,8 @@
   n_started_upstreams = MAX (n_started_upstreams, i + 1);
 }
 
+/* Starts a platform with a queue "q", upstreams and instances of the
+   dispatcher, and waits until these own all upstreams.  */
 void
 h_start_nodes (int n_upstreams, int slots, int n_nodes)
 {
@@ -469,7 +494,8 @@
   ck_assert (h_wait_nodes (n_nodes, n_upstreams, 10000));
 }
 
-/* Starts a platform, upstreams and entry instances on ports from the base.  */
+/* Starts a platform, upstreams and entry instances on ports of the block, and
+   waits until the entry instances know the upstreams.  */
 void
 h_start_cluster (int n_upstreams, int n_entries, int member_lag_ms)
 {
@@ -532,6 +558,8 @@
   n_started_instances = n_started_upstreams = 0;
 }
 
+/* Returns the ended runs on the first @n_upstreams upstreams, and adds to
+   @over_capacity, if not NULL, the starts beyond an upstream's capacity.  */
 GArray *
 h_read_runs (int n_upstreams, int *over_capacity)
 {
