--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -3,31 +3,34 @@
 
 #include "config.h"
 
+/* A run in progress.  */
 typedef struct
 {
   mm_task_id task;
-  uint32_t number;
-  mm_resources resources;
+  uint32_t number;        /* run number of the task */
+  mm_resources resources; /* capacity that the run uses */
   mm_time_ms started_ms;
-  mm_time_ms ends_ms;
-  mm_end how; /* end that is listed at ends_ms */
+  mm_time_ms ends_ms; /* when it ends, G_MAXINT64: it hangs */
+  mm_end how;         /* end that is listed at ends_ms */
 } table_run;
 
 struct mm_run_table
 {
   mm_resources capacity;
-  bool enforce_capacity;
-  mm_time_ms max_lease_ms;
+  bool enforce_capacity;   /* refuse starts that do not fit */
+  mm_time_ms max_lease_ms; /* longest extension of the lease by a call */
   mm_run_mode mode;
-  uint64_t fence; /* highest fencing token seen */
-  mm_time_ms lease_expires_ms;
-  GArray *runs;         /* table_run */
-  GArray *unacked_ends; /* mm_listed_end, not acknowledged */
-  GArray *running;      /* mm_listed_run, filled by mm_run_table_list() */
-  GArray *ended_runs;   /* mm_ended_run */
-  mm_time_ms step_ms;   /* time of the last step */
-  uint64_t last_seq;
-  GHashTable *highest_refused; /* task -> highest run stopped or ended */
+  uint64_t fence;              /* highest fencing token seen */
+  mm_time_ms lease_expires_ms; /* of all runs */
+  GArray *runs;                /* table_run */
+  GArray *unacked_ends;        /* mm_listed_end, not acknowledged */
+  GArray *running;    /* mm_listed_run, filled by mm_run_table_list() */
+  GArray *ended_runs; /* mm_ended_run */
+  mm_time_ms step_ms; /* time of the last step */
+  uint64_t last_seq;  /* sequence number of the last end */
+  /* Task -> highest run number that was stopped or has ended: a start with
+     this number or a lower one is refused.  */
+  GHashTable *highest_refused;
   mm_run_counts counts;
 };
 
@@ -79,6 +82,7 @@
   return &g_array_index (t->runs, table_run, i);
 }
 
+/* Returns the run of a task, or NULL when the task is not running.  */
 static table_run *
 find_run (const mm_run_table *t, const mm_task_id *task)
 {
@@ -94,6 +98,7 @@
   return find_run (t, task) != NULL;
 }
 
+/* Returns the highest run number of a task whose start is refused, or 0.  */
 static uint32_t
 highest_refused_run (const mm_run_table *t, const mm_task_id *task)
 {
@@ -111,6 +116,8 @@
   g_hash_table_replace (t->highest_refused, key, GUINT_TO_POINTER (number));
 }
 
+/* Ends the run at index @i as of the last step: adds its end to those that are
+   listed until they are acknowledged, and refuses any later start of it.  */
 static void
 end_run (mm_run_table *t, guint i, mm_end how)
 {
@@ -129,6 +136,8 @@
   g_array_remove_index (t->runs, i);
 }
 
+/* Extends the lease of all runs to @deadline_ms, but at most to max_lease_ms
+   from now.  A lease is never shortened.  */
 static void
 extend_lease (mm_run_table *t, mm_time_ms deadline_ms, mm_time_ms now_ms)
 {
@@ -136,6 +145,8 @@
   t->lease_expires_ms = MAX (t->lease_expires_ms, expires_ms);
 }
 
+/* Returns the capacity that no run uses.  It is negative when runs exceed the
+   capacity.  */
 static mm_resources
 free_capacity (const mm_run_table *t)
 {
@@ -145,6 +156,8 @@
   return free;
 }
 
+/* Starts a run, which ends after @run_ms unless the mode says otherwise, and
+   counts it.  */
 static void
 add_run (mm_run_table *t, const mm_order *o, const mm_resources *required,
          mm_time_ms run_ms, mm_time_ms now_ms)
@@ -169,7 +182,8 @@
   g_array_append_val (t->runs, r);
 }
 
-/* Returns false for a call with an outdated fencing token.  */
+/* Returns false for a call with a fencing token that is lower than the highest
+   one seen.  Otherwise the token becomes the highest one.  */
 static bool
 accept_fence (mm_run_table *t, uint64_t fence)
 {
@@ -188,7 +202,8 @@
  * @now_ms: the time on the upstream's clock.
  *
  * Return: MM_CALL_OK if the run was started now or is running already,
- * otherwise the reason why it was not started.
+ * otherwise the reason why it was not started.  MM_CALL_OLD_RUN is also
+ * returned while another run of the task is running.
  */
 mm_call_verdict
 mm_run_table_start (mm_run_table *t, const mm_order *o,
@@ -215,6 +230,18 @@
   return MM_CALL_OK;
 }
 
+/**
+ * mm_run_table_stop() - carries out an order to stop a run.
+ * @t: the table.
+ * @o: the order.
+ * @now_ms: the time on the upstream's clock.
+ *
+ * A run with the number of the order or a lower one ends as stopped after
+ * MM_RUN_TABLE_STOP_MS at the latest.  A start of such a run that arrives
+ * after the stop is refused.
+ *
+ * Return: MM_CALL_OK, or MM_CALL_FENCED if nothing was done.
+ */
 mm_call_verdict
 mm_run_table_stop (mm_run_table *t, const mm_order *o, mm_time_ms now_ms)
 {
@@ -231,6 +258,15 @@
   return MM_CALL_OK;
 }
 
+/**
+ * mm_run_table_hold() - carries out a hold.
+ * @t: the table.
+ * @h: the hold; its deadline extends the lease of all runs, and the ends that
+ *     it acknowledges are no longer listed.
+ * @now_ms: the time on the upstream's clock.
+ *
+ * Return: MM_CALL_OK, or MM_CALL_FENCED if nothing was done.
+ */
 mm_call_verdict
 mm_run_table_hold (mm_run_table *t, const mm_hold *h, mm_time_ms now_ms)
 {
@@ -280,6 +316,8 @@
   return t->unacked_ends->len;
 }
 
+/* Returns the percentage of its run time that a run has completed: at most 99,
+   and 0 for a run that hangs.  */
 static int32_t
 percent_done (const table_run *r, mm_time_ms now_ms)
 {
--- a/src/mm_run_table.h
+++ b/src/mm_run_table.h
@@ -20,23 +20,27 @@
   int64_t slow_percent; /* run time in percent of the requested one, 0: 100 */
 } mm_run_mode;
 
-/* A run that has ended.  */
+/* A run that has ended.  The times are those that the caller passed in.  */
 typedef struct
 {
   mm_task_id task;
-  uint32_t number;
+  uint32_t number; /* run number of the task */
   mm_time_ms started_ms;
   mm_time_ms ended_ms;
   mm_end how;
 } mm_ended_run;
 
-/* Counts of starts, and of those that must not happen.  */
+/* Counts of starts, and of those that a dispatcher must never order.  */
 typedef struct
 {
-  uint32_t starts;
+  uint32_t starts;        /* runs that were started */
   uint32_t over_capacity; /* starts that did not fit the free capacity */
 } mm_run_counts;
 
+/* Creates a table without runs.  With @enforce_capacity, a start that does not
+   fit the free capacity is refused.  No call extends the lease of the runs by
+   more than @max_lease_ms.  Return: the table; free it with
+   mm_run_table_destroy().  */
 mm_run_table *mm_run_table_create (const mm_resources *capacity,
                                    bool enforce_capacity,
                                    mm_time_ms max_lease_ms);
@@ -55,17 +59,19 @@
                                    mm_time_ms now_ms);
 /* Ends the runs that are due or whose lease has expired.  */
 void mm_run_table_step (mm_run_table *t, mm_time_ms now_ms);
-/* Simulates a crash: drops all runs and unacknowledged ends.  */
+/* Simulates a crash: drops all runs and unacknowledged ends.  The fencing
+   token, the lease and the run numbers that are refused remain.  */
 void mm_run_table_clear (mm_run_table *t);
 size_t mm_run_table_running (const mm_run_table *t); /* number of runs */
 /* Returns the number of unacknowledged ends.  */
 size_t mm_run_table_unacked_ends (const mm_run_table *t);
 bool mm_run_table_is_running (const mm_run_table *t, const mm_task_id *task);
-/* Fills in the lists of running and ended runs.  The arrays belong to the
-   table and are valid until its next call.  */
+/* Fills in the lists of runs and of unacknowledged ends.  The arrays belong to
+   the table and are valid until the next call of one of its functions.  */
 void mm_run_table_list (mm_run_table *t, mm_hold_result *out,
                         mm_time_ms now_ms);
-/* Returns the @n runs that have ended, oldest first.  */
+/* Returns all runs that have ended, oldest first, and sets @n to their number.
+   The array belongs to the table and is valid until the next run ends.  */
 const mm_ended_run *mm_run_table_ended_runs (const mm_run_table *t, size_t *n);
 mm_run_counts mm_run_table_counts (const mm_run_table *t);
 
--- a/src/mm_upstream.c
+++ b/src/mm_upstream.c
@@ -7,13 +7,16 @@
    answer until the mode changes) and "fail_all" (every task starts and
    fails).  GET /v1/starts lists every task that was ever started with the
    number of its starts, so that tests can prove that no task started twice
-   and that a "not run" task never started.
+   and that a task reported as "not run" never started.
 
    POST /v1/jobs/JOB/fence {"epoch":N} raises the epoch of the job and
    reports each of its tasks that started here, with state and result.  A
    start with a lower epoch is refused from then on (409).  Raising and
    reporting are one step, so a task is either in the report or will never
-   start here under an older epoch.  */
+   start here under an older epoch.
+
+   Runs under leases (/v1/runs, /v1/hold and related paths) are handled by
+   mm_run_server.  */
 #include "config.h"
 #include "masticmill.h"
 #include "mm_run_server.h"
@@ -22,14 +25,16 @@
 #include <stddef.h>
 #include <string.h>
 
+/* How the stand-in treats tasks, set by POST /v1/mode.  */
 typedef enum
 {
   MODE_NORMAL,
-  MODE_DRAIN,
-  MODE_FREEZE,
-  MODE_FAIL_ALL
+  MODE_DRAIN,   /* refuses new tasks and finishes the running ones */
+  MODE_FREEZE,  /* runs tasks, but holds back their answers */
+  MODE_FAIL_ALL /* runs each task and answers that it failed */
 } upstream_mode;
 
+/* The modes by the names that POST /v1/mode uses.  */
 static const char *const mode_names[]
     = { "normal", "drain", "freeze", "fail_all" };
 
@@ -43,16 +48,16 @@
   mm_http_client *client;
   mm_counters *counters;
   upstream_mode mode;
-  uint32_t mode_seq; /* incremented at every mode change */
-  GHashTable *jobs;  /* job id -> job_record */
-  int64_t boot_ms;   /* wall clock at start, identifies this incarnation */
-  GQueue frozen;     /* runs that ended while frozen, not answered yet */
-  uint32_t running;
+  uint32_t mode_seq;   /* incremented at every mode change */
+  GHashTable *jobs;    /* job id -> job_record */
+  int64_t boot_ms;     /* wall clock at start, identifies this incarnation */
+  GQueue frozen;       /* runs that ended in MODE_FREEZE, not answered yet */
+  uint32_t running;    /* tasks that are running, without those under leases */
   mm_run_server *runs; /* runs under leases */
   ev_timer heartbeat;
-  ev_timer drain_check; /* active from mm_upstream_drain() on */
-  void (*drained) (void *);
-  void *drained_ctx;
+  ev_timer drain_check;     /* active from mm_upstream_drain() on */
+  void (*drained) (void *); /* called when the drain is complete */
+  void *drained_ctx;        /* context pointer for drained */
 };
 
 /* State of a task that started here.  */
@@ -60,16 +65,18 @@
 {
   uint32_t starts;   /* number of starts */
   const char *state; /* "running", "done" or "failed" */
-  char *result;      /* when done */
+  char *result;      /* result of the last run that was done, or NULL */
 } task_record;
 
+/* A job that a start or a fence call named.  */
 typedef struct
 {
-  int64_t epoch;     /* starts below it are refused */
+  int64_t epoch;     /* starts with a lower epoch are refused */
   GHashTable *tasks; /* task id -> task_record */
 } job_record;
 
-/* A running task, and the request that started it and awaits its end.  */
+/* A running task, and the request that started it and is answered when it
+   ends.  */
 struct run
 {
   ev_timer timer;
@@ -95,6 +102,7 @@
   g_free (j);
 }
 
+/* Returns the record of a job, which is created if there is none yet.  */
 static job_record *
 get_job_record (mm_upstream *u, const char *job_id)
 {
@@ -147,6 +155,10 @@
   { NULL },
 };
 
+/**
+ * mm_upstream_settings_defaults() - sets every setting to its default.
+ * @s: the settings; their strings are allocated, free them with g_free().
+ */
 void
 mm_upstream_settings_defaults (mm_upstream_settings *s)
 {
@@ -166,6 +178,7 @@
   s->back_ms = MM_DEFAULT_BACK_MS;
 }
 
+/* Answers with the JSON object @o, which is freed.  */
 static void
 reply_json (mm_http_request *req, unsigned status, cJSON *o)
 {
@@ -175,29 +188,32 @@
   cJSON_Delete (o);
 }
 
-/* Ends a run and answers the request that started it.  */
+/* Ends a run, which is freed, and answers the request that started it.  In
+   MODE_FAIL_ALL the task has failed, otherwise it is done.  */
 static void
 answer_run (run *r)
 {
   mm_upstream *u = r->upstream;
   cJSON *o = cJSON_CreateObject ();
   cJSON_AddStringToObject (o, "task_id", r->task_id);
-  bool fail = u->mode == MODE_FAIL_ALL;
-  cJSON_AddStringToObject (o, "status", fail ? "failed" : "done");
-  if (!fail)
+  bool failed = u->mode == MODE_FAIL_ALL;
+  cJSON_AddStringToObject (o, "status", failed ? "failed" : "done");
+  if (!failed)
     {
       r->record->result
           = g_strdup_printf ("ok:%s@%s", r->task_id, u->settings.name);
       cJSON_AddStringToObject (o, "result", r->record->result);
     }
-  r->record->state = fail ? "failed" : "done";
-  mm_counters_add (u->counters, fail ? "tasks_failed" : "tasks_done", 1);
-  reply_json (r->req, fail ? 500 : 200, o);
+  r->record->state = failed ? "failed" : "done";
+  mm_counters_add (u->counters, failed ? "tasks_failed" : "tasks_done", 1);
+  reply_json (r->req, failed ? 500 : 200, o);
   u->running--;
   g_free (r->task_id);
   g_free (r);
 }
 
+/* Ends a run whose run time has passed.  In MODE_FREEZE its answer is held
+   back until the mode changes.  */
 static void
 run_done_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
@@ -210,8 +226,9 @@
   answer_run (r);
 }
 
-/* Handles POST /v1/tasks.  With more running tasks than slots, the run time of
-   the new task is multiplied by running/slots.  */
+/* Handles POST /v1/tasks, which is answered when the task ends.  A start with
+   an outdated epoch is refused.  With more running tasks than slots, the run
+   time of the new task is multiplied by running/slots.  */
 static void
 start_task (mm_upstream *u, mm_http_request *req)
 {
@@ -265,6 +282,7 @@
   cJSON_Delete (o);
 }
 
+/* Answers that a task was refused before its start.  */
 static void
 refuse (mm_upstream *u, mm_http_request *req, const char *reason)
 {
@@ -275,6 +293,8 @@
   reply_json (req, 503, o);
 }
 
+/* Handles POST /v1/mode.  A mode other than MODE_FREEZE sends the answers that
+   were held back.  */
 static void
 set_mode (mm_upstream *u, mm_http_request *req)
 {
@@ -306,6 +326,7 @@
   mm_http_reply (req, 200, "{\"status\":\"ok\"}", 0);
 }
 
+/* Handles GET /v1/starts: the number of starts of each "JOB/TASK".  */
 static void
 list_starts (mm_upstream *u, mm_http_request *req)
 {
@@ -327,7 +348,8 @@
   reply_json (req, 200, o);
 }
 
-/* POST /v1/jobs/JOB/fence: raises the epoch of a job and reports its tasks. */
+/* Handles POST /v1/jobs/JOB/fence: raises the epoch of a job and reports the
+   tasks of the job that started here.  */
 static void
 fence_job (mm_upstream *u, mm_http_request *req, const char *job_id)
 {
@@ -412,6 +434,7 @@
     }
 }
 
+/* Counts the result of a PUT to the member list or to the upstream list.  */
 static void
 heartbeat_done (const mm_http_result *res, void *ctx)
 {
@@ -422,7 +445,7 @@
 }
 
 /* Reports this upstream to the upstream list, which dispatchers with leases
-   read.  */
+   read.  Its entry expires after three heartbeat periods without a report.  */
 static void
 report_to_stream (mm_upstream *u)
 {
@@ -447,6 +470,7 @@
   g_free (body);
 }
 
+/* Sends a heartbeat to the member list and a report to the upstream list.  */
 static void
 heartbeat_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
@@ -468,6 +492,7 @@
   report_to_stream (u);
 }
 
+/* Copies settings, with their strings.  */
 static void
 copy_settings (mm_upstream_settings *dst, const mm_upstream_settings *src)
 {
@@ -586,6 +611,7 @@
   u->mode_seq++;
   u->drained = drained;
   u->drained_ctx = ctx;
+  /* Reports the drain at once, not only with the next heartbeat.  */
   heartbeat_cb (u->loop, &u->heartbeat, 0);
   while (!g_queue_is_empty (&u->frozen))
     answer_run (g_queue_pop_head (&u->frozen));
