--- a/src/mm_platform.c
+++ b/src/mm_platform.c
@@ -30,30 +30,33 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* A record of a log.  */
 typedef struct
 {
   int64_t offset;
   mm_time_ms written_ms;
-  char *data;
+  char *data; /* JSON */
 } log_record;
 
+/* An append-only log.  */
 typedef struct
 {
   char *name;
-  int64_t first;  /* offset of records->head */
+  int64_t first;  /* offset of the oldest record that is kept */
   int64_t head;   /* next offset to write */
-  int64_t epoch;  /* highest producer epoch seen, 0 none */
-  GQueue records; /* log_record * */
+  int64_t epoch;  /* highest producer epoch seen, 0: none */
+  GQueue records; /* log_record *, oldest first */
 } log_stream;
 
+/* A member of the member list.  */
 typedef struct
 {
   char *name;
   char *datacentre;        /* from its heartbeat, for filtered reads */
-  char *shown;             /* JSON in the member list */
+  char *shown;             /* JSON in the member list, NULL: not shown yet */
   char *latest;            /* JSON of the last heartbeat */
   mm_time_ms latest_ms;    /* when latest changed */
-  mm_time_ms heartbeat_ms; /* last heartbeat */
+  mm_time_ms heartbeat_ms; /* when the last heartbeat arrived */
 } member;
 
 struct mm_platform
@@ -65,14 +68,14 @@
   GHashTable *streams;     /* name -> log_stream */
   GHashTable *members;     /* name -> member */
   int64_t members_version; /* incremented when the shown list changes */
-  bool down;
-  int64_t slow_ms;
-  int64_t lose_answers;
+  bool down;               /* fault: requests are answered with 503 */
+  int64_t slow_ms;         /* fault: added delay of answers */
+  int64_t lose_answers;    /* fault: number of next writes without answer */
   mm_stream_server *streams_server; /* keyed streams and groups */
-  char *disconnected; /* disconnected members, comma-separated, "": none */
-  int64_t link_kbps;  /* kbit/s of each member's link, 0: no limit */
-  int64_t link_delay_ms;
-  GHashTable *link_busy; /* member -> mm_time_ms, end of its last answer */
+  char *disconnected;    /* disconnected members, comma-separated, "": none */
+  int64_t link_kbps;     /* kbit/s of each member's link, 0: no limit */
+  int64_t link_delay_ms; /* added to each answer on a link */
+  GHashTable *link_busy; /* member -> mm_time_ms, link is busy until then */
 };
 
 /* An answer that is sent when its timer expires.  */
@@ -82,7 +85,7 @@
   mm_http_request *req;
   unsigned status;
   char *body;
-} delayed;
+} delayed_answer;
 
 const mm_setting_spec mm_platform_setting_specs[] = {
   { "platform.listen_host", MM_SETTING_STRING,
@@ -101,6 +104,10 @@
   { NULL },
 };
 
+/**
+ * mm_platform_settings_defaults() - sets every setting to its default.
+ * @s: the settings; their string is allocated, free it with g_free().
+ */
 void
 mm_platform_settings_defaults (mm_platform_settings *s)
 {
@@ -115,15 +122,16 @@
 static void
 delayed_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
-  delayed *d = (delayed *)w;
+  delayed_answer *d = (delayed_answer *)w;
   mm_http_reply (d->req, d->status, d->body, 0);
   g_free (d->body);
   g_free (d);
 }
 
-/* Returns the time that an answer takes over its member's link.  The answer
-   queues behind those that were sent there before, also behind those whose
-   callers no longer wait.  */
+/* Returns the time that an answer of @bytes takes over its member's link, and
+   marks the link as busy until the answer is through.  The answer queues
+   behind the earlier answers on the link, also behind those whose callers no
+   longer wait.  */
 static mm_time_ms
 link_time_ms (mm_platform *p, const mm_http_request *req, size_t bytes)
 {
@@ -141,8 +149,9 @@
   return took_ms + p->link_delay_ms;
 }
 
-/* Sends an answer.  All answers are sent here, so that "slow_ms" and the links
-   delay each of them.  */
+/* Sends an answer and frees its body.  All answers but those to /v1/faults,
+   /v1/state and an unavailable caller are sent here, so that "slow_ms" and the
+   links delay each of them.  */
 static void
 answer (mm_platform *p, mm_http_request *req, unsigned status, char *body)
 {
@@ -153,7 +162,7 @@
       free (body);
       return;
     }
-  delayed *d = g_new0 (delayed, 1);
+  delayed_answer *d = g_new0 (delayed_answer, 1);
   d->req = req;
   d->status = status;
   d->body = g_strdup (body);
@@ -169,6 +178,7 @@
   answer (p, req, status, mm_json_error_body (code, msg, 1));
 }
 
+/* Returns the log of that name, which is created if there is none yet.  */
 static log_stream *
 get_stream (mm_platform *p, const char *name)
 {
@@ -200,6 +210,7 @@
   g_free (s);
 }
 
+/* Drops the records of a log that are older than the retention.  */
 static void
 apply_retention (mm_platform *p, log_stream *s, mm_time_ms now)
 {
@@ -213,7 +224,8 @@
     }
 }
 
-/* Handles POST /v1/log/STREAM?epoch=N&at=N.  */
+/* Handles POST /v1/log/STREAM?epoch=N&at=N.  An append with an outdated epoch,
+   or at an offset other than the end of the log, is refused.  */
 static void
 log_append (mm_platform *p, mm_http_request *req, const char *stream)
 {
@@ -267,7 +279,8 @@
           g_strdup_printf ("{\"offset\":%" G_GINT64_FORMAT "}", r->offset));
 }
 
-/* Handles GET /v1/log/STREAM?from=N&max=M.  */
+/* Handles GET /v1/log/STREAM?from=N&max=M: at most @max records from offset
+   @from on.  */
 static void
 log_read (mm_platform *p, mm_http_request *req, const char *stream)
 {
@@ -383,10 +396,10 @@
     }
 }
 
-/* GET /v1/members[?datacentre=DC][&since=V]: the shown list, restricted to the
-   members of DC if given.  When nothing has changed since version V the answer
-   is only {"version":V,"unchanged":true}, so that polling costs a few
-   bytes.  */
+/* Handles GET /v1/members[?datacentre=DC][&since=V]: the shown list,
+   restricted to the members of DC if given.  When nothing has changed since
+   version V, the answer is only {"version":V,"unchanged":true}, so that
+   polling costs a few bytes.  */
 static void
 members_get (mm_platform *p, mm_http_request *req)
 {
@@ -420,6 +433,7 @@
   answer (p, req, 200, text);
 }
 
+/* Handles POST /v1/faults: changes the faults that the body names.  */
 static void
 set_faults (mm_platform *p, mm_http_request *req)
 {
--- a/src/mm_run_json.c
+++ b/src/mm_run_json.c
@@ -5,8 +5,8 @@
 
 #include <string.h>
 
-/* Reads a non-negative number; a missing one is read as 0.  Returns false for
-   any other value.  */
+/* Reads a number that must not be negative; a missing one is read as 0.
+   Returns false for a negative number or a value that is no number.  */
 static bool
 read_i64 (const cJSON *in, const char *name, int64_t *out)
 {
@@ -15,6 +15,7 @@
   return !f || (cJSON_IsNumber (f) && f->valuedouble >= 0);
 }
 
+/* Adds the fields that identify a run: its task and its number.  */
 static void
 add_run_id (cJSON *o, const mm_task_id *task, uint32_t run)
 {
@@ -24,6 +25,8 @@
   cJSON_AddNumberToObject (o, "run", run);
 }
 
+/* Reads the fields that identify a run.  Returns false when one is
+   malformed.  */
 static bool
 read_run_id (const cJSON *in, mm_task_id *task, uint32_t *run)
 {
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -1,9 +1,9 @@
 /* mm_run_server: runs under leases, with simulated faults.
 
    Faults (POST /v1/run-faults, each kept until it is used up or changed):
-   lose_starts / lose_stops / lose_holds: number of the next calls that
-   get no answer;
-   late_ms: delay after which a lost start is carried out, 0: never;
+   lose_starts / lose_stops / lose_holds: number of the next calls that are
+   neither carried out nor answered;
+   late_ms: delay after which a lost start is carried out after all, 0: never;
    fails: each task fails; hangs: no task ends; refuses: starts are refused;
    slow_percent: run time in percent of the requested one;
    silent: no call is carried out or answered;
@@ -22,26 +22,30 @@
 #include <string.h>
 #include <unistd.h>
 
+/* Header with the name of the incarnation that a caller addresses.  */
 #define UPSTREAM_HEADER "X-Masticmill-Upstream"
 
+/* Simulated faults of calls.  A lost call is neither carried out nor
+   answered.  */
 typedef struct
 {
-  int64_t lose_starts;
-  int64_t lose_stops;
-  int64_t lose_holds;
-  int64_t late_start_ms;
-  bool unresponsive;
-  bool loses_answers;
+  int64_t lose_starts; /* number of the next starts that are lost */
+  int64_t lose_stops;  /* number of the next stops that are lost */
+  int64_t lose_holds;  /* number of the next holds that are lost */
+  int64_t
+      late_start_ms;  /* delay until a lost start is carried out, 0: never */
+  bool unresponsive;  /* no call is carried out or answered */
+  bool loses_answers; /* calls are carried out, but not answered */
 } call_faults;
 
-/* A hold that is answered when a run ends, or at the given time.  */
+/* A hold that is answered when a run ends, at answer_by_ms at the latest.  */
 typedef struct
 {
   mm_http_request *req;
   mm_time_ms answer_by_ms;
 } waiting_hold;
 
-/* A lost start that is carried out later.  */
+/* A lost start that is carried out at start_ms.  */
 typedef struct
 {
   cJSON *order;
@@ -59,8 +63,8 @@
 {
   struct ev_loop *loop;
   ev_timer tick;
-  char *name;
-  mm_resources capacity;
+  char *name;            /* name of the incarnation */
+  mm_resources capacity; /* capacity in the upstream list */
   mm_run_table *table;
   int log_fd;      /* -1 for none */
   size_t n_logged; /* number of ended runs in the log */
@@ -76,15 +80,16 @@
 static void tick_cb (struct ev_loop *loop, ev_timer *w, int revents);
 
 /**
- * mm_run_server_create() - creates the runs of an upstream stand-in.
+ * mm_run_server_create() - creates the run server of an upstream stand-in.
  * @loop: the event loop.
- * @name: the upstream; its incarnation is named by this and the start time.
+ * @name: name of the upstream; the name of the incarnation is made of it and
+ *        of the start time.
  * @capacity: the upstream's total capacity.
  * @log_file: takes a JSON line for each start and end as it happens, so that
  *            the lines up to then survive when the stand-in is killed; "" for
  *            none.
  *
- * Return: the object; free with mm_run_server_destroy().
+ * Return: the run server; free with mm_run_server_destroy().
  */
 mm_run_server *
 mm_run_server_create (struct ev_loop *loop, const char *name,
@@ -115,7 +120,7 @@
 }
 
 static void
-late_free (gpointer p)
+late_start_free (gpointer p)
 {
   cJSON_Delete (((late_start *)p)->order);
   g_free (p);
@@ -128,7 +133,7 @@
     return;
   ev_timer_stop (s->loop, &s->tick);
   g_list_free_full (s->holds, g_free);
-  g_list_free_full (s->late_starts, late_free);
+  g_list_free_full (s->late_starts, late_start_free);
   mm_run_table_destroy (s->table);
   g_array_free (s->past_capacities, TRUE);
   if (s->log_fd >= 0)
@@ -137,6 +142,8 @@
   g_free (s);
 }
 
+/* Answers with a JSON object, which is freed, and adds the time on the
+   stand-in's clock to it.  */
 static void
 reply (mm_http_request *req, unsigned status, cJSON *body)
 {
@@ -155,6 +162,8 @@
   reply (req, v == MM_CALL_OK ? 200 : 409, b);
 }
 
+/* Ends a request that was left unanswered: its caller has closed the
+   connection and does not receive this answer.  */
 static void
 on_caller_left (void *ctx)
 {
@@ -168,6 +177,7 @@
   mm_http_request_on_left (req, on_caller_left, req);
 }
 
+/* Appends a line to the run log, if there is one.  */
 static void
 log_line (mm_run_server *s, mm_time_ms at_ms, const char *event,
           const mm_task_id *task, uint32_t number, const char *how)
@@ -184,6 +194,7 @@
     g_warning ("cannot write to the run log: %s", strerror (errno));
 }
 
+/* Logs the ends that are not in the run log yet.  */
 static void
 log_ends (mm_run_server *s)
 {
@@ -196,6 +207,8 @@
               p[s->n_logged].number, mm_end_name (p[s->n_logged].how));
 }
 
+/* Schedules a crash if @task belongs to a poison job and no crash is due yet.
+ */
 static void
 schedule_crash (mm_run_server *s, const mm_task_id *task, mm_time_ms now)
 {
@@ -206,6 +219,7 @@
   g_message ("crashed by %s/%u.%u", task->job, task->step, task->index);
 }
 
+/* Carries out a start order and logs the start.  Return: the verdict.  */
 static mm_call_verdict
 start_run (mm_run_server *s, const cJSON *in)
 {
@@ -242,6 +256,7 @@
   return true;
 }
 
+/* Handles POST /v1/runs.  */
 static void
 on_start (mm_run_server *s, mm_http_request *req, cJSON *in)
 {
@@ -264,6 +279,7 @@
     reply_verdict (s, req, v);
 }
 
+/* Handles POST /v1/runs/stop.  */
 static void
 on_stop (mm_run_server *s, mm_http_request *req, const cJSON *in)
 {
@@ -284,6 +300,7 @@
     reply_verdict (s, req, v);
 }
 
+/* Answers a hold with the running runs and the unacknowledged ends.  */
 static void
 reply_lists (mm_run_server *s, mm_http_request *req)
 {
@@ -292,6 +309,8 @@
   reply (req, 200, mm_run_json_hold_result (&r));
 }
 
+/* Handles POST /v1/hold.  A hold with a wait_ms is answered at once if an end
+   is unacknowledged, otherwise when a run ends or wait_ms has passed.  */
 static void
 on_hold (mm_run_server *s, mm_http_request *req, const cJSON *in)
 {
@@ -320,6 +339,7 @@
     }
 }
 
+/* Sets @out if the object has a boolean of that name.  */
 static void
 read_bool (const cJSON *in, const char *name, bool *out)
 {
@@ -328,6 +348,7 @@
     *out = cJSON_IsTrue (f);
 }
 
+/* Sets @out if the object has a number of that name.  */
 static void
 read_number (const cJSON *in, const char *name, int64_t *out)
 {
@@ -336,6 +357,7 @@
     *out = (int64_t)f->valuedouble;
 }
 
+/* Handles POST /v1/run-faults: changes the faults that the body names.  */
 static void
 on_faults (mm_run_server *s, mm_http_request *req, const cJSON *in)
 {
@@ -376,6 +398,8 @@
   mm_run_table_set_capacity (s->table, &max_capacity);
 }
 
+/* Handles POST /v1/capacity.  For grace_ms, starts that fit the previous
+   capacity do not count as over capacity.  */
 static void
 on_capacity (mm_run_server *s, mm_http_request *req, const cJSON *in)
 {
@@ -388,8 +412,9 @@
   reply (req, 200, cJSON_CreateObject ());
 }
 
+/* Adds an ended run to the list of the run log.  */
 static void
-add_run (cJSON *list, const mm_ended_run *p)
+add_ended_run (cJSON *list, const mm_ended_run *p)
 {
   cJSON *row = cJSON_CreateObject ();
   char *name
@@ -402,7 +427,8 @@
   g_free (name);
 }
 
-/* Answers with all ended runs; those that still run are left out.  */
+/* Handles GET /v1/run-log: all ended runs, without those that still run, and
+   the counts of starts.  */
 static void
 on_run_log (mm_run_server *s, mm_http_request *req)
 {
@@ -411,7 +437,7 @@
   size_t n;
   const mm_ended_run *p = mm_run_table_ended_runs (s->table, &n);
   for (size_t i = 0; i < n; i++)
-    add_run (list, &p[i]);
+    add_ended_run (list, &p[i]);
   mm_run_counts c = mm_run_table_counts (s->table);
   cJSON_AddNumberToObject (o, "starts", c.starts);
   cJSON_AddNumberToObject (o, "over_capacity", c.over_capacity);
@@ -464,6 +490,7 @@
   return true;
 }
 
+/* Carries out the late starts that are due.  */
 static void
 run_late_starts (mm_run_server *s, mm_time_ms now)
 {
@@ -476,10 +503,12 @@
         continue;
       s->late_starts = g_list_delete_link (s->late_starts, l);
       start_run (s, late->order);
-      late_free (late);
+      late_start_free (late);
     }
 }
 
+/* Carries out what has become due: late starts, ends of runs, a crash, and the
+   answers to waiting holds.  */
 static void
 tick_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
--- a/src/mm_run_server.h
+++ b/src/mm_run_server.h
@@ -7,7 +7,9 @@
      POST /v1/run-faults set the faults to simulate from now on
      POST /v1/capacity   set the capacity from now on
      GET  /v1/run-log    all ended runs: task, start and end in ms since boot
- */
+
+   The first three are refused with 421 if the caller names another incarnation
+   than this one.  */
 #ifndef MM_RUN_SERVER_H
 #define MM_RUN_SERVER_H
 
@@ -23,22 +25,25 @@
   const char *job_prefix;    /* prefix of the ids of their jobs, "": none */
   mm_time_ms crash_delay_ms; /* from the start of such a task to the crash */
   void (*crash) (void *ctx); /* called at the crash */
-  void *ctx;
+  void *ctx;                 /* context pointer for crash */
 } mm_run_server_poison;
 
 mm_run_server *mm_run_server_create (struct ev_loop *loop, const char *name,
                                      const mm_resources *capacity,
                                      const char *log_file);
 void mm_run_server_destroy (mm_run_server *s);
+/* Sets which tasks crash the upstream; @p is copied, its strings are not.  */
 void mm_run_server_set_poison (mm_run_server *s,
-                               const mm_run_server_poison *p); /* copied */
+                               const mm_run_server_poison *p);
 /* Handles a request whose path is listed above; returns false for others.  */
 bool mm_run_server_handle (mm_run_server *s, mm_http_request *req);
 size_t mm_run_server_running (const mm_run_server *s); /* number of runs */
 /* Returns the name of this incarnation of the upstream.  */
 const char *mm_run_server_name (const mm_run_server *s);
+/* Returns the capacity that the upstream reports to the upstream list.  */
 mm_resources mm_run_server_capacity (const mm_run_server *s);
-/* Adds the state to the JSON object @out.  */
+/* Adds the incarnation, the number of runs and the counts of starts to the
+   JSON object @out.  */
 void mm_run_server_dump (const mm_run_server *s, cJSON *out);
 
 #endif /* MM_RUN_SERVER_H */
--- a/src/mm_stream_server.c
+++ b/src/mm_stream_server.c
@@ -11,6 +11,7 @@
 #define STREAMS_PATH "/v1/streams/"
 #define GROUPS_PATH "/v1/groups/"
 
+/* A keyed stream: its log keeps the newest record of each key.  */
 typedef struct
 {
   mm_keyed_log *log;
@@ -32,11 +33,11 @@
 {
   struct ev_loop *loop;
   ev_timer tick;
-  mm_stream_answer answer;
-  void *ctx;
-  GHashTable *streams; /* name -> stream */
-  GHashTable *groups;  /* name -> mm_group_table */
-  GList *reads;        /* waiting_read */
+  mm_stream_answer answer; /* sends all answers but that to a fault */
+  void *ctx;               /* context pointer for answer */
+  GHashTable *streams;     /* name -> stream */
+  GHashTable *groups;      /* name -> mm_group_table */
+  GList *reads;            /* waiting_read */
 };
 
 static void
@@ -48,6 +49,7 @@
   g_free (t);
 }
 
+/* Returns the stream of that name, which is created if there is none yet.  */
 static stream *
 get_stream (mm_stream_server *s, const char *name)
 {
@@ -61,6 +63,7 @@
   return t;
 }
 
+/* Returns the group of that name, which is created if there is none yet.  */
 static mm_group_table *
 get_group (mm_stream_server *s, const char *name)
 {
@@ -72,6 +75,7 @@
   return g;
 }
 
+/* Answers with a JSON object, which is freed.  */
 static void
 answer_json (mm_stream_server *s, mm_http_request *req, unsigned status,
              cJSON *body)
@@ -91,6 +95,8 @@
 
 /* ---- streams ---------------------------------------------------------- */
 
+/* Adds a record to the list of an answer.  The record of a deleted key has no
+   value.  */
 static void
 add_record (cJSON *list, const mm_keyed_record *r)
 {
@@ -111,9 +117,9 @@
 
 #define ROW_BYTES 24 /* size of a row besides its key and value */
 
-/* Returns how many of these records fit into an answer of @max_bytes (0: no
-   limit).  It is at least one, so that a large record does not block the
-   reader for ever.  */
+/* Returns how many of the @n records fit into an answer of @max_bytes (0: no
+   limit).  If there is a record, the result is at least one, so that a large
+   record does not block the reader for ever.  */
 static size_t
 records_within (const mm_keyed_record *r, size_t n, uint64_t max_bytes)
 {
@@ -128,8 +134,8 @@
   return n;
 }
 
-/* Answers with the records from offset @from on, or with 410 when the history
-   no longer has them.  */
+/* Answers with the records from offset @from on, or with 410 when the stream
+   no longer has all of them.  */
 static void
 answer_records (mm_stream_server *s, mm_http_request *req, const stream *t,
                 uint64_t from)
@@ -153,7 +159,7 @@
 }
 
 /* Handles GET /v1/streams/S.  A read from the end of the stream waits for a
-   record for up to wait_ms.  */
+   record for up to wait_ms, and for 30 s at most.  */
 static void
 get_records (mm_stream_server *s, mm_http_request *req, const char *name)
 {
@@ -173,8 +179,10 @@
   s->reads = g_list_prepend (s->reads, r);
 }
 
-/* Handles GET /v1/streams/S/newest: one page of the newest records, of the
-   keys after the one in the query.  */
+/* Handles GET /v1/streams/S/newest?after=KEY: the newest record of each of the
+   next MM_STREAM_PAGE keys after KEY, or of the first keys without KEY.  The
+   answer has an "after" if there are more keys, and in "next" the offset from
+   which to read on.  */
 static void
 get_newest (mm_stream_server *s, mm_http_request *req, const char *name)
 {
@@ -198,6 +206,8 @@
   answer_json (s, req, 200, o);
 }
 
+/* Handles PUT /v1/streams/S/KEY.  The value expires after its "ttl_ms"; a
+   value without one does not expire.  */
 static void
 put_value (mm_stream_server *s, mm_http_request *req, const char *name,
            const char *key)
@@ -228,8 +238,9 @@
   answer_json (s, req, 200, o);
 }
 
-/* Number of last appends that are remembered, so that one that is sent again
-   because its answer was lost does not take effect twice.  */
+/* Number of the last appends to a stream that are recognized as repeated when
+   they are sent again because their answers were lost, so that they do not
+   take effect twice.  */
 #define REMEMBERED_APPENDS 5
 
 /* Refuses an append.  The answer names the expected sequence number, unless
@@ -244,6 +255,8 @@
   answer_json (s, req, 409, o);
 }
 
+/* Applies a list of records to a stream; a record without a value deletes its
+   key.  */
 static void
 put_records (stream *t, const cJSON *list)
 {
@@ -260,9 +273,11 @@
     }
 }
 
-/* Appends records for the writer that holds an epoch, in order.  An append
-   with a lower epoch or with an unexpected sequence number is refused.  A
-   recent append that is sent again is answered but not applied again.  */
+/* Handles POST /v1/streams/S/append: appends records for the writer that holds
+   an epoch, in order.  An append with a lower epoch or with an unexpected
+   sequence number is refused.  A recent append that is sent again is answered
+   but not applied again.  An append without records only sets the epoch, and a
+   new epoch sets the next sequence number.  */
 static void
 append_records (mm_stream_server *s, mm_http_request *req, const char *name)
 {
@@ -299,6 +314,7 @@
   cJSON_Delete (in);
 }
 
+/* Handles a request for @subpath, a path below /v1/streams/.  */
 static void
 handle_stream (mm_stream_server *s, mm_http_request *req, const char *subpath)
 {
@@ -329,6 +345,8 @@
 
 /* ---- groups ----------------------------------------------------------- */
 
+/* Answers with the generation of a group and the partitions that @member
+   holds.  */
 static void
 answer_partitions (mm_stream_server *s, mm_http_request *req,
                    mm_group_table *g, const char *member)
@@ -346,6 +364,7 @@
   answer_json (s, req, 200, o);
 }
 
+/* Answers with the holder of each partition that has one.  */
 static void
 answer_holders (mm_stream_server *s, mm_http_request *req, mm_group_table *g)
 {
@@ -364,7 +383,8 @@
   answer_json (s, req, 200, o);
 }
 
-/* Handles POST /v1/groups/G/join and /leave.  */
+/* Handles POST /v1/groups/G/join and /v1/groups/G/leave; @verb is "join" or
+   "leave".  */
 static void
 change_group (mm_stream_server *s, mm_http_request *req, const char *name,
               const char *verb)
@@ -389,16 +409,17 @@
     answer_error (s, req, 400, "join with a ttl_ms, or leave");
   else
     {
-      uint64_t confirmed = cJSON_IsNumber (generation)
-                               ? (uint64_t)generation->valuedouble
-                               : 0;
-      mm_group_table_join (g, member, confirmed, (mm_time_ms)ttl->valuedouble,
-                           mm_clock_now_ms ());
+      uint64_t seen_generation = cJSON_IsNumber (generation)
+                                     ? (uint64_t)generation->valuedouble
+                                     : 0;
+      mm_group_table_join (g, member, seen_generation,
+                           (mm_time_ms)ttl->valuedouble, mm_clock_now_ms ());
       answer_partitions (s, req, g, member);
     }
   cJSON_Delete (in);
 }
 
+/* Handles a request for @subpath, a path below /v1/groups/.  */
 static void
 handle_group (mm_stream_server *s, mm_http_request *req, const char *subpath)
 {
@@ -414,6 +435,8 @@
 
 /* ---- streams and groups ----------------------------------------------- */
 
+/* Handles POST /v1/store-faults: drops the history of all streams, or
+   reassigns the partitions of all groups at once.  */
 static void
 set_faults (mm_stream_server *s, mm_http_request *req)
 {
@@ -453,7 +476,7 @@
   return true;
 }
 
-/* Deletes the values whose ttl has passed.  */
+/* Deletes the values of a stream whose ttl has passed.  */
 static void
 expire_values (stream *t, mm_time_ms now)
 {
@@ -487,6 +510,7 @@
     }
 }
 
+/* Removes expired values and group members, then answers waiting reads.  */
 static void
 tick_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
--- a/src/mm_stream_server.h
+++ b/src/mm_stream_server.h
@@ -23,10 +23,13 @@
 
 typedef struct mm_stream_server mm_stream_server;
 
-/* Sends an answer; the platform stand-in may delay or lose it.  */
+/* Sends the answer to a request: an HTTP status and a JSON body, which is
+   freed.  The platform stand-in may delay or lose the answer.  */
 typedef void (*mm_stream_answer) (void *ctx, mm_http_request *req,
-                                  unsigned status, char *body /* owned */);
+                                  unsigned status, char *body);
 
+/* Starts the component on an event loop.  @answer, called with @ctx, sends its
+   answers.  Return: the component; free it with mm_stream_server_destroy(). */
 mm_stream_server *mm_stream_server_create (struct ev_loop *loop,
                                            mm_stream_answer answer, void *ctx);
 void mm_stream_server_destroy (mm_stream_server *s);
