--- a/src/mm_bench.c
+++ b/src/mm_bench.c
@@ -14,15 +14,16 @@
 #include <math.h>
 #include <stdlib.h>
 
+/* A load test in progress.  */
 typedef struct
 {
   const mm_bench_plan *plan;
-  mm_bench_report *report;
+  mm_bench_report *report; /* results so far */
   struct ev_loop *loop;
   mm_http_client *client;
   GRand *rand;
-  uint32_t submitted;
-  uint32_t in_flight;
+  uint32_t submitted; /* jobs submitted so far */
+  uint32_t in_flight; /* jobs submitted and not answered */
   /* Response time / ideal of each complete job, double.  */
   GArray *ratios;
   GArray *kind_ratios[MM_BENCH_MAX_KINDS]; /* the same, by kind */
@@ -30,8 +31,8 @@
   ev_timer arrival; /* next job of an open loop */
 } bench;
 
-/* The users' two sites: kind of request, tasks a job, run time of a task in
-   ms, jobs a second.  */
+/* The two sites of the users.  A row holds the kind of request, the tasks per
+   job, the run time of each task in ms and the jobs per second.  */
 static const mm_bench_kind lima_kinds[] = { { "seat-hold", 8, 60, 34.4 },
                                             { "guide-assign", 4, 900, 6.25 },
                                             { "pass-print", 2, 200, 100 },
@@ -58,18 +59,22 @@
   return NULL;
 }
 
+/* A job in flight.  */
 typedef struct
 {
   bench *bench;
-  mm_time_ms sent_ms;
-  mm_time_ms ideal_ms;
-  uint32_t tasks;
-  int kind; /* index into the plan's kinds, -1: closed loop */
+  mm_time_ms sent_ms;  /* when the job was submitted */
+  mm_time_ms ideal_ms; /* response time of an ideal dispatcher */
+  uint32_t tasks;      /* number of tasks */
+  int kind;            /* index into the plan's kinds, -1: closed loop */
 } job_ctx;
 
 static void submit_next (bench *b);
 static bool arrivals_ended (const bench *b);
 
+/* Counts an answered job.  An answer other than "complete" is a failed job if
+   it lists tasks, otherwise a refused one.  The last answer ends the load
+   test.  */
 static void
 on_job_answered (const mm_http_result *res, void *ctx)
 {
@@ -122,6 +127,9 @@
   return g_rand_int_range (b->rand, 0, 50) == 0 ? 4 * task_ms : task_ms;
 }
 
+/* Returns the JSON body of job number @n, which the caller frees with free(),
+   and sets @ideal_out_ms to its ideal response time.  @kind is NULL in a
+   closed loop.  */
 static char *
 make_job (bench *b, uint32_t n, const mm_bench_kind *kind, uint32_t n_tasks,
           mm_time_ms *ideal_out_ms)
@@ -155,6 +163,8 @@
   return s;
 }
 
+/* Submits a job to the next entry instance.  @kind is an index into the plan's
+   kinds, -1 in a closed loop.  */
 static void
 submit (bench *b, int kind)
 {
@@ -177,6 +187,7 @@
   b->in_flight++;
 }
 
+/* Returns whether an open loop submits no more jobs; true in a closed loop. */
 static bool
 arrivals_ended (const bench *b)
 {
@@ -184,6 +195,7 @@
          || mm_clock_now_ms () - b->start_ms >= b->plan->max_ms;
 }
 
+/* Returns the jobs per second of all kinds of an open loop.  */
 static double
 total_rate (const mm_bench_plan *p)
 {
@@ -216,6 +228,7 @@
   ev_timer_start (loop, w);
 }
 
+/* Closed loop: submits jobs until as many are in flight as planned.  */
 static void
 submit_next (bench *b)
 {
@@ -232,6 +245,8 @@
   return (x > y) - (x < y);
 }
 
+/* Returns the @q quantile (0 to 1) of a sorted array of double, 0 if it is
+   empty.  */
 static double
 quantile (GArray *sorted, double q)
 {
--- a/src/mm_group_table.c
+++ b/src/mm_group_table.c
@@ -3,24 +3,27 @@
 
 #include <string.h>
 
+/* A member of a group.  */
 typedef struct
 {
   char *name;
-  uint64_t joined_generation; /* the highest generation that it joined with */
-  mm_time_ms expires_ms;
+  uint64_t joined_generation; /* highest generation that it has joined with */
+  mm_time_ms expires_ms;      /* it is removed after this time */
 } member;
 
+/* A partition.  It is moving while holder and target differ.  */
 typedef struct
 {
-  member *holder; /* may still act on the partition, or NULL */
-  member *target; /* the partition is assigned to it next, or NULL */
-  /* Generation from which on the partition is not listed for its holder.  */
+  member *holder; /* member that may still use the partition, or NULL */
+  member *target; /* member that the partition is assigned to, or NULL */
+  /* Generation from which on the partition is not listed for a holder that is
+     not the target.  */
   uint64_t unlisted_generation;
 } partition;
 
 struct mm_group_table
 {
-  GPtrArray *members;
+  GPtrArray *members; /* member * */
   partition *partitions;
   uint32_t n_partitions;
   uint64_t generation;
@@ -53,6 +56,7 @@
   g_free (g);
 }
 
+/* Returns the number of partitions that are assigned to a member.  */
 static uint32_t
 target_count (const mm_group_table *g, const member *m)
 {
@@ -62,7 +66,8 @@
   return n;
 }
 
-/* Returns the member with the fewest partitions, or NULL without members.  */
+/* Returns the member with the fewest assigned partitions, or NULL if the group
+   has no members.  */
 static member *
 least_loaded (const mm_group_table *g)
 {
@@ -86,7 +91,10 @@
     p->unlisted_generation = g->generation;
 }
 
-/* Assigns the partitions evenly and moves as few of them as possible.  */
+/* Assigns the partitions evenly and moves as few of them as possible.  Only
+   partitions without a target or of an overloaded member are reassigned, to
+   the least loaded member.  A member is overloaded if it has more than an even
+   share (rounded up), or at least two more than the least loaded member.  */
 static void
 rebalance (mm_group_table *g)
 {
@@ -108,9 +116,9 @@
     }
 }
 
-/* Moves the partitions that their holders have released to their targets.  A
-   holder has released a partition once it joins with a generation in which the
-   partition is no longer listed for it.  */
+/* Makes the target of each partition that its holder has released the new
+   holder.  A holder has released a partition once it has joined with a
+   generation in which the partition is no longer listed for it.  */
 static void
 complete_moves (mm_group_table *g)
 {
@@ -159,6 +167,7 @@
   return g->generation;
 }
 
+/* Removes a member and assigns its partitions to others.  */
 static void
 remove_member (mm_group_table *g, member *m)
 {
