--- a/examples/http_echo.c
+++ b/examples/http_echo.c
@@ -3,6 +3,7 @@
 
 #include <stdio.h>
 
+/* Answers each request with its own body.  */
 static void
 echo (mm_http_request *req, void *ctx)
 {
@@ -10,6 +11,7 @@
   mm_http_reply (req, 200, mm_http_request_body (req, &len), 0);
 }
 
+/* Prints the answer and stops the event loop.  */
 static void
 answered (const mm_http_result *result, void *ctx)
 {
--- a/examples/peer_forward.c
+++ b/examples/peer_forward.c
@@ -4,6 +4,7 @@
 
 #include <stdio.h>
 
+/* Answers a forwarded job at once.  */
 static void
 on_job (mm_peer *p, uint64_t conn_id, uint64_t req_id, uint32_t hops,
         const uint8_t *job, size_t len, void *ctx)
@@ -12,6 +13,7 @@
   mm_peer_reply (p, conn_id, req_id, 200, 0, "{\"status\":\"complete\"}");
 }
 
+/* Prints the answer or the error and stops the event loop.  */
 static void
 on_answer (const mm_peer_answer *answer, void *ctx)
 {
--- a/examples/settings.c
+++ b/examples/settings.c
@@ -19,6 +19,7 @@
   { NULL },
 };
 
+/* Applies a TOML text to default settings and prints the result.  */
 static void
 try_text (const char *text)
 {
--- a/fuzz/fuzz_decoders.c
+++ b/fuzz/fuzz_decoders.c
@@ -1,10 +1,10 @@
 /* fuzz_decoders: feeds untrusted bytes to the decoders of jobs, settings,
    configuration records, quota reports and peer frames.
 
-   Built without options, the program mutates seed inputs for N rounds (its
-   argument, default 20000) and exits 0 if no decoder crashed; run it under
-   valgrind or ASan to find memory errors.  Built with
-   clang -fsanitize=fuzzer -DMM_LIBFUZZER, it is a libFuzzer target.  */
+   Built without MM_LIBFUZZER, the program mutates seed inputs for N rounds
+   (its argument, default 20000) and exits with 0 if no decoder crashed; run it
+   under valgrind or ASan to find memory errors.  Built with clang
+   -fsanitize=fuzzer -DMM_LIBFUZZER, it is a libFuzzer target.  */
 #include "mm_cfg.h"
 #include "mm_quota.h"
 
@@ -17,6 +17,7 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
+/* Feeds one input to every decoder.  */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
@@ -44,6 +45,7 @@
 }
 
 #ifndef MM_LIBFUZZER
+/* Returns a valid job of two tasks, packed as msgpack.  */
 static GByteArray *
 seed_packed (void)
 {
@@ -63,6 +65,7 @@
   return bytes;
 }
 
+/* Answers each forwarded job with an empty JSON object.  */
 static void
 on_job (mm_peer *p, uint64_t conn_id, uint64_t req_id, uint32_t hops,
         const uint8_t *job, size_t len, void *ctx)
@@ -70,8 +73,9 @@
   mm_peer_reply (p, conn_id, req_id, 200, 0, "{}");
 }
 
-/* Sends complete frames with mutated bodies to a real peer link: the link
-   must close or answer, never crash.  */
+/* Sends complete frames with mutated bodies to a real peer link: the link must
+   close or answer, never crash.  The frames are a forwarded job, an answer, a
+   ping and a notification in msgpack; the type is the second byte.  */
 static void
 fuzz_peer_frames (GRand *r, long rounds)
 {
@@ -140,8 +144,8 @@
       int flips = g_rand_int_range (r, 1, 6);
       for (int f = 0; f < flips; f++)
         buf[g_rand_int_range (r, 0, (gint32)n)] = (uint8_t)g_rand_int (r);
-      size_t cut_bytes = (size_t)g_rand_int_range (r, 0, (gint32)n + 1);
-      LLVMFuzzerTestOneInput (buf, cut_bytes);
+      size_t prefix_bytes = (size_t)g_rand_int_range (r, 0, (gint32)n + 1);
+      LLVMFuzzerTestOneInput (buf, prefix_bytes);
     }
   fuzz_peer_frames (r, rounds / 5);
   g_rand_free (r);
--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -1,10 +1,10 @@
 /* fuzz_wire: feeds untrusted bytes to the decoders of platform/, of the
    native protocol and of the messages between instances.
 
-   Built without options, the program mutates seed inputs for N rounds (its
-   argument, default 20000) and exits 0 if no decoder crashed; run it under
-   valgrind or ASan to find memory errors.  Built with
-   clang -fsanitize=fuzzer -DMM_LIBFUZZER, it is a libFuzzer target.  */
+   Built without MM_LIBFUZZER, the program mutates seed inputs for N rounds
+   (its argument, default 20000) and exits with 0 if no decoder crashed; run it
+   under valgrind or ASan to find memory errors.  Built with clang
+   -fsanitize=fuzzer -DMM_LIBFUZZER, it is a libFuzzer target.  */
 #include "mm_kept_wire.h"
 #include "mm_mesh_msg.h"
 #include "mm_native.h"
@@ -17,6 +17,7 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
+/* Feeds one input to the decoders of platform/.  */
 static void
 try_platform (const char *text, size_t size)
 {
@@ -34,6 +35,8 @@
   g_free (name);
 }
 
+/* Feeds one input to the decoders of the native protocol: submissions, orders,
+   holds and lists of runs.  */
 static void
 try_native (const char *text, size_t size)
 {
@@ -53,6 +56,8 @@
   cJSON_Delete (object);
 }
 
+/* Feeds each msgpack object of one input to the decoder of messages between
+   instances.  */
 static void
 try_mesh (const uint8_t *data, size_t size)
 {
@@ -69,11 +74,13 @@
   msgpack_unpacked_destroy (&msg);
 }
 
+/* Ignores an acknowledged end: only the decoder is tested.  */
 static void
 ignore_end_ack (void *ctx, const mm_task_id *task, uint32_t hash)
 {
 }
 
+/* Feeds one input to the decoders of kept jobs and task searches.  */
 static void
 try_kept (const uint8_t *data, size_t size)
 {
@@ -89,6 +96,7 @@
   mm_end_acks_read (data, size, ignore_end_ack, NULL);
 }
 
+/* Feeds one input to every decoder.  */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
@@ -100,6 +108,7 @@
 }
 
 #ifndef MM_LIBFUZZER
+/* Packs one message of each kind that instances exchange, except updates.  */
 static msgpack_sbuffer
 mesh_seed (void)
 {
@@ -156,6 +165,7 @@
   return b;
 }
 
+/* Packs the record of a kept job with two steps.  */
 static msgpack_sbuffer
 record_seed (void)
 {
