--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -74,7 +74,7 @@
                 for d in select_days(s, args.days and args.days.split(",")) for i in range(args.seeds)]
     with cf.ThreadPoolExecutor(args.jobs) as pool:
         runs = {(m, p): pool.submit(run_day, args.bench, out, folders[m], *p) for p in day_runs for m in folders}
-        worth = {k: f.bench_run() for k, f in runs.items()}
+        worth = {k: f.result() for k, f in runs.items()}
     print("gain in worth: mean +- standard error (pairs)")
     for m in mechanisms:
         row = [f"{m:16}"]
