--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -35,6 +35,7 @@
     return folder
 
 
+# Runs one day with one seed on the clone in folder and keeps the output.  Returns the worth, None if there is none.
 def run_day(bench, out, folder, site, day, seed):
     bench_run = subprocess.run([bench, "run", site, day, "--seed", str(seed), "--no-cpu", "--jobs", "1"],
                                cwd=folder, text=True, capture_output=True)
@@ -45,6 +46,7 @@
     return float(match[1]) if match else None
 
 
+# Returns the names of the wanted days of a site, or of all but the quiet ones.
 def select_days(site, wanted):
     with open(site, "rb") as f:
         names = [d["name"] for d in tomllib.load(f)["day"]]
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -38,6 +38,7 @@
   entries+=("http://127.0.0.1:$((base + 100 + i))")
 done
 sleep 3
+# Prints the CPU time of a process in ms.
 cpu_ms () { awk '{print ($14 + $15) * 1000 / '"$(getconf CLK_TCK)"'}' "/proc/$1/stat"; }
 declare -A cpu0; for p in "${entry_pids[@]}"; do cpu0[$p]=$(cpu_ms "$p"); done
 list=$(IFS=,; echo "${entries[*]}")
--- a/scripts/explain.sh
+++ b/scripts/explain.sh
@@ -16,9 +16,10 @@
 pids=()
 stop () { for p in "${pids[@]}"; do kill -9 "$p" 2>/dev/null || true; done; wait 2>/dev/null || true; }
 trap stop EXIT
+# Print the URL for callers, and the state, of instance number $1.
 front () { echo "http://127.0.0.1:$((base + 100 + $1))"; }
 state () { curl -s "http://127.0.0.1:$((base + 130 + $1))/"; }
-node () {
+node () { # NUMBER: starts an instance, which appends to its log
   "$bin/masticmill-node" --set "node.name=\"node$1\"" --set "node.front=\"127.0.0.1:$((base + 100 + $1))\"" \
     --set "node.ready=\"127.0.0.1:$((base + 110 + $1))\"" --set node.mesh_port=$((base + 120 + $1)) \
     --set node.state_port=$((base + 130 + $1)) --set "store.address=\"$plat\"" >>"$log/node$1.log" 2>&1 &
@@ -33,6 +34,7 @@
 submit () { # NODE ID TASKS RUN_MS [QUEUE]: prints the HTTP status
   curl -s -o "$log/$2.answer" -w '%{http_code}' --data "$(job "${@:2}")" "$(front "$1")/v1/jobs" || true
 }
+# Prints the number of upstreams that instance number $1 owns.
 owned () { state "$1" | python3 -c 'import json,sys; print(len(json.load(sys.stdin)["owner"]["upstreams"]))'; }
 wait_owned () { # COUNT NODE...: waits until the nodes together own COUNT upstreams
   local expected=$1; shift
@@ -53,6 +55,7 @@
 node 1; node 2
 wait_owned 4 1 2
 sleep 1.5 # for the instances to discover each other
+# Explains the request with the job id $2, under the heading $1.
 explain () { sleep 0.2; echo "--- $1"; "$bin/masticctl" explain "$2" "$log"/node*.log; }
 
 for k in 1 2; do submit 1 "fill-$k" 4 1500 >"$log/fill-$k.status" & done
--- a/scripts/losses.py
+++ b/scripts/losses.py
@@ -18,6 +18,7 @@
 LATE_LOSS = 0.8     # share of its worth that a late job loses
 
 
+# Runs one day with one seed and returns the report of the bench.
 def run_day(bench, site, day, seed, folder, small):
     report = os.path.join(folder, f"{day}-{seed}.json")
     subprocess.run([bench, "run", site, day, "--seed", str(seed), "--no-cpu", "--jobs", "1", "--report", report]
@@ -27,6 +28,8 @@
         return json.load(f)
 
 
+# Adds the jobs that a report shows as lost to losses (disruption -> column -> jobs), and the number of jobs that were
+# owed an answer to jobs_owed[0].
 def add_losses(report, losses, jobs_owed):
     for window in report["windows"]:
         start_s = float(window["name"])
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -30,15 +30,18 @@
 hb_bytes=$(curl -s "$plat/v1/members" | python3 -c 'import json,sys; m=[x for x in json.load(sys.stdin)["members"] if x["kind"]=="entry"][0]; print(len(json.dumps(m, separators=(",",":"))))')
 cfg_bytes=$(curl -s "$plat/v1/log/config?from=0" | wc -c)
 version=$(curl -s "$plat/v1/members?datacentre=dc1" | python3 -c 'import json,sys; print(json.load(sys.stdin)["version"])')
+# Prints the bytes of one call as REQUEST+HEADERS+BODY; the headers and the body are those of the answer.
 wire () { curl -s -o /dev/null -w '%{size_request}+%{size_header}+%{size_download}' "$@"; }
 echo "wire_bytes(request+answer headers+body): config_poll=$(wire "$plat/v1/log/config?from=0") member_poll_unchanged=$(wire "$plat/v1/members?datacentre=dc1&since=$version") heartbeat=$(wire -X PUT -H 'Content-Type: application/json' -H 'Expect:' --data "$(printf '%*s' 154 | tr ' ' x | sed 's/^/{"k":"/;s/$/"}/')" "$plat/v1/members/probe")"
 ticks_per_s=$(getconf CLK_TCK)
+# Prints the CPU time of a process in clock ticks.
 cpu () { awk '{print $14 + $15}' "/proc/$1/stat"; }
 cpu0=$(cpu "$entry"); sleep 10; cpu1=$(cpu "$entry")
 echo "members=$members member_list_bytes=$list_bytes bytes_per_member=$((list_bytes / members)) entry_heartbeat_body_bytes=$hb_bytes empty_config_read_bytes=$cfg_bytes"
 echo "idle_entry_control_cpu_ms_per_s=$(echo "scale=2; ($cpu1 - $cpu0) * 1000 / $ticks_per_s / 10" | bc)"
 entry_pids="${pids[*]: -6}"
-# Log appends and reads per accepted job, and the bytes of one append.
+# Log appends and reads per accepted job, and the payload bytes of notifications per second.
+# sum_state prints the sums of the named counters over all entry instances.
 sum_state () { for i in 1 2 3 4 5 6; do curl -s "http://127.0.0.1:$((base + 100 + i))/v1/state"; echo; done \
   | python3 -c 'import json,sys
 t = {}
@@ -50,6 +53,7 @@
 "$bin/masticctl" bench --entries "${list%,}" --site lima --seconds 10 --deadline-ms 3000 --non-idempotent 1
 read -r appends1 reads1 jobs1 bytes1 <<< "$(sum_state shard_appends shard_reads jobs_accepted news_bytes)"
 echo "site_lima: jobs=$((jobs1 - jobs0)) shard_appends_per_job=$(echo "scale=2; ($appends1 - $appends0) / ($jobs1 - $jobs0)" | bc) shard_reads_per_job=$(echo "scale=2; ($reads1 - $reads0) / ($jobs1 - $jobs0)" | bc) news_payload_bytes_per_s=$(( (bytes1 - bytes0) / 10 ))"
+# Bytes of an append of an accept record, and of a call that sets a fencing token.
 accept='{"kind":"accept","fp":"0123456789abcdef","jobs":["5c0e7a21d94b36f8"],"by":"entry1","inc":"entry1#1796244689657.0a1b2c3d"}'
 echo "accept_append_wire_bytes=$(wire -X POST -H 'Expect:' -H 'X-Masticmill-Member: entry1' --data "$accept" "$plat/v1/log/probe?epoch=1") extra_bytes_per_job_in_batch=19"
 echo "fence_wire_bytes_per_upstream=$(wire -X POST -H 'Expect:' --data '{"epoch":7}' "http://127.0.0.1:$((base + 1001))/v1/jobs/5c0e7a21d94b36f8/fence")"
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -17,8 +17,8 @@
   once       a non-idempotent task started at most once
   whole      a job answered as complete had every task done
   unrun      a job whose every answer was a refusal started no task
-  leaving    an upstream that announced its shutdown started nothing from two
-             seconds later on
+  leaving    an upstream that announced its shutdown started nothing more than
+             two seconds after the announcement
   knew       no instance started a task on an upstream that it had itself
              listed as draining
   config     no instance went back to an older configuration
@@ -27,12 +27,12 @@
              upstream died or was unreachable around then
   cancelled  no task of a kept job started more than a second after its
              cancellation was acknowledged
-  poison     a task that crashes its upstreams crashed three at most.  The count
-             starts again once no instance is left that knew of it.  Crashes whose
-             owner died or was stalled before it could notice are left out
-             of the three, but all crashes together are five at most.  The job of
-             such a task was never answered as complete, and no other job was
-             given up for crashes
+  poison     a task that crashes its upstreams crashed three upstreams at most.
+             The count starts again once no instance is left that knew it.  The
+             three do not include crashes of an upstream whose owner died or was
+             stalled before it could notice the crash, but all crashes together
+             are five at most.  The job of such a task was never answered as
+             complete, and no other job was given up for crashes
   back       each instance serves again after the faults
   exits      no process exited by itself
 
@@ -45,20 +45,21 @@
 
 RESEND_DELAY_S = 1.3        # callers wait this long before they send a job again
 SETTLE_S = 7                # fault-free time at the end; longer than every lease and TTL
-KEPT_END_TIMEOUT_S = 20     # every accepted kept job has ended by then
-MAX_CRASHES = 3             # of upstreams by one task, of those its owner could notice
-MAX_ALL_CRASHES = 5         # of upstreams by one task, with those that no instance could count
-CRASH_NOTICE_S = 1.3        # the owner of a crashed upstream knows of the crash by then
-POISON_CRASH_MS = 20        # from the start of a poison task to the crash
-CLOCK_ERROR_MS = 10         # error of a crash's time, from clock ticks and from two clocks
-HANDLER_S = 0.5             # a started process has signal handlers by then
-SYNC_S = 1.0                # a started instance knows by then what the others know
-CAPACITY_GRACE_S = 4.0      # a smaller capacity is in force by then
-STORE_FAULT_GRACE_S = 12.0  # a smaller capacity is in force by then if store reads failed meanwhile
-DRAIN_GRACE_S = 2.0         # a draining upstream gets no more starts by then
-NODES, UPSTREAMS, SLOTS = 3, 5, 3
-
-
+KEPT_END_TIMEOUT_S = 20     # after SETTLE_S, every accepted kept job ends within this time
+MAX_CRASHES = 3             # upstreams that one task may crash, counting crashes that an owner could notice
+MAX_ALL_CRASHES = 5         # upstreams that one task may crash, counting all crashes
+CRASH_NOTICE_S = 1.3        # the owner of a crashed upstream notices the crash within this time
+POISON_CRASH_MS = 20        # time from the start of a poison task to the crash
+CLOCK_ERROR_MS = 10         # largest error of a crash's time: two clocks are read, and one counts in ticks
+HANDLER_S = 0.5             # a started process installs its signal handlers within this time
+SYNC_S = 1.0                # a started instance learns what the other instances know within this time
+CAPACITY_GRACE_S = 4.0      # a smaller capacity is in force after this time
+STORE_FAULT_GRACE_S = 12.0  # a smaller capacity is in force after this time if reads of the store failed meanwhile
+DRAIN_GRACE_S = 2.0         # a draining upstream gets no more starts after this time
+NODES, UPSTREAMS, SLOTS = 3, 5, 3  # instances, upstreams, slots of each upstream
+
+
+# Returns the time in ms since the machine was started, on the clock of the run logs.
 def now_ms():
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) / 1e6
 
@@ -71,9 +72,11 @@
         self.delay_s, self.blocked, self.answers_blocked = 0.0, False, False
         self.writers, self.server = set(), None
 
+    # Accepts connections from now on.
     async def start(self):
         self.server = await asyncio.start_server(self.relay, "127.0.0.1", self.port)
 
+    # Relays one connection, in both directions, until it ends.
     async def relay(self, reader, writer):
         self.writers.add(writer)
         try:
@@ -91,6 +94,7 @@
             self.writers.discard(w)
             w.close()
 
+    # Forwards one direction of a connection; is_answer: the direction from the target to the caller.
     async def forward(self, reader, writer, is_answer):
         try:
             while data := await reader.read(65536):
@@ -105,10 +109,12 @@
         except (OSError, RuntimeError):
             writer.transport.abort()
 
+    # Aborts all connections.
     def reset(self):
         for w in list(self.writers):
             w.transport.abort()
 
+    # Ends the faults of the link.  The connections of a blocked link are aborted.
     def heal(self):
         if self.blocked or self.answers_blocked:
             self.reset()
@@ -135,7 +141,9 @@
 class Fixture:
     def __init__(self, seed, args, folder, base):
         self.rnd, self.args, self.dir, self.base = random.Random(seed), args, folder, base
-        self.procs, self.may_exit, self.paused = {}, set(), set()  # may_exit: an exit of these is no finding
+        # Processes by name; names of those whose exit is no finding; names of those stopped with SIGSTOP.
+        self.procs, self.may_exit, self.paused = {}, set(), set()
+        # Proxies by name; texts of the findings; jobs that are not kept -> what their callers know of them.
         self.proxies, self.findings, self.jobs = {}, [], {}
         self.kept_jobs = {}         # kept job -> what its caller knows of it
         # Kept jobs draw from a generator of their own, so that they don't change the faults of a seed.
@@ -151,18 +159,22 @@
         self.drain_since_ms = {}    # draining upstream -> ms when its drain mode was set
         self.drain_periods = {}     # upstream -> [(ms when its drain mode was set, ms when it was restarted)]
         self.upstream_down_ms = {}  # upstream -> [ms] when it was killed or crashed
+        # Newest configuration that was published; newest one that the store accepted;
+        # (instance, number of its start) -> configuration in force there; instance -> number of its starts.
         self.published_version, self.accepted_version, self.seen_versions, self.boots = 1, 0, {}, {}
-        self.stopping = False       # callers and watchers stop
+        self.stopping = False       # callers and watchers end when it is set
         self.store_faults = []      # (from, to) ms in which an instance may have failed to read the store
         self.faulted = set()        # processes that a fault in progress controls
 
     # ---- processes
+    # Starts a program as the process of that name, with the settings sets.
     def spawn(self, name, program, *sets):
         log = open(f"{self.dir}/{name}.log", "ab")
         argv = [f"{self.args.bin}/{program}"] + [x for s in sets for x in ("--set", s)]
         self.procs[name] = subprocess.Popen(argv, stdout=log, stderr=log)
         self.may_exit.discard(name)
 
+    # Returns the port of the kind's process or proxy (px-...) number i.
     def port(self, kind, i):
         return self.base + {"platform": 0, "up": 10, "front": 20, "ready": 25, "mesh": 30, "state": 35,
                             "px-store": 40, "px-up": 50, "px-mesh": 60}[kind] + i
@@ -178,6 +190,7 @@
         if i in self.drain_since_ms:
             self.drain_periods.setdefault(i, []).append((self.drain_since_ms.pop(i), now_ms()))
 
+    # Returns whether instance i runs and has had the time to learn what the other instances know.
     def in_sync(self, i):
         name = f"node{i}"
         return (name in self.procs and self.procs[name].poll() is None and name not in self.may_exit | self.paused
@@ -194,6 +207,7 @@
                    f'node.mesh_advertise="127.0.0.1:{self.port("px-mesh", i)}"',
                    f'store.address="127.0.0.1:{self.port("px-store", i)}"')
 
+    # Sends a signal that may end a process, and waits for its end in the case of SIGKILL.
     def kill(self, name, sig=signal.SIGKILL):
         p = self.procs[name]
         self.may_exit.add(name)
@@ -216,6 +230,7 @@
                 self.may_exit.add(name)
 
     # ---- callers
+    # Submits one job after the other, each with 1 to 5 tasks; in a third of the jobs they are not idempotent.
     async def run_caller(self, caller_no):
         job_no = 0
         while not self.stopping:
@@ -228,6 +243,7 @@
             await self.submit_until_answered(job, {"job_id": job, "tasks": tasks}, non_idempotent)
             await asyncio.sleep(self.rnd.uniform(0.05, 0.4))
 
+    # Submits a job, up to three times if it is idempotent, until an answer is final.
     async def submit_until_answered(self, job, body, non_idempotent):
         for _ in range(1 if non_idempotent else 3):
             node = self.rnd.randrange(NODES)
@@ -239,6 +255,7 @@
                 return
             await asyncio.sleep(RESEND_DELAY_S)
 
+    # Submits one kept job after the other, and cancels some of them.
     async def run_kept_caller(self, caller_no):
         job_no, r = 0, self.kept_rnd
         while not self.stopping:
@@ -264,6 +281,7 @@
                     kept_job["cancelled_ms"] = now_ms()
             await asyncio.sleep(r.uniform(0.1, 0.6))
 
+    # Submits one poison job after the other, each of them up to four times.
     async def run_poison_caller(self):
         job_no, r = 0, self.extra_rnd
         while not self.stopping:
@@ -280,6 +298,7 @@
                     break
                 await asyncio.sleep(RESEND_DELAY_S)
 
+    # Changes the capacities of random upstreams, and restores all of them at the end.
     async def change_capacities(self):
         r = self.extra_rnd
         while not self.stopping:
@@ -289,6 +308,7 @@
         for i in range(UPSTREAMS):
             await self.set_slots(i, SLOTS)
 
+    # Sets the capacity of an upstream to that many slots.
     async def set_slots(self, up, slots):
         self.capacity_changes.setdefault(up, []).append(now_ms())
         await asyncio.to_thread(call, "POST", self.port("up", up), "/v1/capacity",
@@ -308,6 +328,7 @@
                     await asyncio.sleep(0.2)
             kept_job["state"] = state
 
+    # Checks "config": no instance goes back to an older configuration before it is started again.
     async def watch_config(self):
         while not self.stopping:
             for i in range(NODES):
@@ -322,16 +343,21 @@
             await asyncio.sleep(0.3)
 
     # ---- faults
+    # Publishes a newer configuration to the store.
     async def publish_config(self):
         self.published_version += self.rnd.randint(1, 3)
         body = {"version": self.published_version,
                 "queues": [{"name": "q", "service": "tasks", "attempts": 3, "stretch": 3, "slo_ms": 400}]}
         version = self.published_version
         status, _ = await asyncio.to_thread(call, "PUT", self.port("platform", 0), "/v1/streams/config/config", body, 2)
-        # A configuration that the store refused, as it was down, is in force nowhere.
+        # A configuration that the store refused while it was down is in force nowhere.
         if status == 200:
             self.accepted_version = max(self.accepted_version, version)
 
+    # Injects one random fault for 0.2 to 3 s, unless a fault in progress controls the same process.  Among the kinds,
+    # "silent" blocks a link and "mute" only its answers; "lost" loses calls to an upstream, and "late" also carries
+    # the lost starts out after a delay; "forget" drops the history of the store, and "deal" reassigns all partitions;
+    # "herd" restarts all instances at once.
     async def inject_random_fault(self):
         r = self.rnd
         for_s = r.uniform(0.2, 3.0)
@@ -354,6 +380,7 @@
             if kind in ("down", "slow", "lose", "forget", "silent", "mute", "delay", "reset"):
                 self.store_faults.append((from_ms, now_ms() + 1000))
 
+    # Injects a fault of that kind into the given instance, upstream or link.  A fault that lasts ends after for_s.
     async def inject(self, kind, node, up, proxy, for_s):
         r = self.rnd
         post = lambda port, path, body: asyncio.to_thread(call, "POST", port, path, body, 1)
@@ -425,6 +452,7 @@
             for i in range(NODES):
                 self.start_node(i)
 
+    # Appends a line to the log of injected faults.
     def log_fault(self, text):
         with open(f"{self.dir}/faults.log", "a") as f:
             f.write(f"{now_ms():.0f} {text}\n")
@@ -487,6 +515,7 @@
         return not any(-100 < down - ms < CRASH_NOTICE_S * 1000
                        for i in owners for down in self.node_down_ms.get(i, []))
 
+    # Checks "poison": the number of crashes per poison job, and the answers to poison jobs and other jobs.
     def check_poison_jobs(self, by_job):
         starts = self.read_poison_starts()
         for job, crashes in by_job.items():
@@ -505,6 +534,7 @@
                 if '"event":"task_given_up"' in line and not json.loads(line)["job"].startswith("p"):
                     self.findings.append(f"poison: node{i} gave up {json.loads(line)['job']}")
 
+    # Checks the guarantees on runs: "poison", "twice", "leaving", those of kept jobs, "whole", "unrun" and "once".
     def check_runs(self):
         self.check_poison_jobs(self.read_crashes())
         by_task, starts, done = {}, {}, set()
@@ -536,6 +566,7 @@
                 if repeated:
                     self.findings.append(f"once: {repeated} started more than once")
 
+    # Checks "knew": the log of an instance must not show a start on an upstream that the instance listed as draining.
     def check_draining_starts(self):
         for i in range(NODES):
             draining = {}  # upstream -> ts_ms of the log line that listed it as draining
@@ -558,6 +589,7 @@
                 elif event == "task_started_draining" and e["ts_ms"] - e["sent_ms"] > draining[up] + 1:
                     self.findings.append(f"knew: node{i} sent {e['job']}/{e['task']} to {up} at {e['ts_ms'] - e['sent_ms']}")
 
+    # Checks "kept", "again" and "cancelled".
     def check_kept_jobs(self):
         rows = {}
         for task, up, start, end, how in self.read_runs():
@@ -587,6 +619,7 @@
                         self.findings.append(f"cancelled: {task} started at {start:.0f}, "
                                              f"cancelled at {kept_job['cancelled_ms']:.0f}")
 
+    # Starts the processes, injects faults while callers submit jobs, and checks the guarantees.
     async def run(self):
         for i in range(NODES):
             self.proxies[f"store{i}"] = Proxy(self.port("px-store", i), self.port("platform", 0))
@@ -636,6 +669,7 @@
         self.check_draining_starts()
 
 
+# Runs one seed, on the ports of the block port_block.  Returns the number of findings.
 async def soak(seed, args, port_block):
     folder = f"{args.keep}/seed-{seed}" if args.keep else tempfile.mkdtemp(prefix="soak-")
     shutil.rmtree(folder, ignore_errors=True)
@@ -664,7 +698,7 @@
 
 
 def free_block(n):
-    """Returns the first of n ports above those of the tests and below the ephemeral ones, free at the moment."""
+    """Returns the first of n ports that are free at the moment, above those of the tests and below the ephemeral ones."""
     for base in range(30100, 32700 - n, 300):
         try:
             for port in (base, base + 20, base + 100):
