--- a/fuzz/fuzz_decoders.c
+++ b/fuzz/fuzz_decoders.c
@@ -114,6 +114,8 @@
   ev_loop_destroy (loop);
 }
 
+/* Feeds mutated seeds to the decoders and mutated frames to a peer link.  In a
+   mutated seed 1 to 5 random bytes are overwritten and the end is cut off.  */
 int
 main (int argc, char **argv)
 {
--- a/fuzz/fuzz_wire.c
+++ b/fuzz/fuzz_wire.c
@@ -187,6 +187,8 @@
   return b;
 }
 
+/* Feeds mutated seeds to the decoders.  In a mutated seed 1 to 5 random bytes
+   are overwritten and the end is cut off.  */
 int
 main (int argc, char **argv)
 {
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -50,7 +50,7 @@
 MAX_ALL_CRASHES = 5         # upstreams that one task may crash, counting all crashes
 CRASH_NOTICE_S = 1.3        # the owner of a crashed upstream notices the crash within this time
 POISON_CRASH_MS = 20        # time from the start of a poison task to the crash
-CLOCK_ERROR_MS = 10         # largest error of a crash's time: two clocks are read, and one counts in ticks
+CLOCK_ERROR_MS = 10         # largest error of a crash's time: upstreams crash at ticks, and two clocks are read
 HANDLER_S = 0.5             # a started process installs its signal handlers within this time
 SYNC_S = 1.0                # a started instance learns what the other instances know within this time
 CAPACITY_GRACE_S = 4.0      # a smaller capacity is in force after this time
@@ -167,14 +167,14 @@
         self.faulted = set()        # processes that a fault in progress controls
 
     # ---- processes
-    # Starts a program as the process of that name, with the settings sets.
+    # Starts a program as the process of that name.  sets: its settings, KEY=VALUE.
     def spawn(self, name, program, *sets):
         log = open(f"{self.dir}/{name}.log", "ab")
         argv = [f"{self.args.bin}/{program}"] + [x for s in sets for x in ("--set", s)]
         self.procs[name] = subprocess.Popen(argv, stdout=log, stderr=log)
         self.may_exit.discard(name)
 
-    # Returns the port of the kind's process or proxy (px-...) number i.
+    # Returns the port of number i of a kind of process, or of proxy (px-...).
     def port(self, kind, i):
         return self.base + {"platform": 0, "up": 10, "front": 20, "ready": 25, "mesh": 30, "state": 35,
                             "px-store": 40, "px-up": 50, "px-mesh": 60}[kind] + i
@@ -230,7 +230,7 @@
                 self.may_exit.add(name)
 
     # ---- callers
-    # Submits one job after the other, each with 1 to 5 tasks; in a third of the jobs they are not idempotent.
+    # Submits one job after the other, each with 1 to 5 tasks; in 30 % of the jobs they are not idempotent.
     async def run_caller(self, caller_no):
         job_no = 0
         while not self.stopping:
@@ -471,6 +471,7 @@
                     # error of the clocks, was just after it.
                     died = [max(down, run_event["ms"]) for down in self.upstream_down_ms.get(i, [])
                             if down >= run_event["ms"] - CLOCK_ERROR_MS]
+                    # A run without an end event is counted as killed when its upstream next died.
                     open_runs[key] = [run_event["task"], i, run_event["ms"], min(died, default=float("inf")), "killed"]
                     # An instance that could not read the store had no way to know of a smaller capacity.
                     excused = any(changed < run_event["ms"]
@@ -511,6 +512,7 @@
 
     def crash_noticed(self, starts, ms):
         """Returns whether the instance that started the crashing task lived long enough to notice the crash at ms."""
+        # An owner is an instance that logged a start of the task from 1 s before to 50 ms after the crashing start.
         owners = [i for start_ms, i in starts if -50 < ms - POISON_CRASH_MS - start_ms < 1000]
         return not any(-100 < down - ms < CRASH_NOTICE_S * 1000
                        for i in owners for down in self.node_down_ms.get(i, []))
@@ -519,6 +521,7 @@
     def check_poison_jobs(self, by_job):
         starts = self.read_poison_starts()
         for job, crashes in by_job.items():
+            # How often the crash counts were lost before -> for each crash, whether an owner could notice it.
             noticed_by_period = {}
             for ms, up in crashes:
                 noticed_by_period.setdefault(sum(lost < ms for lost in self.counts_lost_ms), []).append(
@@ -609,6 +612,8 @@
             for task, r in job_runs.items():
                 for start, end, how, up in r:
                     later = [s for s, _, _, _ in r if s > end]
+                    # A task may start again after it was done if its upstream died, or a fault of the link to it began
+                    # or ended, near the time in between, or if such a fault was in progress when the task was done.
                     disruptions = self.upstream_down_ms.get(up, []) + [
                         x for c in self.link_faults.get(self.port("px-up", up), []) for x in c]
                     disruptions += [x for c in self.link_faults.get(self.port("px-up", up), [])
--- a/src/mm_bench.c
+++ b/src/mm_bench.c
@@ -218,6 +218,8 @@
       return;
     }
   double rate = total_rate (b->plan);
+  /* Each kind takes an interval of its rate's length in [0, total rate); the
+     kind is the one whose interval holds u.  */
   double u = g_rand_double (b->rand) * rate;
   int kind = 0;
   while (b->plan->kinds[kind + 1].name
--- a/src/mm_platform.c
+++ b/src/mm_platform.c
@@ -1,4 +1,4 @@
-/* mm_platform: stand-in for the service of the platform.
+/* mm_platform: stand-in for the HTTP service of the platform.
 
    - An append-only log per stream: POST /v1/log/STREAM appends a JSON
      record and answers with its offset; GET /v1/log/STREAM?from=N&max=M
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -207,8 +207,8 @@
               p[s->n_logged].number, mm_end_name (p[s->n_logged].how));
 }
 
-/* Schedules a crash if @task belongs to a poison job and no crash is due yet.
- */
+/* Schedules a crash if @task belongs to a poison job, unless a crash is due
+   already.  */
 static void
 schedule_crash (mm_run_server *s, const mm_task_id *task, mm_time_ms now)
 {
@@ -508,7 +508,7 @@
 }
 
 /* Carries out what has become due: late starts, ends of runs, a crash, and the
-   answers to waiting holds.  */
+   answers to waiting holds.  No hold is answered after a crash.  */
 static void
 tick_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
--- a/tests/test_platform.c
+++ b/tests/test_platform.c
@@ -12,6 +12,8 @@
   return pf_submission_decode ("5c0e7a21d94b36f8", body, strlen (body), NULL);
 }
 
+/* Guards against a field of a job body that gets lost or is read in the wrong
+   unit.  */
 START_TEST (job_body_is_decoded)
 {
   mm_submission *s = decode_job (
@@ -33,6 +35,8 @@
 }
 END_TEST
 
+/* Guards against a malformed job body, or a job id that is too long, that is
+   accepted: the caller would get answers to another job than it described.  */
 START_TEST (bad_job_bodies_are_refused_with_a_typed_error)
 {
   static const char *const bad[] = {
@@ -72,6 +76,8 @@
 }
 END_TEST
 
+/* Guards against a route that loses a field, and a malformed configuration
+   that replaces a valid one.  */
 START_TEST (configuration_is_decoded)
 {
   const char *body
@@ -99,6 +105,8 @@
 }
 END_TEST
 
+/* Guards against an entry of the upstream list that loses a field, and a
+   malformed entry that is used as an upstream.  */
 START_TEST (upstream_entry_is_decoded)
 {
   const char *body
@@ -125,6 +133,8 @@
 }
 END_TEST
 
+/* Guards against a run or an end that gets lost in the answer to a hold, and
+   malformed lists that are accepted.  */
 START_TEST (lists_of_runs_are_decoded)
 {
   const char *body
@@ -165,6 +175,8 @@
 }
 END_TEST
 
+/* Guards against a task name that decodes to another task: runs would be
+   assigned to the wrong task.  */
 START_TEST (task_names_round_trip)
 {
   mm_task_id id = { .job = "5c0e7a21d94b36f8", .step = 1, .index = 17 };
--- a/tests/test_poison.c
+++ b/tests/test_poison.c
@@ -9,11 +9,12 @@
 {
   UPSTREAMS = 6,
   SLOTS = 3,
-  MAX_CRASHES = 2,               /* most before a poison task is given up */
-  MAX_CRASHES_BESIDE_OTHERS = 3, /* while other jobs run there too */
+  MAX_CRASHES = 2,               /* upstreams that a poison task may crash */
+  MAX_CRASHES_BESIDE_OTHERS = 3, /* the same while other jobs run there */
   CALLER_TIMEOUT_MS = 15000
 };
 
+/* Returns the number of upstream crashes that tasks of a job caused.  */
 static int
 count_crashes (const char *job)
 {
@@ -25,6 +26,8 @@
   return n;
 }
 
+/* Submits a job to an instance.  Returns its caller, a process that waits for
+   the answer.  */
 static pid_t
 submit (int node, const char *id, int tasks, int run_ms, bool idempotent)
 {
@@ -34,6 +37,8 @@
   return caller;
 }
 
+/* Starts two instances, and upstreams that tasks of jobs named "poison..."
+   crash.  */
 static void
 start_cluster (void)
 {
@@ -41,8 +46,8 @@
   h_start_nodes (UPSTREAMS, SLOTS, 2);
 }
 
-/* A poison task that is not idempotent crashes one upstream only.  The
-   upstream must be used again as a new incarnation.  */
+/* A poison task that is not idempotent is not run again, so it crashes one
+   upstream only.  That upstream must be used again as a new incarnation.  */
 START_TEST (crashed_upstream_returns_as_new_incarnation)
 {
   start_cluster ();
--- a/tests/test_units.c
+++ b/tests/test_units.c
@@ -10,6 +10,7 @@
 #include <stdio.h>
 #include <unistd.h>
 
+/* Writes a temporary file and returns its path, which the caller frees.  */
 static char *
 write_tmp (const char *text)
 {
@@ -19,6 +20,8 @@
   return path;
 }
 
+/* Loads the settings of an entry instance from a text.  Returns the error,
+   NULL if there is none.  */
 static GError *
 load_entry (const char *text)
 {
@@ -94,6 +97,8 @@
 }
 END_TEST
 
+/* Returns a configuration record, which the caller frees with free().  @lima
+   is the overlay for that site, NULL for none.  */
 static char *
 record (int64_t parent, const char *base, const char *lima)
 {
@@ -129,7 +134,7 @@
   ck_assert_int_eq (mm_cfg_head (buenos_aires), 1);
   ck_assert_int_eq (mm_cfg_current (lima)->retry_budget, 0);
   ck_assert_int_eq (mm_cfg_current (buenos_aires)->retry_budget, 2);
-  ck_assert (!mm_cfg_apply (lima, 0, r0, NULL)); /* an older record */
+  ck_assert (!mm_cfg_apply (lima, 0, r0, NULL)); /* older than the head */
   ck_assert_int_eq (mm_cfg_head (lima), 1);
   char *snapshot = mm_cfg_snapshot_record (lima);
   ck_assert (mm_cfg_apply (buenos_aires, 4, snapshot, NULL));
@@ -223,11 +228,12 @@
 }
 END_TEST
 
-/* An instance that cannot reach the platform sends a request to its peers.  If
-   any peer is in contact with the platform, only this instance is disconnected
-   (MM_STANDING_DISCONNECTED).  If all answers come from peers that lost
-   contact too, the platform has an outage.  Without an answer the instance
-   waits for a short time and is then MM_STANDING_ALONE.  */
+/* An instance that cannot reach the platform asks its peers whether they can.
+   If any peer is in contact with the platform, only this instance is
+   disconnected (MM_STANDING_DISCONNECTED).  If all answers come from peers
+   that lost contact too, the platform has an outage (MM_STANDING_OUTAGE).
+   Without an answer the instance waits for a short time and is then
+   MM_STANDING_ALONE.  */
 START_TEST (standing_follows_the_answers_of_peers)
 {
   mm_contact *c = mm_contact_create (0);
@@ -319,6 +325,7 @@
 }
 END_TEST
 
+/* Gives every team a quota of 100 tasks.  */
 static int64_t
 quota_100 (const char *team, void *ctx)
 {
