--- a/src/mm_platform.c
+++ b/src/mm_platform.c
@@ -279,8 +279,8 @@
           g_strdup_printf ("{\"offset\":%" G_GINT64_FORMAT "}", r->offset));
 }
 
-/* Handles GET /v1/log/STREAM?from=N&max=M: at most @max records from offset
-   @from on.  */
+/* Handles GET /v1/log/STREAM?from=N&max=M: the records from offset N on, at
+   most M and never more than MM_DEFAULT_LOG_READ_MAX.  */
 static void
 log_read (mm_platform *p, mm_http_request *req, const char *stream)
 {
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -29,13 +29,12 @@
    answered.  */
 typedef struct
 {
-  int64_t lose_starts; /* number of the next starts that are lost */
-  int64_t lose_stops;  /* number of the next stops that are lost */
-  int64_t lose_holds;  /* number of the next holds that are lost */
-  int64_t
-      late_start_ms;  /* delay until a lost start is carried out, 0: never */
-  bool unresponsive;  /* no call is carried out or answered */
-  bool loses_answers; /* calls are carried out, but not answered */
+  int64_t lose_starts;   /* number of the next starts that are lost */
+  int64_t lose_stops;    /* number of the next stops that are lost */
+  int64_t lose_holds;    /* number of the next holds that are lost */
+  int64_t late_start_ms; /* delay of lost starts, 0: never carried out */
+  bool unresponsive;     /* no call is carried out or answered */
+  bool loses_answers;    /* calls are carried out, but not answered */
 } call_faults;
 
 /* A hold that is answered when a run ends, at answer_by_ms at the latest.  */
--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -18,7 +18,7 @@
 {
   mm_resources capacity;
   bool enforce_capacity;   /* refuse starts that do not fit */
-  mm_time_ms max_lease_ms; /* longest extension of the lease by a call */
+  mm_time_ms max_lease_ms; /* longest lease, from the arrival of a call */
   mm_run_mode mode;
   uint64_t fence;              /* highest fencing token seen */
   mm_time_ms lease_expires_ms; /* of all runs */
--- a/src/mm_run_table.h
+++ b/src/mm_run_table.h
@@ -1,9 +1,9 @@
 /* mm_run_table: the runs of one upstream, as the upstream itself keeps
    them.  Used by the upstream stand-in and by tests.
 
-   The table carries out every start order (unless it enforces its capacity),
-   enforces leases, keeps the highest fencing token, and lists ends until they
-   are acknowledged.  The caller passes the time in.  */
+   The table starts tasks whether they fit or not (unless it enforces its
+   capacity), enforces leases, keeps the highest fencing token, and lists ends
+   until they are acknowledged.  The caller passes the time in.  */
 #ifndef MM_RUN_TABLE_H
 #define MM_RUN_TABLE_H
 
@@ -38,9 +38,9 @@
 } mm_run_counts;
 
 /* Creates a table without runs.  With @enforce_capacity, a start that does not
-   fit the free capacity is refused.  No call extends the lease of the runs by
-   more than @max_lease_ms.  Return: the table; free it with
-   mm_run_table_destroy().  */
+   fit the free capacity is refused.  An order or a hold extends the lease of
+   the runs to @max_lease_ms after its arrival at most.  Return: the table;
+   free it with mm_run_table_destroy().  */
 mm_run_table *mm_run_table_create (const mm_resources *capacity,
                                    bool enforce_capacity,
                                    mm_time_ms max_lease_ms);
--- a/src/mm_stream_server.c
+++ b/src/mm_stream_server.c
@@ -33,7 +33,7 @@
 {
   struct ev_loop *loop;
   ev_timer tick;
-  mm_stream_answer answer; /* sends all answers but that to a fault */
+  mm_stream_answer answer; /* sends answers, except to /v1/store-faults */
   void *ctx;               /* context pointer for answer */
   GHashTable *streams;     /* name -> stream */
   GHashTable *groups;      /* name -> mm_group_table */
