--- a/src/mm_datacentres.c
+++ b/src/mm_datacentres.c
@@ -1,10 +1,11 @@
 /* mm_datacentres: partitions of the own data centre, and of others as standby.
 
    An instance becomes standby only for a data centre whose last instance
-   closed its links, not for one whose links became unresponsive: an instance
-   behind a network partition goes on serving its upstreams, and a higher
-   fencing token would stop the runs there once the network is whole again.
-   Of all instances in contact, MM_STANDBY_COUNT become standby.  */
+   closed its links, not for one whose links became unresponsive.  An instance
+   that is unreachable because of a network fault goes on serving its
+   upstreams, and the higher fencing token of a standby would stop the runs
+   there once the network works again.  Of all instances that are connected to
+   each other, MM_STANDBY_COUNT become standby.  */
 #include "mm_datacentres.h"
 
 #include "config.h"
@@ -19,11 +20,11 @@
 {
   char *datacentre;
   char *group;
-  bool own;                  /* the data centre of this instance */
+  bool own;                  /* whether this instance is in the data centre */
   mm_partitions *partitions; /* NULL: not a member */
   bool retiring;             /* leaves the group once its upstreams are idle */
   mm_time_ms retiring_since_ms;
-  mm_time_ms orphaned_since_ms; /* 0: an instance stays there */
+  mm_time_ms standby_needed_since_ms; /* 0: no standby is needed */
 } membership;
 
 struct mm_datacentres
@@ -37,10 +38,10 @@
   size_t n_memberships;
   /* Changes so far, besides those that the current memberships count.  */
   uint64_t changes;
-  bool leaving;
-  mm_time_ms checked_ms; /* when standby was last checked */
-  /* Leaving: end of the wait for an instance that takes over, while no peer is
-     connected and in any case.  */
+  bool leaving;          /* mm_datacentres_leave() was called */
+  mm_time_ms checked_ms; /* when the need for a standby was last checked */
+  /* While leaving: partitions are released from alone_after_ms on if no peer
+     is connected, and from release_by_ms on in any case.  */
   mm_time_ms alone_after_ms;
   mm_time_ms release_by_ms;
 };
@@ -132,8 +133,8 @@
                                XXH3_64bits (datacentre, strlen (datacentre)));
 }
 
-/* Returns whether this instance is one of the MM_STANDBY_COUNT instances that
-   are standby for the data centre.  */
+/* Returns whether this instance is one of the MM_STANDBY_COUNT that rank first
+   for the data centre, among itself and its connected peers.  */
 static bool
 is_chosen_standby (const mm_datacentres *dcs, const membership *m)
 {
@@ -147,30 +148,31 @@
   return n_before < MM_STANDBY_COUNT;
 }
 
-/* Becomes standby for a data centre that no instance serves, and ends being
-   standby once one of its own instances serves it.  */
+/* Becomes standby for a data centre that needs one, and begins to leave its
+   group again once one of the data centre's own instances stays connected.  */
 static void
 update_standby (mm_datacentres *dcs, membership *m, mm_time_ms now)
 {
   mm_mesh_presence presence = mm_mesh_presence_in (dcs->mesh, m->datacentre);
-  /* This instance has links to only some instances of the data centre; when
-     these are lost, it first tries the others.  Instances that shut down
-     serve until they can hand over their partitions; when all of them are
-     shutting down, a standby takes over.  */
+  /* This instance has links to only some instances of the data centre, so all
+     are lost only when no untried one remains.  A loss is forgotten after
+     MM_STANDBY_FORGET_MS, when the instances have been restarted or replaced.
+     A standby is also needed when all connected instances are shutting down:
+     they serve until they can hand over their partitions.  */
   bool all_lost = presence.connected == 0 && presence.untried == 0
                   && presence.closed_ms
                   && now - presence.closed_ms < MM_STANDBY_FORGET_MS;
-  bool is_orphaned = all_lost || (presence.connected && !presence.staying);
-  if (!is_orphaned)
+  bool needs_standby = all_lost || (presence.connected && !presence.staying);
+  if (!needs_standby)
     {
-      m->orphaned_since_ms = 0;
+      m->standby_needed_since_ms = 0;
       if (presence.staying)
         retire (dcs, m);
       return;
     }
-  if (!m->orphaned_since_ms)
-    m->orphaned_since_ms = now;
-  if (!m->partitions && now - m->orphaned_since_ms >= MM_STANDBY_AFTER_MS
+  if (!m->standby_needed_since_ms)
+    m->standby_needed_since_ms = now;
+  if (!m->partitions && now - m->standby_needed_since_ms >= MM_STANDBY_AFTER_MS
       && is_chosen_standby (dcs, m))
     {
       mm_log_event (MM_EV_STANDBY, MM_TEXT (m->datacentre),
@@ -179,6 +181,9 @@
     }
 }
 
+/* Calls the store when a call is due, and releases partitions or leaves the
+   group once the upstreams there are idle.  A standby's membership ends once
+   the store has confirmed the leave call.  */
 static void
 tick_membership (mm_datacentres *dcs, membership *m, mm_time_ms now)
 {
@@ -198,10 +203,10 @@
   m->partitions = NULL;
 }
 
-/* Releases the partitions of a data centre when another instance can take
-   them over, and otherwise goes on serving as long as possible.  In a rolling
-   restart of all instances, upstreams would have no owner for seconds if each
-   instance released its partitions at once.  */
+/* While this instance shuts down: begins to leave a group when another
+   instance can take its partitions over, and otherwise goes on serving as long
+   as possible.  In a rolling restart of all instances, upstreams would have no
+   owner for seconds if each instance released its partitions at once.  */
 static void
 update_leaving (mm_datacentres *dcs, membership *m, mm_time_ms now)
 {
--- a/src/mm_datacentres.h
+++ b/src/mm_datacentres.h
@@ -2,9 +2,9 @@
    of.
 
    These are its own data centre, always, and those that it is standby for.  A
-   data centre needs a standby while none of its own instances is left: when
-   all of them are killed, stopped or being replaced, a quarter of all
-   upstreams would otherwise be idle.  */
+   data centre needs a standby while all of its own instances are killed,
+   stopped or being replaced.  Without one, its upstreams would be idle: a
+   quarter of all upstreams, with four data centres of equal size.  */
 #ifndef MM_DATACENTRES_H
 #define MM_DATACENTRES_H
 
@@ -15,7 +15,7 @@
 
 typedef struct
 {
-  /* Returns whether nothing runs any more on the upstreams of a data centre
+  /* Returns whether nothing runs any more on those upstreams of a data centre
      whose partitions are being released.  */
   bool (*idle) (void *ctx, const char *datacentre);
   /* The store has reassigned partitions of a joined group.  */
@@ -23,21 +23,26 @@
   void *ctx;
 } mm_datacentres_events;
 
-/* @datacentres: all data centres, NULL-terminated; @own: that of this
-   instance; @member: its member name; @n_partitions: of each group.  */
+/* @port and @ev are copied; @mesh must outlive the returned object.
+   @datacentres: names of all data centres, NULL-terminated.  @own: the data
+   centre of this instance.  @member: the member name of this instance.
+   @n_partitions: number of partitions in the group of each data centre.  */
 mm_datacentres *mm_datacentres_create (const mm_store_port *port,
                                        mm_mesh *mesh, char *const *datacentres,
                                        const char *own, const char *member,
                                        uint32_t n_partitions,
                                        const mm_datacentres_events *ev);
 void mm_datacentres_destroy (mm_datacentres *dcs);
+/* Joins and leaves groups, renews the memberships, and releases partitions
+   whose upstreams are idle.  Must be called every MM_EXEC_TICK_MS.  */
 void mm_datacentres_tick (mm_datacentres *dcs);
 /* Returns the state of the upstream's partition.  Sets @fence to its fencing
    token, 0 when this instance doesn't own it.  */
 mm_partition_state mm_datacentres_upstream_state (const mm_datacentres *dcs,
                                                   const mm_upstream_info *u,
                                                   uint64_t *fence);
-/* Renews the fencing token of the upstream's partition.  */
+/* Raises the fencing token of the upstream's partition after a higher one was
+   seen at the upstream.  */
 void mm_datacentres_renew_fence (mm_datacentres *dcs,
                                  const mm_upstream_info *u);
 /* Starts leaving all groups.  Upstreams are served until an instance that is
@@ -46,8 +51,8 @@
    connected, the wait ends at @alone_after_ms.  Both are clock times.  */
 void mm_datacentres_leave (mm_datacentres *dcs, mm_time_ms alone_after_ms,
                            mm_time_ms release_by_ms);
-/* Calls the store at the next tick, as partitions of this group have been
-   released.  */
+/* Makes the next tick call the store for this group, for example after another
+   instance has released partitions of the group.  */
 void mm_datacentres_poll_now (mm_datacentres *dcs, const char *group);
 /* Returns whether this instance has left all groups that it had joined.  */
 bool mm_datacentres_has_left (const mm_datacentres *dcs);
@@ -56,9 +61,10 @@
 /* Returns whether the membership in all joined groups was confirmed so
    recently that no other instance can own this instance's partitions.  */
 bool mm_datacentres_confirmed (const mm_datacentres *dcs);
-/* Rises whenever the owner of an upstream may have changed.  */
+/* Returns a count that rises whenever the owner of an upstream may have
+   changed.  */
 uint64_t mm_datacentres_changes (const mm_datacentres *dcs);
-/* Sum of the generations of all joined groups.  */
+/* Returns the sum of the generations of all joined groups.  */
 uint64_t mm_datacentres_generation (const mm_datacentres *dcs);
 
 #endif /* MM_DATACENTRES_H */
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -9,27 +9,28 @@
 #define NAME_SEPARATOR '@'
 #define DATACENTRE_SEPARATOR '/'
 
+/* A data centre and the members of its group.  */
 typedef struct
 {
   mm_members *members;
   char *name;
-  char *group;
+  char *group;         /* name of its group */
   char **member_names; /* names in the last answer; NULL: none yet */
   bool in_flight;
 } datacentre;
 
 struct mm_members
 {
-  int refs; /* one of the creator, one of each call in flight */
-  bool closed;
+  int refs;    /* one of the creator, one of each call in flight */
+  bool closed; /* destroyed, and kept until the calls in flight end */
   mm_store_port port;
   mm_mesh *mesh;
   mm_predecessors *predecessors; /* not owned */
-  char *self;
+  char *self;                    /* member name of this instance */
   char *own_datacentre;
   datacentre *datacentres;
   size_t n_datacentres;
-  size_t next;             /* index of the data centre to poll next */
+  size_t next; /* data centre to poll next: its index modulo n_datacentres */
   mm_time_ms next_poll_ms; /* when the next poll is due */
   mm_members_changed changed;
   void *changed_ctx;
@@ -85,9 +86,10 @@
   return true;
 }
 
-/* Adds an instance that has linked to this one as a peer.  A restarted
-   instance reads the members and links to the others, which can then use its
-   upstreams without waiting for their own next poll.  */
+/* Adds an instance that has linked to this one to the peers.  A restarted
+   instance links to the others as soon as it has read the members.  The others
+   can then use the instance's upstreams without waiting for their own next
+   poll.  */
 static void
 on_hello (void *ctx, const char *name)
 {
@@ -183,8 +185,8 @@
   members_unref (m);
 }
 
-/* Requests the members of a group of a data centre, unless a call for it is in
-   flight.  */
+/* Reads the members of a data centre's group from the store, unless a call for
+   them is in flight.  */
 static void
 request_members (datacentre *dc)
 {
@@ -213,18 +215,18 @@
   return true;
 }
 
-/* Polls the own data centre each time and the others in turn: with dozens of
-   data centres, all answers together would be most of what an instance reads.
- */
+/* Polls all data centres the first time, and after that the own one each time
+   and the others in turn.  With dozens of data centres, the answers of all
+   together would be most of what an instance reads.  */
 void
 mm_members_tick (mm_members *m)
 {
   mm_time_ms now = mm_clock_now_ms ();
   if (now < m->next_poll_ms)
     return;
-  /* The first polls follow one another quickly, as other instances may just
-     be joining, for example after a power failure, and an answer may not have
-     listed a previous incarnation of this instance yet.  */
+  /* The first polls follow one another quickly, for two reasons.  Other
+     instances may just be joining, for example after a power failure.  And an
+     early answer may not list a previous incarnation of this instance.  */
   bool first = m->n_polls == 0;
   m->n_polls = MIN (m->n_polls + 1, MM_MEMBERS_FIRST_POLLS);
   m->next_poll_ms
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -1,5 +1,5 @@
 /* mm_ownership: keeps a session with each listed upstream whose partition this
-   instance owns, and closes the others.  */
+   instance owns, and closes all other sessions.  */
 #include "mm_ownership.h"
 
 #include "config.h"
@@ -11,11 +11,12 @@
   mm_catalog *catalog; /* not owned */
   mm_owner *owner;     /* not owned */
   mm_ownership_partitions partitions;
-  uint64_t catalog_changes;   /* count at the last full reconciliation */
-  uint64_t partition_changes; /* count at the last full reconciliation */
-  mm_time_ms reconciled_ms;
+  uint64_t catalog_changes;   /* mm_catalog_changes() at the last full check */
+  uint64_t partition_changes; /* change_count() at the last full check */
+  mm_time_ms reconciled_ms;   /* when all sessions were last checked */
 };
 
+/* Passes a new or changed list entry on to the upstream's session, if any.  */
 static void
 on_listed (void *ctx, const mm_upstream_info *u)
 {
@@ -59,9 +60,9 @@
   return w->partitions.state_of (w->partitions.ctx, u, fence);
 }
 
-/* Closes the sessions of upstreams whose partitions are assigned elsewhere and
-   freezes those of partitions that are being released.  A fresh list is not
-   needed for this: the next owner may already be active.  */
+/* Closes the sessions with upstreams whose partitions are assigned elsewhere,
+   and freezes the sessions with upstreams whose partitions are being released.
+   Does not wait for a fresh list: the next owner may already start tasks.  */
 static void
 release_sessions (mm_ownership *w)
 {
@@ -80,7 +81,8 @@
   g_list_free (owned);
 }
 
-/* Opens a session with an upstream if this instance owns its partition.  */
+/* Opens a session with an upstream if this instance owns its partition, or
+   resumes one whose handover was cancelled.  */
 static void
 own_if_assigned (mm_ownership *w, const mm_upstream_info *u)
 {
@@ -118,7 +120,7 @@
     return;
   release_sessions (w);
   if (!list_fresh && w->partitions.owns_any (w->partitions.ctx))
-    return; /* a stale list may name upstreams that are draining */
+    return; /* upstreams that a stale list names may be draining by now */
   w->catalog_changes = catalog_now;
   w->partition_changes = partitions_now;
   w->reconciled_ms = now;
--- a/src/mm_ownership.h
+++ b/src/mm_ownership.h
@@ -1,10 +1,10 @@
 /* mm_ownership: decides which upstreams this instance has sessions with.
 
-   Reconciles the owner's sessions with the upstream list and with the
-   partitions that this instance owns.  A session gets each change of its
-   upstream's entry at once, whatever the state of the partition: a handover
-   takes seconds, in which short tasks are still started.  This module uses no
-   network.  */
+   A session (mm_exec) starts tasks at one upstream and renews the leases of
+   its runs.  This instance keeps a session with each listed upstream whose
+   partition it owns.  A session gets each change of its upstream's list entry
+   at once, also during a handover of the partition: a handover takes seconds,
+   in which short tasks are still started.  This module uses no network.  */
 #ifndef MM_OWNERSHIP_H
 #define MM_OWNERSHIP_H
 
@@ -21,9 +21,11 @@
      fencing token.  */
   mm_partition_state (*state_of) (void *ctx, const mm_upstream_info *u,
                                   uint64_t *fence);
-  /* Renews the fencing token of that partition.  */
+  /* Raises the fencing token of the upstream's partition after a higher one
+     was seen at the upstream.  */
   void (*renew_fence) (void *ctx, const mm_upstream_info *u);
-  /* Returns a number that rises with each change of a state or token.  */
+  /* Returns a count that rises whenever the state or fencing token of a
+     partition may have changed.  */
   uint64_t (*change_count) (void *ctx);
   /* Returns whether this instance owns any partition.  */
   bool (*owns_any) (void *ctx);
@@ -33,12 +35,13 @@
 mm_ownership *mm_ownership_create (mm_catalog *catalog, mm_owner *owner,
                                    const mm_ownership_partitions *partitions);
 void mm_ownership_destroy (mm_ownership *w);
-/* Opens and closes sessions as the list and the partitions require.
-   @list_fresh: the list has been read since partitions were assigned to this
-   instance.  */
+/* Opens and closes sessions as the upstream list and the partitions require.
+   @list_fresh: whether the list has been read since this instance last owned
+   no partition; until then no session is opened.  Must be called every
+   MM_EXEC_TICK_MS.  */
 void mm_ownership_tick (mm_ownership *w, bool list_fresh);
-/* Returns whether nothing runs on the upstreams of a data centre whose
-   partitions are being released.  */
+/* Returns whether nothing runs any more on those upstreams of a data centre
+   whose partitions are being released.  */
 bool mm_ownership_idle (const mm_ownership *w, const char *datacentre);
 
 #endif /* MM_OWNERSHIP_H */
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -1,10 +1,11 @@
 /* mm_partitions: membership in a group whose partitions the store assigns.
 
-   A partition is handed over in two steps: the store no longer lists it for
-   this instance, and assigns it to another member once this instance joins
-   with the generation of that list.  In between, this instance starts no task
-   there and lets the running ones end.  The generation at which a partition
-   was assigned to this instance is its fencing token at the upstreams: higher
+   A partition is handed over in two steps.  First, the store no longer lists
+   the partition for this instance.  Then, once this instance joins with the
+   generation of that list, the store assigns the partition to another member.
+   In between, this instance lets the running tasks end, and starts none that
+   would end after them.  The fencing token of a partition at the upstreams is
+   the generation at which the partition was assigned to this instance: higher
    than the token of any earlier owner.
 
    While the store is unreachable, this instance keeps its partitions: if the
@@ -22,32 +23,32 @@
 typedef struct
 {
   uint64_t fence;    /* fencing token; 0: not owned by this instance */
-  bool is_releasing; /* the store no longer lists it for this instance */
+  bool is_releasing; /* owned, but no longer listed for this instance */
 } partition;
 
 struct mm_partitions
 {
-  int refs; /* one of the creator, one of the call in flight */
-  bool closed;
+  int refs;    /* one of the creator, one of the call in flight */
+  bool closed; /* destroyed, and kept until the call in flight ends */
   mm_store_port port;
   char *group;
-  char *member;
+  char *member; /* member name of this instance */
   partition *partitions;
   uint32_t n_partitions;
   uint64_t listed_generation;    /* generation in the last answer */
   uint64_t confirmed_generation; /* generation that the next join confirms */
   mm_time_ms releasing_since_ms; /* 0: no partition is being released */
-  bool in_flight;
-  bool in_contact;
-  mm_time_ms call_sent_ms; /* when the last call was sent */
+  bool in_flight;                /* a call has not been answered yet */
+  bool in_contact;               /* the last join succeeded */
+  mm_time_ms call_sent_ms;       /* when the last call was sent */
   mm_time_ms confirmed_ms; /* when the last join that succeeded was sent */
   bool quitting;           /* leaving the group */
-  bool has_left;
+  bool has_left;           /* the store has confirmed the leave call */
   mm_time_ms next_call_ms; /* when the next call is due */
   uint64_t changes;        /* changes of partition states so far */
   mm_time_ms created_ms;
   uint64_t sent_generation; /* generation that the call in flight confirms */
-  bool release_pending;     /* the next join hands over partitions */
+  bool release_pending; /* no join has handed over released partitions yet */
   mm_partitions_events ev;
 };
 
@@ -86,6 +87,7 @@
   partitions_unref (set);
 }
 
+/* Returns whether partition @index is assigned to this instance in @res.  */
 static bool
 is_assigned_in (const mm_join_result *res, uint32_t index)
 {
@@ -116,7 +118,9 @@
   mm_log_event (MM_EV_GROUP_CHANGED, MM_TEXT (set->group),
                 MM_INT (res->generation), MM_INT (n_owned),
                 MM_INT (n_releasing));
-  if (!n_releasing) /* nothing has to be released before the next join */
+  /* The next join confirms the new generation, unless partitions have to be
+     released first.  */
+  if (!n_releasing)
     set->confirmed_generation = res->generation;
   else if (!set->releasing_since_ms)
     set->releasing_since_ms = mm_clock_now_ms ();
@@ -142,7 +146,7 @@
     mm_store_record_contact (&set->in_contact, res->ok, set->group, res->why);
   if (res->ok)
     set->confirmed_ms = set->call_sent_ms;
-  /* Only a join that was sent after the release confirms the release.  */
+  /* Only a join that was sent after the release hands the partitions over.  */
   if (res->ok && set->release_pending
       && set->sent_generation == set->confirmed_generation)
     {
@@ -169,10 +173,10 @@
   partitions_unref (set);
 }
 
-/* Returns the time between joins.  A joining instance without a partition
-   polls fast: partitions of an instance that is known to be dead are
-   reassigned one call after the removal of that instance, and until then no
-   instance can start tasks on their upstreams.  */
+/* Returns the time between joins.  A joining instance that owns no partition
+   polls fast: it may get the partitions of a dead instance one call after that
+   instance's removal from the group, and until then no instance can start
+   tasks on the upstreams of these partitions.  */
 static mm_time_ms
 join_interval_ms (const mm_partitions *set, mm_time_ms now)
 {
@@ -234,6 +238,7 @@
   return set->has_left;
 }
 
+/* Returns the partition that an upstream's name is hashed to.  */
 static partition *
 partition_of (const mm_partitions *set, const char *upstream)
 {
@@ -270,7 +275,7 @@
 }
 
 /* Raises the fencing token of an owned partition to the generation in the last
-   answer.  */
+   answer of the store.  */
 static void
 renew_fence (mm_partitions *set, partition *p)
 {
--- a/src/mm_partitions.h
+++ b/src/mm_partitions.h
@@ -8,15 +8,20 @@
 
 #include "mm_store.h"
 
+/* The membership of this instance in one group.  */
 typedef struct mm_partitions mm_partitions;
 
+/* The state of a partition, as seen by this instance.  */
 typedef enum
 {
   MM_PARTITION_ELSEWHERE, /* assigned to another instance, or to none */
   MM_PARTITION_OWNED,     /* tasks may be started */
-  MM_PARTITION_RELEASING  /* about to be handed over: no new tasks */
+  MM_PARTITION_RELEASING  /* handed over once the runs there have ended */
 } mm_partition_state;
 
+/* Joins the group with the first tick.  @port is copied; @member: the member
+   name of this instance; @n_partitions: the number of partitions of the group.
+   Free with mm_partitions_destroy(), which does not leave the group.  */
 mm_partitions *mm_partitions_create (const mm_store_port *port,
                                      const char *group, const char *member,
                                      uint32_t n_partitions);
@@ -36,10 +41,14 @@
                                const mm_partitions_events *ev);
 /* Makes the next tick call the store.  */
 void mm_partitions_poll_now (mm_partitions *set);
+/* Sends a call to the store when one is due, and releases partitions whose
+   release has taken longer than MM_HANDOVER_MS.  Must be called every
+   MM_EXEC_TICK_MS.  */
 void mm_partitions_tick (mm_partitions *set);
-/* Releases all partitions and leaves the group.  */
+/* Gives up all partitions at once; the ticks that follow leave the group.  */
 void mm_partitions_leave (mm_partitions *set);
-/* Returns whether the group has been left.  */
+/* Returns whether the store has confirmed that this instance left the
+   group.  */
 bool mm_partitions_has_left (const mm_partitions *set);
 /* Returns the state of an upstream's partition, or of partition @index.  Sets
    @fence to its fencing token, 0 when this instance doesn't own it.  */
@@ -48,25 +57,27 @@
                                                  uint64_t *fence);
 mm_partition_state mm_partitions_state (const mm_partitions *set,
                                         uint32_t index, uint64_t *fence);
-/* Returns when the last join that the store has confirmed was sent, 0: never.
-   No other instance gets this instance's partitions until MM_GROUP_TTL_MS
-   after that.  */
+/* Returns the time at which the last join that the store has confirmed was
+   sent, 0: never.  No other instance gets this instance's partitions until
+   MM_GROUP_TTL_MS after that time.  */
 mm_time_ms mm_partitions_confirmed_ms (const mm_partitions *set);
-/* Renews the fencing token after a higher one was seen: the newest generation
-   becomes the token of the upstream's partition, or of partition @index.  */
+/* Makes the newest generation of the group the fencing token of the upstream's
+   partition, or of partition @index, if this instance owns it.  Needed after a
+   higher token than this instance's was seen there.  */
 void mm_partitions_renew_upstream_fence (mm_partitions *set,
                                          const char *upstream);
 void mm_partitions_renew_fence (mm_partitions *set, uint32_t index);
-/* Hands over the partitions being released; call this once nothing runs there
-   any more.  */
+/* Hands over the partitions in state MM_PARTITION_RELEASING.  Must be called
+   once nothing runs there any more.  */
 void mm_partitions_release (mm_partitions *set);
-/* Returns whether any partition is being released.  */
+/* Returns whether any partition is in state MM_PARTITION_RELEASING.  */
 bool mm_partitions_releasing (const mm_partitions *set);
-/* Returns whether any partition is owned.  */
+/* Returns whether this instance owns any partition.  */
 bool mm_partitions_owns_any (const mm_partitions *set);
-/* Rises whenever the state or token of a partition may have changed.  */
+/* Returns a count that rises whenever the state or fencing token of a
+   partition may have changed.  */
 uint64_t mm_partitions_changes (const mm_partitions *set);
-/* Generation of the group in the last answer of the store.  */
+/* Returns the generation of the group in the last answer of the store.  */
 uint64_t mm_partitions_generation (const mm_partitions *set);
 
 #endif /* MM_PARTITIONS_H */
--- a/src/mm_predecessors.c
+++ b/src/mm_predecessors.c
@@ -3,9 +3,9 @@
 
    Guards against upstreams without an owner after a restart: otherwise, the
    upstreams of a killed process would be idle for the rest of its membership,
-   up to 1.5 s, although its successor is already running.  This is safe, as a
-   partition gets a higher generation with its next owner, which fences calls
-   of the previous incarnation that are still in flight.  */
+   up to 1.5 s, although its successor is already running.  Leaving early is
+   safe: the next owner of a partition has a higher fencing token, so upstreams
+   refuse calls of the previous incarnation that are still in flight.  */
 #include "mm_predecessors.h"
 
 #include "config.h"
@@ -18,15 +18,16 @@
 {
   int refs; /* one of the creator, one of each call in flight */
   mm_store_port port;
-  char *self;
+  char *self;                  /* member name of this instance */
   char *addr;                  /* address that this instance listens on */
   GHashTable *leaving_members; /* "group member" of each call in flight */
 };
 
+/* A call in flight that removes a member from a group.  */
 typedef struct
 {
   mm_predecessors *predecessors;
-  char *key;
+  char *key; /* its key in leaving_members */
 } leave_call;
 
 static void
@@ -65,8 +66,8 @@
     predecessors_unref (p);
 }
 
-/* A leave call that failed needs no handling: the store lists the member
-   again, and the next check repeats the call.  */
+/* Ends a leave call.  A failure needs no handling: the store goes on listing
+   the member, and the next check repeats the call.  */
 static void
 on_left (const mm_join_result *res, void *ctx)
 {
@@ -77,8 +78,8 @@
   g_free (call);
 }
 
-/* Returns whether a member listens on the address of this instance under
-   another name.  */
+/* Returns whether a member has the address of this instance and another name.
+ */
 static bool
 is_previous_incarnation (const mm_predecessors *p, const char *member)
 {
