--- a/src/mm_catalog.c
+++ b/src/mm_catalog.c
@@ -1,9 +1,9 @@
 /* mm_catalog: keeps the listed upstreams and drops missing ones with a delay.
 
    Entries of the list expire while the store is down and are back within two
-   seconds of its return.  If an upstream were dropped at once, its running
-   tasks would be lost because of that gap.  So a missing upstream stays until
-   it has been missing for MM_LIST_DROP_MS of contact with the store.  */
+   seconds of its return.  If a missing upstream were dropped at once, its
+   running tasks would be lost because of that gap.  So it is dropped only
+   after it has been missing for MM_LIST_DROP_MS of contact with the store.  */
 #include "mm_catalog.h"
 
 #include "config.h"
@@ -21,7 +21,7 @@
 {
   GHashTable *by_name; /* name -> entry */
   size_t n_missing;    /* entries with missing_since_ms set */
-  uint64_t changes;    /* number of changes so far */
+  uint64_t changes;    /* number of entries added, changed or dropped so far */
   mm_catalog_listed listed;
   void *ctx;
 };
@@ -59,8 +59,9 @@
   g_free (c);
 }
 
-/* Returns whether two entries agree in the fields that matter here.  Each
-   heartbeat of an upstream repeats its entry, mostly unchanged.  */
+/* Returns whether two entries of an upstream agree.  Its labels and data
+   centre are not compared.  Each heartbeat of an upstream repeats its entry,
+   mostly unchanged.  */
 static bool
 same_entry (const mm_upstream_info *a, const mm_upstream_info *b)
 {
--- a/src/mm_list_log.c
+++ b/src/mm_list_log.c
@@ -6,7 +6,7 @@
 struct mm_list_log
 {
   uint64_t first;  /* offset from which on the log has all changes */
-  GArray *changes; /* mm_list_change, in the order of the stream */
+  GArray *changes; /* of mm_list_change, in the order of the stream */
 };
 
 void
--- a/src/mm_list_log.h
+++ b/src/mm_list_log.h
@@ -10,6 +10,7 @@
 
 typedef struct mm_list_log mm_list_log;
 
+/* A change of one upstream's entry in the list.  */
 typedef struct
 {
   char *name;
@@ -21,16 +22,19 @@
 
 mm_list_log *mm_list_log_create (void);
 void mm_list_log_destroy (mm_list_log *l);
-/* Forgets all changes; those from offset @first on are added next.  */
+/* Forgets all changes.  Changes that are appended afterwards must be those
+   from offset @first on.  */
 void mm_list_log_reset (mm_list_log *l, uint64_t first);
-/* Adds a change, in the order of the stream.  @info is NULL when the upstream
-   is no longer listed.  The oldest change is dropped when the log is full.  */
+/* Appends a change; changes must be appended in the order of the stream.
+   @info: copied; NULL: the upstream is no longer listed.  When
+   the log holds MM_LIST_LOG_MAX changes, the oldest one is dropped.  */
 void mm_list_log_append (mm_list_log *l, uint64_t end_offset, const char *name,
                          const mm_upstream_info *info);
 /* Returns the offset from which on the log has all changes.  */
 uint64_t mm_list_log_first_offset (const mm_list_log *l);
-/* Returns the @n changes that an instance lacks which knows the list up to
-   offset @from.  They are valid until the next call that changes the log.  */
+/* Returns the changes that are unknown to an instance that knows the list up
+   to offset @from, and sets @n to their number.  They are valid until the next
+   call that changes the log.  */
 const mm_list_change *mm_list_log_since (const mm_list_log *l, uint64_t from,
                                          size_t *n);
 
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -16,15 +16,17 @@
   mm_catalog *catalog; /* not owned */
   mm_mesh *mesh;       /* not owned */
   mm_stream *stream;
-  char *self;
+  char *self; /* member name of this instance */
   mm_list_changed changed;
   void *ctx;
-  mm_list_log *log;
+  mm_list_log *log;     /* the last changes, to be sent to peers */
   GArray *changes_read; /* mm_list_change, from the answer being read */
-  uint64_t round;       /* number of shared reads so far */
+  uint64_t round; /* number of reads of the list so far, by any instance */
   mm_time_ms own_reads_until_ms; /* until then updates of peers are ignored */
-  mm_time_ms notified_as_of_ms;  /* time of the view last sent to all */
-  /* Start of the contact with the store, 0: the list was not read yet.  */
+  /* Time as of which the list was known when peers were last notified.  */
+  mm_time_ms notified_as_of_ms;
+  /* When contact with the store began, after the last outage if there was one;
+     0: the list was not read yet.  */
   mm_time_ms contact_since_ms;
   bool complete; /* the list names every upstream */
 };
@@ -49,6 +51,8 @@
   return MIN (n_before, MM_LIST_RANK_MAX);
 }
 
+/* Returns the time between reads by this instance, longer the more linked
+   instances read before it in this round.  */
 static mm_time_ms
 poll_interval_ms (void *ctx)
 {
@@ -61,8 +65,8 @@
 
 /* ---- updates sent ----------------------------------------------------- */
 
-/* Writes the update for a peer that knows the list up to @known_upto.  Returns
-   the offset up to which the peer knows the list with this update.  */
+/* Writes the update for a peer that knows the list up to offset @known_upto.
+   Returns the offset up to which the peer knows the list with this update.  */
 static uint64_t
 pack_update_for (void *ctx, uint64_t known_upto, msgpack_sbuffer *out)
 {
@@ -79,7 +83,7 @@
   return update.to_offset;
 }
 
-/* Sends an update to all connected instances but @except (NULL: to all).  */
+/* Sends an update to all connected peers but @except (NULL: to all).  */
 static void
 notify (mm_list_share *l, const char *except)
 {
@@ -112,11 +116,12 @@
   g_array_append_val (l->changes_read, c);
 }
 
-/* A full read of the list replaces the catalog, and updates of peers are
-   ignored for MM_LIST_OWN_READS_MS.  Peers may have seen an upstream leave
-   that this instance never saw join, or the reverse, so their changes are not
-   all of this instance's changes.  Within that time every live upstream writes
-   to the list again.  */
+/* Handles a full read of the list: upstreams that were not read are missing
+   from now on, and updates of peers are ignored for MM_LIST_OWN_READS_MS.
+   Peers may have seen an upstream leave that this instance never saw join, or
+   the reverse.  So changes that are new to this instance may be none to a
+   peer, which then does not send them.  Within MM_LIST_OWN_READS_MS every live
+   upstream writes to the list again.  */
 static void
 on_full_read (void *ctx, GHashTable *keys)
 {
@@ -131,8 +136,10 @@
   l->changed (l->ctx);
 }
 
+/* Handles a read of changes: notifies the peers once this instance has read up
+   to the end of the stream.  */
 static void
-on_changes (void *ctx, bool all)
+on_changes (void *ctx, bool at_end)
 {
   mm_list_share *l = ctx;
   uint64_t end_offset = mm_stream_next_offset (l->stream);
@@ -143,7 +150,7 @@
       mm_list_log_append (l->log, end_offset, c->name, c->info);
     }
   g_array_set_size (l->changes_read, 0);
-  if (!all)
+  if (!at_end)
     return; /* the rest of the changes is read next */
   l->round++;
   notify (l, NULL);
@@ -151,10 +158,10 @@
 
 /* ---- updates received ------------------------------------------------- */
 
-/* Handles an update that begins past what this instance knows: the peer counts
-   as known what it sent while updates were ignored.  Sends the peer an update
-   from which it learns the offset known here, so that its next update begins
-   there.  */
+/* Sends an update to a peer whose own update begins past the offset that this
+   instance knows.  The peer takes for known here what it sent while this
+   instance ignored updates.  From the update sent back it learns the offset
+   known here, and its next update begins there.  */
 static void
 resend_known (mm_list_share *l, const char *peer, const mm_list_update *update)
 {
--- a/src/mm_list_update.c
+++ b/src/mm_list_update.c
@@ -8,11 +8,12 @@
 
 enum
 {
-  UPDATE_FIELDS = 5,
-  MISSING_FIELDS = 1,
-  LISTED_FIELDS = 10
+  UPDATE_FIELDS = 5,  /* of a message */
+  MISSING_FIELDS = 1, /* of a change: the upstream is not listed any more */
+  LISTED_FIELDS = 10  /* of a change: the upstream is listed */
 };
 
+/* A message with more labels for one upstream is malformed.  */
 #define MAX_LABELS 64u
 
 static void
@@ -58,6 +59,8 @@
     pack_change (&pk, &update->changes[i]);
 }
 
+/* Returns the labels, free with g_strfreev(), or NULL if they are malformed.
+ */
 static char **
 read_labels (const msgpack_object *o)
 {
@@ -73,6 +76,7 @@
   return labels;
 }
 
+/* Reads the LISTED_FIELDS fields @f of a change.  */
 static bool
 read_listed (const msgpack_object *f, mm_upstream_info *u)
 {
--- a/src/mm_list_update.h
+++ b/src/mm_list_update.h
@@ -5,7 +5,7 @@
 
    - [round, from_offset, to_offset, age_ms, [change, ...]]
 
-   A change is one of:
+   The first four fields are those of mm_list_update.  A change is one of:
 
    - [name]
 
@@ -14,7 +14,8 @@
    - [name, addr, service, datacentre, [label, ...], cpu_milli, mem_mb, gpus,
      slots, draining]
 
-     The upstream is new in the list, or its entry has changed.  */
+     The upstream is new in the list, or its entry has changed.  The fields
+     are those of mm_upstream_info.  */
 #ifndef MM_LIST_UPDATE_H
 #define MM_LIST_UPDATE_H
 
@@ -22,9 +23,10 @@
 
 #include <msgpack.h>
 
+/* An update that brings a receiver from one stream offset to a later one.  */
 typedef struct
 {
-  uint64_t round;       /* number of shared reads so far */
+  uint64_t round; /* number of reads of the list so far, by any instance */
   uint64_t from_offset; /* stream offset that the receiver must know already */
   uint64_t to_offset;   /* stream offset known after the update */
   mm_time_ms age_ms;    /* time since the read was sent to the store */
@@ -33,8 +35,10 @@
   GArray *decoded; /* backs changes after mm_list_update_read(); else NULL */
 } mm_list_update;
 
+/* Appends the message to @out.  */
 void mm_list_update_pack (const mm_list_update *update, msgpack_sbuffer *out);
-/* Returns false for a malformed message; @out must be cleared in any case.  */
+/* Returns false for a malformed message.  @out must be freed with
+   mm_list_update_clear() in any case.  */
 bool mm_list_update_read (const void *data, size_t len, mm_list_update *out);
 void mm_list_update_clear (mm_list_update *update);
 
--- a/src/mm_read_barrier.c
+++ b/src/mm_read_barrier.c
@@ -8,20 +8,24 @@
 
 #include "config.h"
 
+/* A request for a job that this home does not know.  It stays in the queue
+   after it has expired, as n_covered may count it.  */
 typedef struct
 {
   char *job_id;
   mm_kept_answered answered; /* NULL once called */
   void *ctx;
-  mm_time_ms expires_ms;
+  mm_time_ms expires_ms; /* when it is answered with MM_KEPT_BUSY */
 } request;
 
 struct mm_read_barrier
 {
-  mm_job_log *log;
+  mm_job_log *log;  /* not owned */
   GQueue *requests; /* in the order of arrival */
-  guint n_covered;  /* requests that the record in flight confirms, or 0 */
-  mm_time_ms record_sent_ms;
+  /* The first requests in the queue, which the record in flight confirms; 0:
+     no record is in flight.  */
+  guint n_covered;
+  mm_time_ms record_sent_ms; /* when the last record was sent */
 };
 
 mm_read_barrier *
@@ -43,6 +47,7 @@
     answered (r->ctx, &result);
 }
 
+/* Answers the first @n requests in the queue and removes them.  */
 static void
 answer_first (mm_read_barrier *barrier, guint n, mm_kept_status status)
 {
@@ -65,6 +70,8 @@
   g_free (barrier);
 }
 
+/* Answers the requests that the record covers.  If the record was not stored,
+   or this is not known, another instance may be the home by now.  */
 static void
 on_stored (void *ctx, bool ok)
 {
@@ -74,6 +81,8 @@
   answer_first (barrier, n, ok ? MM_KEPT_NO_JOB : MM_KEPT_MOVING);
 }
 
+/* Sends a record that confirms all requests in the queue, unless a record is
+   in flight or was sent less than MM_READ_BARRIER_PAUSE_MS ago.  */
 static void
 store_record (mm_read_barrier *barrier, mm_time_ms now)
 {
