--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -13,7 +13,7 @@
   mm_owner *owner;
   mm_mesh *mesh;
   char *datacentre;
-  double mean_task_ms;
+  double mean_task_ms;   /* moving average of run times */
   bool any_declared;     /* a declared run time was recorded */
   bool any_ended;        /* a task has ended: declared run times are ignored */
   mm_suspects *suspects; /* NULL: crashes are not tracked */
@@ -71,13 +71,14 @@
   g_free (upstreams);
 }
 
-/* Fills @out with the capacity reports of this instance, always first, and of
-   its peers.  Return: their number.  */
+/* Fills @out, an array of MM_FLEET_MAX_OWNERS entries, with the capacity
+   reports of this instance, always first, and of its connected peers.  Returns
+   the number of entries filled.  */
 static size_t
 list_owners (const mm_fleet *f, const char *service,
              mm_mesh_peer_capacity *out)
 {
-  out[0].name = NULL;
+  out[0].name = NULL; /* this instance */
   out[0].age_ms = 0;
   out[0].datacentre = f->datacentre;
   out[0].capacity = mm_owner_report (f->owner, service);
@@ -92,6 +93,7 @@
   mm_mesh_peer_capacity owners[MM_FLEET_MAX_OWNERS];
   size_t n = list_owners (f, service, owners);
   mm_load load = { .mean_task_ms = (mm_time_ms)f->mean_task_ms };
+  /* Over the owners that report how long a task uses its place.  */
   double known_places = 0, run_ms_sum = 0;
   for (size_t i = 0; i < n; i++)
     {
@@ -113,16 +115,17 @@
   return load;
 }
 
+/* Updates the moving average of run times.  */
 static void
 record_run_time (mm_fleet *f, mm_time_ms run_ms)
 {
   f->mean_task_ms += MM_MEAN_TASK_GAIN * ((double)run_ms - f->mean_task_ms);
 }
 
-/* Updates the mean run time from a task's declared run time until a task has
-   ended here.  A fixed estimate would be far too long for a queue of short
-   tasks, and an instance that has just joined would refuse jobs that still
-   have enough time; declared times are closer.  */
+/* Updates the mean run time from a task's declared run time, as long as no
+   task dispatched by this instance has ended.  A fixed estimate would be far
+   too long for a queue of short tasks: an instance that has just joined would
+   refuse jobs that still have enough time.  Declared times are closer.  */
 static void
 record_declared_run_time (mm_fleet *f, mm_time_ms run_ms)
 {
@@ -138,9 +141,9 @@
 on_done (void *ctx, const mm_work_result *r)
 {
   mm_ticket *t = ctx;
-  /* Records the run without the wait in the queue: the estimated length of a
-     queue would otherwise grow with its own length, and jobs that fit would
-     be refused.  */
+  /* Records the run time without the wait in the owner's queue.  With the
+     wait, the estimated length of a queue would grow with the queue itself,
+     and jobs that fit would be refused.  */
   if (r->how == MM_END_DONE)
     {
       t->fleet->any_ended = true;
@@ -160,7 +163,9 @@
  *        cancelled first.
  * @ctx: for @done.
  *
- * Return: a ticket valid until @done, or NULL when no owner has capacity.
+ * Return: a ticket valid until @done, or NULL when neither this instance nor
+ * a connected peer reports any capacity for the service.  Capacity that is in
+ * use counts too: the task then waits at its owner.
  */
 mm_ticket *
 mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
--- a/src/mm_fleet.h
+++ b/src/mm_fleet.h
@@ -9,8 +9,12 @@
 #include "mm_mesh.h"
 
 typedef struct mm_fleet mm_fleet;
-typedef struct mm_ticket mm_ticket; /* a dispatched task */
+/* A dispatched task, until its @done is called or it is cancelled.  */
+typedef struct mm_ticket mm_ticket;
 
+/* @owner: the upstreams that this instance owns.  @datacentre: the data
+   centre of this instance.  @owner and @mesh must outlive the returned object.
+   Free with mm_fleet_destroy().  */
 mm_fleet *mm_fleet_create (mm_owner *owner, mm_mesh *mesh,
                            const char *datacentre);
 void mm_fleet_destroy (mm_fleet *f);
@@ -23,17 +27,20 @@
 /* Counts and logs a task that is given up as a poison task, which makes its
    job fail; the log lists the upstreams that crashed.  */
 void mm_fleet_record_given_up (const mm_fleet *f, const mm_task_id *task);
-/* Returns the load of all owners for a service, as seen by a job of this
-   priority.  */
+/* Returns the load of a service over this instance and all connected peers.
+   Waiting tasks are counted only if they go before a job of this priority.  */
 mm_load mm_fleet_load (const mm_fleet *f, const char *service,
                        uint32_t priority);
-/* Dispatches a task to an owner.  @returned_by: the owner that has just
-   returned the task without running it, "" for this instance, or NULL.
-   Returns NULL when no owner has capacity.  */
+/* Dispatches a task to this instance or to a connected peer; the task waits
+   there if no capacity is free.  @returned_by: the owner that has just
+   returned the task without running it, "" for this instance, or NULL.  @done:
+   called once, after this function has returned, unless the ticket is
+   cancelled first.  Returns NULL when neither this instance nor a connected
+   peer reports any capacity for the service, free or in use.  */
 mm_ticket *mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
                             const char *returned_by, mm_work_done done,
                             void *ctx);
-/* Frees the ticket; its @done is not called.  */
+/* Cancels a dispatched task and frees its ticket; @done is not called.  */
 void mm_fleet_cancel (mm_fleet *f, mm_ticket *t);
 
 #endif /* MM_FLEET_H */
--- a/src/mm_neighbours.c
+++ b/src/mm_neighbours.c
@@ -1,11 +1,11 @@
 /* mm_neighbours: a bounded number of links, spread evenly.
 
-   If each instance had a link to each other one, the messages that keep the
-   links alive and report free capacity would grow with the square of the
-   number of instances.  A task finds free capacity among a dozen owners as
-   well as among hundreds.  So each instance ranks the others by a hash of both
-   names: all are chosen about equally often, and an instance that joins
-   changes few links.
+   If each instance had a link to each other one, the number of messages that
+   keep the links alive and report free capacity would grow with the square of
+   the number of instances.  A task finds free capacity among a dozen owners as
+   well as among hundreds.  So each instance links only to the highest ranked
+   of the others, by a hash of both names.  All are chosen about equally often,
+   and an instance that joins changes few links.
 
    An instance whose link was lost recently is ranked last, so that a data
    centre some of whose instances are gone is reached through the others.  */
@@ -16,13 +16,14 @@
 #include <string.h>
 #include <xxhash.h>
 
+/* An instance that may be chosen, and its rank.  */
 typedef struct
 {
   const mm_neighbour *instance;
-  size_t index;  /* in the caller's array */
-  uint64_t rank; /* hash for this instance: the highest is chosen first */
-  bool recently_lost;
-  uint32_t position; /* rank within its data centre, from 0 */
+  size_t index;       /* in the caller's array */
+  uint64_t rank;      /* hash for this instance: the highest is chosen first */
+  bool recently_lost; /* a link was lost within MM_NEIGHBOUR_LOST_MS */
+  uint32_t position; /* place within its data centre in sorted order, from 0 */
 } candidate;
 
 /* Returns the hash by which an instance ranks another; the highest is chosen
@@ -44,7 +45,7 @@
   return x->rank < y->rank ? 1 : x->rank > y->rank ? -1 : 0;
 }
 
-/* Numbers the candidates of each data centre in sorted order.  */
+/* Sets the position of each candidate within its data centre.  */
 static void
 number_by_datacentre (candidate *sorted, size_t n)
 {
@@ -59,8 +60,8 @@
   g_hash_table_destroy (counts);
 }
 
-/* Chooses the candidates at @position in each data centre other than @own,
-   until @remaining is 0.  */
+/* Chooses the candidates at @position in each data centre other than @own.
+   Counts @remaining down and stops when it is 0.  */
 static void
 choose_far (const candidate *sorted, size_t n, const char *own,
             uint32_t position, uint32_t *remaining, bool *chosen)
@@ -84,10 +85,10 @@
  * @now: the current time.
  * @chosen: @n values; set to whether each candidate gets a link.
  *
- * Chooses at most MM_NEIGHBOURS_NEAR instances of the own data centre,
- * MM_NEIGHBOURS_FAR of all others together and MM_NEIGHBOURS_FAR_EACH of each
- * other one; also every instance that is standby for a data centre, as no
- * other instance owns that data centre's upstreams.
+ * Chooses at most MM_NEIGHBOURS_NEAR instances of the own data centre, and at
+ * most MM_NEIGHBOURS_FAR of the other data centres together, of which at most
+ * MM_NEIGHBOURS_FAR_EACH of any one.  In addition chooses every instance that
+ * is standby for a data centre, as only standbys own the upstreams there.
  */
 void
 mm_neighbours_choose (const char *self, const char *own_datacentre,
--- a/src/mm_neighbours.h
+++ b/src/mm_neighbours.h
@@ -9,11 +9,12 @@
 {
   const char *name;
   const char *datacentre;
-  bool is_standby;    /* standby: owns upstreams of another data centre */
+  bool is_standby;    /* may own upstreams of another data centre */
   mm_time_ms lost_ms; /* when a link to it was last lost, 0: never */
 } mm_neighbour;
 
-/* Sets @chosen for each of the @n instances.  */
+/* Sets in @chosen, an array of @n values, whether each of the @n candidates
+   gets a link.  @self: the name of this instance.  */
 void mm_neighbours_choose (const char *self, const char *own_datacentre,
                            const mm_neighbour *candidates, size_t n,
                            mm_time_ms now, bool *chosen);
--- a/src/mm_queue_delay.c
+++ b/src/mm_queue_delay.c
@@ -6,7 +6,7 @@
 /**
  * mm_queue_delay_record_ms() - records a message and returns its queueing
  * delay.
- * @t: the state of the sender's link; zero-initialised.
+ * @t: the state for the messages of this sender.
  * @sent_ms: when the message was sent, by the sender's clock.
  * @now_ms: when the message was received, by this instance's clock.
  *
