--- a/src/mm_clock.c
+++ b/src/mm_clock.c
@@ -3,15 +3,15 @@
 
 #include <time.h>
 
-static mm_clock_source source; /* NULL: the clock of the machine */
-static void *source_ctx;
+static mm_clock_source source; /* set by tests; NULL: the machine's clock */
+static void *source_ctx;       /* argument of source */
 
 /**
  * mm_clock_now_ms() - monotonic time, for deadlines and timeouts.
  *
  * Reads CLOCK_BOOTTIME, because CLOCK_MONOTONIC does not advance while the
  * machine is suspended: leases and deadlines would look valid here long after
- * they expired at other instances.
+ * they had expired at other instances.
  *
  * Return: milliseconds since an arbitrary start; never goes back.
  */
--- a/src/mm_hash.c
+++ b/src/mm_hash.c
@@ -1,4 +1,4 @@
-/* mm_hash: rendezvous (highest random weight) hashing with xxhash.  */
+/* mm_hash: rendezvous (highest random weight) hashing with xxHash.  */
 #include "masticmill.h"
 
 #include <string.h>
@@ -10,8 +10,9 @@
  * @members: names of the members; their order does not change the owner.
  * @n: number of members.
  *
- * The score of a member is XXH3(key) with XXH3(member name) as the seed, and
- * the highest score wins.  When a member leaves, only its keys move.
+ * The score of a member is XXH3(key) with XXH3(member name) as the seed.  The
+ * member with the highest score owns the key; of equal scores, the one whose
+ * name sorts first.  When a member leaves, only its keys get another owner.
  *
  * Return: index into @members, or -1 when @n is 0.
  */
--- a/src/mm_native_store.c
+++ b/src/mm_native_store.c
@@ -8,6 +8,8 @@
 
 /* ---- values ----------------------------------------------------------- */
 
+/* Returns a copy of a field of @o, free with g_free(), or NULL if it is
+   missing or not a string.  */
 static char *
 string_field (const cJSON *o, const char *name)
 {
@@ -15,6 +17,7 @@
       cJSON_GetStringValue (cJSON_GetObjectItemCaseSensitive (o, name)));
 }
 
+/* Returns a field of @o, or @fallback if it is missing or not a number.  */
 static double
 number_field (const cJSON *o, const char *name, double fallback)
 {
@@ -22,6 +25,8 @@
   return cJSON_IsNumber (f) ? f->valuedouble : fallback;
 }
 
+/* Reads the list entry of an upstream.  Returns NULL if a required field is
+   missing.  */
 static mm_upstream_info *
 read_upstream (const char *name, const cJSON *o)
 {
@@ -44,6 +49,7 @@
   return NULL;
 }
 
+/* Reads a configuration.  Returns NULL if a queue has no name or service.  */
 static mm_routes *
 read_config (const cJSON *o)
 {
@@ -74,6 +80,8 @@
   return r;
 }
 
+/* Appends the records in @list to @items; leaves out malformed ones.  A record
+   without a value drops its key.  */
 static void
 read_items (const cJSON *list, mm_stream_kind kind, GArray *items)
 {
@@ -96,6 +104,8 @@
 
 /* ---- calls ------------------------------------------------------------ */
 
+/* Handles the answer to a read of a stream.  Status 410: the records at the
+   requested offset were dropped.  */
 static void
 on_stream (const mm_http_result *res, void *ctx)
 {
@@ -148,6 +158,7 @@
   mm_store_http_send (ctx, "GET", path, NULL, t->timeout_ms, on_stream, &call);
 }
 
+/* Handles the answer to joining or leaving a group.  */
 static void
 on_join (const mm_http_result *res, void *ctx)
 {
@@ -195,7 +206,7 @@
                       timeout_ms, on_join, &call);
 }
 
-/* Reads rows of the form [partition, member].  */
+/* Reads rows of the form [partition, member]; leaves out malformed ones.  */
 static GArray *
 read_holders (const cJSON *list)
 {
@@ -235,6 +246,9 @@
 
 /* ---- kept jobs -------------------------------------------------------- */
 
+/* Handles the answer to an append.  Status 409: the append is refused, because
+   of its sequence number if the answer names the expected one, otherwise
+   because of its epoch.  Status 503: the store has done nothing.  */
 static void
 on_append (const mm_http_result *res, void *ctx)
 {
@@ -283,6 +297,7 @@
       a->timeout_ms, on_append, &call);
 }
 
+/* Handles a page of records of kept jobs; the values are Base64.  */
 static void
 on_job_records (const mm_http_result *res, void *ctx)
 {
@@ -328,9 +343,11 @@
 }
 
 /**
- * mm_native_store_port() - make an mm_store_port that calls the stand-in's
- * store.
+ * mm_native_store_port() - makes an mm_store_port that calls a store in the
+ * native protocol, such as that of the platform stand-in.
  * @s: HTTP client of the store; must outlive the port.
+ *
+ * Return: the port; its link_mbps is 0 until the caller sets it.
  */
 mm_store_port
 mm_native_store_port (mm_store_http *s)
--- a/src/mm_store.h
+++ b/src/mm_store.h
@@ -1,8 +1,11 @@
 /* mm_store: interface of the core to the platform's store.
 
-   The store keeps streams, of which the newest record of each key is never
-   dropped, and groups.  A group assigns numbered partitions to its members
-   and has a generation that increases with each change.  */
+   The store keeps streams and groups.  A stream is a sequence of records at
+   increasing offsets, of which the newest record of each key is never dropped.
+   A group assigns numbered partitions to its members and has a generation that
+   increases with each change.
+
+   Results, and all that they point to, are valid only during the callback.  */
 #ifndef MM_STORE_H
 #define MM_STORE_H
 
@@ -15,12 +18,13 @@
   MM_STREAM_UPSTREAMS /* the upstream list, to which upstreams report */
 } mm_stream_kind;
 
-/* A record of a stream; one with neither value drops its key.  */
+/* A record of a stream.  Its value is @routes or @upstream, depending on the
+   stream; a record with neither drops its key.  */
 typedef struct
 {
   char *key;
-  mm_routes *routes;          /* MM_STREAM_CONFIG */
-  mm_upstream_info *upstream; /* MM_STREAM_UPSTREAMS */
+  mm_routes *routes;          /* for MM_STREAM_CONFIG, else NULL */
+  mm_upstream_info *upstream; /* for MM_STREAM_UPSTREAMS, else NULL */
 } mm_stream_item;
 
 void mm_stream_item_clear (gpointer item); /* frees its fields */
@@ -29,11 +33,11 @@
 typedef struct
 {
   bool ok;
-  const char *why;      /* reason of the failure, when not ok */
+  const char *why;      /* reason of the failure, NULL when ok */
   bool history_dropped; /* tail: the requested records were dropped */
   mm_stream_item *items;
   size_t n_items;
-  uint64_t next_offset; /* offset from which to continue */
+  uint64_t next_offset; /* offset from which to read appended records next */
   uint64_t end_offset;  /* tail: offset past the newest record */
   const char *after;    /* newest: continue after this key, NULL at the end */
 } mm_stream_result;
@@ -42,8 +46,8 @@
 typedef struct
 {
   bool ok;
-  const char *why;
-  uint64_t generation;
+  const char *why;            /* reason of the failure, NULL when ok */
+  uint64_t generation;        /* current generation of the group */
   const uint32_t *partitions; /* partitions assigned to this member */
   size_t n_partitions;
 } mm_join_result;
@@ -59,20 +63,20 @@
 typedef struct
 {
   bool ok;
-  const char *why;
-  const char *const *members; /* members that hold a partition */
+  const char *why;            /* reason of the failure, NULL when ok */
+  const char *const *members; /* members that hold a partition, each once */
   size_t n_members;
   const mm_partition_holder *holders; /* of each partition that has one */
   size_t n_holders;
 } mm_members_result;
 
-/* A record of a kept job; one without a value drops its key.  A kept job is a
-   durable job: it is stored before its caller is told that it is accepted, and
-   it runs to its end whichever instance dies.  */
+/* A record of a kept job.  A kept job is a durable job: it is stored before
+   its caller is told that it is accepted, and it runs to its end whichever
+   instance dies.  */
 typedef struct
 {
   char *key;
-  GBytes *value;
+  GBytes *value; /* NULL: the record drops its key */
 } mm_record;
 
 void mm_record_clear (gpointer record); /* frees its fields */
@@ -81,30 +85,33 @@
 typedef struct
 {
   bool ok;
-  const char *why;
+  const char *why; /* reason of the failure, NULL when ok */
   const mm_record *records;
   size_t n_records;
   const char *after; /* continue after this key, NULL at the end */
 } mm_records_result;
 
-/* Records to append for one partition of the kept jobs, all or none.  An epoch
-   lower than one that the partition has seen is refused.  Within an epoch
-   appends are numbered, so that one that is sent again takes effect only once.
-   An append without records announces the epoch.  */
+/* Records to append for one partition of the kept jobs, all or none.  The
+   store refuses an append whose epoch is lower than one that was used for the
+   partition before.  Within an epoch appends are numbered, so that an append
+   that is sent again takes effect only once.  An append without records
+   announces the epoch.  */
 typedef struct
 {
   uint32_t partition;
+  /* Generation at which the partition was assigned to the writer.  */
   uint64_t epoch;
-  uint64_t seq;
+  uint64_t seq; /* number of the append within the epoch */
   const mm_record *records;
   size_t n_records;
   mm_time_ms timeout_ms;
 } mm_append;
 
+/* Outcome of an append.  */
 typedef enum
 {
   MM_APPEND_OK,
-  MM_APPEND_FENCED,     /* a higher epoch was seen */
+  MM_APPEND_FENCED,     /* the store has seen a higher epoch */
   MM_APPEND_OUT_OF_SEQ, /* another sequence number is expected next */
   MM_APPEND_REFUSED,    /* nothing was done: overloaded or not working */
   MM_APPEND_NO_ANSWER   /* may have taken effect, or may yet */
@@ -113,8 +120,8 @@
 typedef struct
 {
   mm_append_verdict verdict;
-  uint64_t expected_seq; /* with MM_APPEND_OUT_OF_SEQ */
-  const char *why;       /* when not MM_APPEND_OK */
+  uint64_t expected_seq; /* set with MM_APPEND_OUT_OF_SEQ */
+  const char *why;       /* reason of the failure, NULL with MM_APPEND_OK */
 } mm_append_result;
 
 typedef void (*mm_stream_answered) (const mm_stream_result *res, void *ctx);
@@ -133,28 +140,35 @@
   mm_time_ms timeout_ms;
 } mm_tail;
 
-/* How the core reaches the store.  */
+/* How the core reaches the store.  Each call has a timeout, after which
+   @answered is called with a failure.  */
 typedef struct
 {
-  /* Reads a page of the newest record of each key, after the key @after.  */
+  /* Reads a page of the newest records, one of each key.  The page starts
+     after the key @after, NULL for the first page.  */
   void (*newest) (void *ctx, mm_stream_kind kind, const char *after,
                   mm_time_ms timeout_ms, mm_stream_answered answered,
                   void *answered_ctx);
+  /* Reads appended records.  @t is read only during the call.  */
   void (*tail) (void *ctx, const mm_tail *t, mm_stream_answered answered,
                 void *answered_ctx);
-  /* Joins a group, or renews the membership for @ttl_ms.  */
+  /* Joins a group, or renews the membership for @ttl_ms.  @generation: the
+     last generation whose assignment the member has put into effect.  */
   void (*join) (void *ctx, const char *group, const char *member,
                 uint64_t generation, mm_time_ms ttl_ms, mm_time_ms timeout_ms,
                 mm_join_answered answered, void *answered_ctx);
+  /* Ends a membership, which may be that of another member.  */
   void (*leave) (void *ctx, const char *group, const char *member,
                  mm_time_ms timeout_ms, mm_join_answered answered,
                  void *answered_ctx);
+  /* Reads which members hold the partitions of a group.  */
   void (*members) (void *ctx, const char *group, mm_time_ms timeout_ms,
                    mm_members_answered answered, void *answered_ctx);
   /* Appends records of kept jobs.  @a is read only during the call.  */
   void (*append) (void *ctx, const mm_append *a, mm_append_answered answered,
                   void *answered_ctx);
-  /* Reads a page of the records of kept jobs, after the key @after.  */
+  /* Reads a page of the newest records of a partition of kept jobs.  The page
+     starts after the key @after, NULL for the first page.  */
   void (*records) (void *ctx, uint32_t partition, const char *after,
                    mm_time_ms timeout_ms, mm_records_answered answered,
                    void *answered_ctx);
@@ -162,9 +176,9 @@
   double link_mbps; /* Mbit/s of this instance's link, 0: no relevant limit */
 } mm_store_port;
 
-/* Returns the timeout for an answer of @answer_bytes: @base_ms plus the time
-   of its transfer over this instance's link, of which half is assumed to be
-   busy with other answers.  */
+/* Returns the timeout for a call whose answer has @answer_bytes: @base_ms plus
+   the time of the answer's transfer over this instance's link.  Half of the
+   link is assumed to be busy with other answers.  */
 mm_time_ms mm_store_timeout_ms (const mm_store_port *port, mm_time_ms base_ms,
                                 size_t answer_bytes);
 
--- a/src/mm_store_http.c
+++ b/src/mm_store_http.c
@@ -34,7 +34,8 @@
   g_free (s);
 }
 
-/* Sends a call; @done receives a copy of @call.  Takes ownership of @path.  */
+/* Sends a call with the body of @body, whose other fields are not used.  @done
+   receives a copy of @call.  Takes ownership of @path.  */
 static void
 send_call (mm_store_http *s, const char *method, char *path,
            const mm_http_call *body, mm_time_ms timeout_ms, mm_http_done done,
@@ -110,7 +111,7 @@
   return holders;
 }
 
-/* Returns why a call failed, free with g_free(), or NULL when it succeeded. */
+/* Returns why a call failed, free with g_free(), or NULL if @ok.  */
 static char *
 failure_reason (bool ok, const mm_http_result *res)
 {
@@ -149,7 +150,8 @@
   g_free (call);
 }
 
-/* Returns each member name of @holders once; free the array, not the names. */
+/* Returns each member name of @holders once, and sets @n to their number; free
+   the array, not the names.  */
 static char **
 distinct_members (const GArray *holders, size_t *n)
 {
--- a/src/mm_store_http.h
+++ b/src/mm_store_http.h
@@ -1,5 +1,7 @@
-/* mm_store_http: calls to a store over HTTP.  Each protocol builds its own
-   paths and bodies.  */
+/* mm_store_http: calls to a store over HTTP.
+
+   Each protocol of a store builds its own paths and bodies, and reads the
+   answers in a callback @done, which passes the result on.  */
 #ifndef MM_STORE_HTTP_H
 #define MM_STORE_HTTP_H
 
@@ -12,8 +14,8 @@
 /* A call without an answer yet; exactly one of the callbacks is set.  */
 typedef struct
 {
-  mm_stream_kind kind;
-  uint64_t from_offset; /* requested offset */
+  mm_stream_kind kind;  /* with stream_answered */
+  uint64_t from_offset; /* with stream_answered: requested offset */
   mm_stream_answered stream_answered;
   mm_join_answered join_answered;
   mm_members_answered members_answered;
@@ -22,14 +24,17 @@
   void *ctx; /* argument of the callback */
 } mm_store_call;
 
+/* @client makes the calls and must outlive the returned object; @addr: the
+   store's "ip:port".  Free with mm_store_http_destroy().  */
 mm_store_http *mm_store_http_create (mm_http_client *client, const char *addr);
 void mm_store_http_destroy (mm_store_http *s);
 /* Sends a call.  Takes ownership of @path and @body (NULL: none).  @done is
-   called with a copy of @call, which one of the functions below frees.  */
+   called with a copy of @call, which an mm_store_answer_*() function frees. */
 void mm_store_http_send (mm_store_http *s, const char *method, char *path,
                          cJSON *body, mm_time_ms timeout_ms, mm_http_done done,
                          const mm_store_call *call);
-/* Sends a call with a body that is not JSON; takes ownership of @path.  */
+/* Like mm_store_http_send(), with a body that is not JSON.  Takes ownership of
+   @path, not of @body.  */
 void mm_store_http_send_bytes (mm_store_http *s, const char *method,
                                char *path, const GByteArray *body,
                                mm_time_ms timeout_ms, mm_http_done done,
@@ -41,13 +46,15 @@
 GArray *mm_store_items_new (void);                 /* of mm_stream_item */
 GArray *mm_store_records_new (void);               /* of mm_record */
 GArray *mm_store_holders_new (void);               /* of mm_partition_holder */
-/* Pass a result on to the caller, with the reason if @r is not ok, and free
-   @call.  They take ownership of their arrays: @items, @partitions (uint32_t),
-   @holders (NULL: the call failed), @records.  */
+/* The functions below pass a result on to the callback of @call, with the
+   reason if the call failed, and free @call.  They take ownership of their
+   arrays, and set the fields of @r that point to them.  */
 void mm_store_answer_stream (mm_store_call *call, const mm_http_result *res,
                              mm_stream_result *r, GArray *items);
+/* @partitions: of uint32_t.  */
 void mm_store_answer_join (mm_store_call *call, const mm_http_result *res,
                            mm_join_result *r, GArray *partitions);
+/* @holders: NULL if the call failed.  */
 void mm_store_answer_members (mm_store_call *call, const mm_http_result *res,
                               GArray *holders);
 void mm_store_answer_append (mm_store_call *call, const mm_http_result *res,
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -1,8 +1,9 @@
 /* mm_stream: reads the newest record of each key, then the records that are
    appended.
 
-   The store may drop the history at any time, but keeps the newest records.
-   These are then read again, and keys that are not among them no longer exist.
+   The store may drop old records at any time, but keeps the newest record of
+   each key.  When records that were not read yet are dropped, the newest
+   records are read again, and keys that are not among them no longer exist.
 
    The records appended while the store was unreachable can be more than the
    link of this instance carries within the timeout of a call.  Each call would
@@ -17,24 +18,24 @@
 
 struct mm_stream
 {
-  int refs; /* one of the creator, and one of each call in flight */
-  bool closed;
+  int refs;    /* one of the creator, and one of each call in flight */
+  bool closed; /* destroyed, and kept until the call in flight ends */
   mm_store_port port;
   mm_stream_kind kind;
   mm_stream_events ev;
-  mm_time_ms wait_ms;
-  bool in_flight;
-  bool tailing;
-  bool in_contact;
-  bool paused;
-  mm_time_ms paused_ms;  /* time of the last pause, 0: never */
-  bool current;          /* read up to the end since the last pause */
+  mm_time_ms wait_ms;   /* how long a read waits at the store for a record */
+  bool in_flight;       /* a call has not been answered yet */
+  bool tailing;         /* reads appended records; false: the newest records */
+  bool in_contact;      /* the last call succeeded */
+  bool paused;          /* paused since the last tick */
+  mm_time_ms paused_ms; /* time of the last pause, 0: never */
+  bool current;         /* read up to the end since the last pause */
   bool sent_after_pause; /* the call in flight was sent after the last pause */
   mm_time_ms sent_ms;    /* when the last call was sent */
   uint64_t sent_from;    /* offset from which the last call read */
   mm_time_ms first_page_ms; /* when the first page of newest was requested */
-  /* When the last read that reached the end was sent, here or by another
-     instance.  */
+  /* When the last read that reached the end of the stream was sent, by this
+     instance or by another one.  */
   mm_time_ms known_as_of_ms;
   uint64_t next_offset; /* offset of the next record to read */
   size_t chunk_bytes;   /* maximum size of one answer with changes */
@@ -99,6 +100,7 @@
   g_clear_pointer (&s->after, g_free);
 }
 
+/* Counts the call, and logs when contact is lost or restored.  */
 static void
 record_contact (mm_stream *s, const mm_stream_result *res)
 {
@@ -110,7 +112,7 @@
   mm_store_record_contact (&s->in_contact, res->ok, names[s->kind], res->why);
 }
 
-/* Sets the time as of which all records of the stream are known.
+/* Records that all records of the stream are known as of @as_of_ms.
    @after_pause: whether @as_of_ms is after the last pause.  */
 static void
 reached_end (mm_stream *s, mm_time_ms as_of_ms, bool after_pause)
@@ -119,8 +121,8 @@
   s->current = s->current || after_pause;
 }
 
-/* Schedules the next read: poll_interval_ms() after the time as of which all
-   records are known.  */
+/* Schedules the next read poll_interval_ms() after the time as of which all
+   records are known, or at once without that callback.  */
 static void
 schedule_next_read (mm_stream *s)
 {
@@ -129,7 +131,7 @@
     s->next_read_ms += s->ev.poll_interval_ms (s->ev.ctx);
 }
 
-/* Handles an answer with changes; there may be more changes to read.  */
+/* Handles an answer with appended records; there may be more to read.  */
 static void
 handle_changes (mm_stream *s, const mm_stream_result *res)
 {
@@ -145,7 +147,8 @@
     s->ev.changes (s->ev.ctx, !behind);
   if (!behind)
     schedule_next_read (s);
-  /* No progress means that the next record is larger than a chunk.  */
+  /* No progress means that the next record is larger than a chunk.  When many
+     records are unread, reading the newest of each key again is faster.  */
   if (no_progress)
     s->chunk_bytes = MIN (s->chunk_bytes * 2, MM_STORE_ANSWER_MAX_BYTES);
   else if (behind
@@ -153,9 +156,9 @@
     restart_from_newest (s);
 }
 
-/* Handles a page of the newest records.  The pages are not a snapshot: changes
-   are read from the end of the stream that the first page reported, so that
-   none between pages is missed.  */
+/* Handles a page of the newest records.  The pages are not a snapshot: records
+   may be appended between two of them.  To miss none, this instance then reads
+   appended records from the end of the stream as of the first page.  */
 static void
 handle_page (mm_stream *s, const mm_stream_result *res)
 {
@@ -193,8 +196,8 @@
     restart_from_newest (s);
   else
     record_contact (s, res);
-  /* An answer is outdated when another instance sent changes up to a later
-     offset while the call was in flight; it is ignored.  */
+  /* An answer is ignored when another instance sent changes up to a later
+     offset while the call was in flight.  */
   bool outdated = res->ok && s->tailing && res->next_offset < s->next_offset;
   for (size_t i = 0; res->ok && !outdated && i < res->n_items; i++)
     {
@@ -211,9 +214,9 @@
   stream_unref (s);
 }
 
-/* Returns the timeout of the next call.  The size of a record is set by its
-   writer and not known beforehand, so the size that the timeout allows for is
-   doubled after each failure.  */
+/* Returns the timeout of the next call.  The size of an answer is not known
+   beforehand, as writers choose the size of their records.  So the size that
+   the timeout allows for is doubled after each failure.  */
 static mm_time_ms
 timeout_ms (const mm_stream *s)
 {
@@ -274,8 +277,8 @@
   return s->current;
 }
 
-/* This instance's calls may fail while the store serves other instances, which
-   send it the changes that they read.  */
+/* The calls of this instance may fail while the store serves other instances,
+   which send this one the changes that they read.  */
 bool
 mm_stream_in_contact (const mm_stream *s)
 {
