--- a/src/mm_datacentres.c
+++ b/src/mm_datacentres.c
@@ -59,6 +59,7 @@
   dcs->ev.changed (dcs->ev.ctx);
 }
 
+/* Becomes a member of the data centre's group with the next tick.  */
 static void
 join_group (mm_datacentres *dcs, membership *m)
 {
--- a/src/mm_datacentres.h
+++ b/src/mm_datacentres.h
@@ -13,6 +13,7 @@
 
 typedef struct mm_datacentres mm_datacentres;
 
+/* Callbacks of mm_datacentres.  */
 typedef struct
 {
   /* Returns whether nothing runs any more on those upstreams of a data centre
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -109,6 +109,8 @@
                         * owners[i].capacity.task_ms;
         }
     }
+  /* The mean of this instance covers only runs that were done, while the
+     owners' reports include the time used by other runs.  */
   if (MM_WITH_COST && known_places > 0)
     load.mean_task_ms
         = MAX (load.mean_task_ms, (mm_time_ms)(run_ms_sum / known_places));
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -21,7 +21,7 @@
   void *ctx;
   mm_list_log *log;     /* the last changes, to be sent to peers */
   GArray *changes_read; /* mm_list_change, from the answer being read */
-  uint64_t round; /* number of reads of the list so far, by any instance */
+  uint64_t round;       /* reads of changes so far, by any instance */
   mm_time_ms own_reads_until_ms; /* until then updates of peers are ignored */
   /* Time as of which the list was known when peers were last notified.  */
   mm_time_ms notified_as_of_ms;
@@ -103,6 +103,8 @@
            : mm_catalog_set_missing (l->catalog, name);
 }
 
+/* Applies a record that was read to the catalog.  If the catalog changed, the
+   change is also kept for the peers.  */
 static void
 on_item (void *ctx, const mm_stream_item *item)
 {
--- a/src/mm_list_update.h
+++ b/src/mm_list_update.h
@@ -26,7 +26,7 @@
 /* An update that brings a receiver from one stream offset to a later one.  */
 typedef struct
 {
-  uint64_t round; /* number of reads of the list so far, by any instance */
+  uint64_t round;       /* reads of changes so far, by any instance */
   uint64_t from_offset; /* stream offset that the receiver must know already */
   uint64_t to_offset;   /* stream offset known after the update */
   mm_time_ms age_ms;    /* time since the read was sent to the store */
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -8,7 +8,7 @@
    the generation at which the partition was assigned to this instance: higher
    than the token of any earlier owner.
 
-   While the store is unreachable, this instance keeps its partitions: if the
+   While the store is unreachable, this instance keeps its partitions.  If the
    store has assigned them to another member meanwhile, the new owner's higher
    token stops this instance at the upstreams.  */
 #include "mm_partitions.h"
@@ -41,12 +41,12 @@
   bool in_flight;                /* a call has not been answered yet */
   bool in_contact;               /* the last join succeeded */
   mm_time_ms call_sent_ms;       /* when the last call was sent */
-  mm_time_ms confirmed_ms; /* when the last join that succeeded was sent */
-  bool quitting;           /* leaving the group */
-  bool has_left;           /* the store has confirmed the leave call */
-  mm_time_ms next_call_ms; /* when the next call is due */
-  uint64_t changes;        /* changes of partition states so far */
-  mm_time_ms created_ms;
+  mm_time_ms confirmed_ms;  /* when the last join that succeeded was sent */
+  bool quitting;            /* mm_partitions_leave() was called */
+  bool has_left;            /* the store has confirmed the leave call */
+  mm_time_ms next_call_ms;  /* when the next call is due */
+  uint64_t changes;         /* changes of partition states so far */
+  mm_time_ms created_ms;    /* when this object was created */
   uint64_t sent_generation; /* generation that the call in flight confirms */
   bool release_pending; /* no join has handed over released partitions yet */
   mm_partitions_events ev;
--- a/src/mm_partitions.h
+++ b/src/mm_partitions.h
@@ -26,6 +26,7 @@
                                      const char *group, const char *member,
                                      uint32_t n_partitions);
 void mm_partitions_destroy (mm_partitions *set);
+/* Callbacks of mm_partitions; each may be NULL.  */
 typedef struct
 {
   /* The store has confirmed the release of partitions: other members can get
--- a/src/mm_store.h
+++ b/src/mm_store.h
@@ -5,7 +5,8 @@
    A group assigns numbered partitions to its members and has a generation that
    increases with each change.
 
-   Results, and all that they point to, are valid only during the callback.  */
+   A result, and all that it points to, is valid only during the callback that
+   receives it.  */
 #ifndef MM_STORE_H
 #define MM_STORE_H
 
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -178,6 +178,8 @@
   schedule_next_read (s);
 }
 
+/* Handles the answer to a read.  Dropped records are no failure: the newest
+   records are read again.  */
 static void
 on_result (const mm_stream_result *res, void *ctx)
 {
@@ -234,7 +236,7 @@
 mm_stream_tick (mm_stream *s)
 {
   if (s->paused)
-    s->next_read_ms = 0;
+    s->next_read_ms = 0; /* the first tick after a pause reads at once */
   s->paused = false;
   if (s->in_flight || mm_clock_now_ms () < s->next_read_ms)
     return;
--- a/src/mm_stream.h
+++ b/src/mm_stream.h
@@ -7,6 +7,7 @@
 
 typedef struct mm_stream mm_stream;
 
+/* Callbacks of mm_stream.  */
 typedef struct
 {
   /* A record was read.  */
