--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -4,10 +4,13 @@
      {"kind":"take","by":NAME,"inc":INCARNATION}    a new owner
      {"kind":"accept","by":NAME,"inc":..,"fp":HEX,"jobs":[ID,...]}
      {"kind":"release","by":NAME,"inc":..}          a graceful handover
-   Every append carries the owner's epoch.  To take the shard, an instance
-   reads the stream to its end, then appends a "take" record with a higher
-   epoch, on the condition that the stream still ends there.  When two
-   instances try at the same time, the log accepts one of the two records.
+   "fp" is the fingerprint of the upstreams listed at the accept.
+
+   Every append carries the owner's epoch, a fencing token.  To take the
+   shard, an instance reads the stream to its end, then appends a "take"
+   record with a higher epoch, on the condition that the stream still ends
+   there.  When two instances try at the same time, the log accepts one of
+   the two records.
    From then on the log refuses appends with a lower epoch, so the new owner
    has read every job that was ever accepted: a previous owner that was
    frozen, disconnected or wrongly taken for dead cannot accept another job
@@ -29,7 +32,7 @@
 {
   SHARD_IDLE,    /* not owned, and not being taken */
   SHARD_READING, /* reading the stream to its end before a take */
-  SHARD_TAKING,  /* the take record is sent next, or in flight */
+  SHARD_TAKING,  /* the take record is in flight, or the next call */
   SHARD_OWNED    /* owned by this instance */
 } shard_state;
 
@@ -45,7 +48,7 @@
 struct mm_shard
 {
   const mm_shard_env *env;
-  char *stream;
+  char *stream; /* "accept.DC.N", the shard's stream in the log */
   shard_state state;
   bool call_in_flight;     /* a read or an append is in flight */
   int64_t epoch;           /* of this instance, while OWNED or TAKING */
@@ -54,20 +57,20 @@
   char *owner;             /* owner by the last take record read, or NULL */
   bool owner_released;     /* a release record followed the last take */
   bool unclean_takeover;   /* the previous owner had not released the shard */
-  bool unobserved;         /* and no live instance was up in its time */
+  bool unobserved;         /* unclean, and no live instance was up before it */
   bool releasing;          /* release the shard with the next append */
   bool only_if_released;   /* take the shard only if its owner released it */
-  uint32_t failed_takes;   /* in a row */
+  uint32_t failed_takes;   /* takes refused or unanswered in a row */
   mm_time_ms appended_ms;  /* when the last accept record was sent */
   ev_timer interval_timer; /* runs until the next accept may be appended */
   mm_time_ms taken_ms;     /* when this instance became the owner */
   mm_time_ms fenced_ms;    /* when this instance was fenced, 0: never */
   GQueue waiting;          /* waiting_job *, oldest first */
   GPtrArray *unrecorded;   /* ids of jobs that started without a record */
-  guint unrecorded_sent;   /* how many of them the append in flight records */
+  guint unrecorded_sent;   /* how many of these the append in flight has */
   mm_accepted_jobs *accepted; /* accepted jobs that are not stored here */
-  GQueue verify_queue;        /* verify_waiter *, for the next call */
-  GQueue verify_in_flight;    /* verify_waiter *, for the call in flight */
+  GQueue verify_queue;        /* verify_waiter *, for the next verify call */
+  GQueue verify_in_flight;    /* verify_waiter *, for the one in flight */
 };
 
 /* A call of mm_shard_verify() that has no answer yet.  */
@@ -176,8 +179,9 @@
   g_free (owner);
 }
 
-/* Another instance raised the epoch: this instance no longer owns the
-   shard.  */
+/* Ends this instance's ownership, as another instance raised the epoch.  The
+   log would refuse the missing records of unrecorded jobs, so their ids are
+   dropped.  */
 static void
 on_fenced (mm_shard *s, int64_t new_epoch)
 {
@@ -189,7 +193,8 @@
   s->state = SHARD_READING;
 }
 
-/* Applies a record that was read from the stream.  */
+/* Applies a record that was read from the stream.  A record without kind,
+   owner or incarnation is ignored.  */
 static void
 apply_record (mm_shard *s, const cJSON *data)
 {
@@ -223,12 +228,14 @@
     }
 }
 
+/* Drops accepted jobs that are older than ttl_ms.  */
 static void
 expire_accepted (mm_shard *s)
 {
   mm_accepted_jobs_expire (s->accepted, mm_clock_now_ms () - s->env->ttl_ms);
 }
 
+/* Returns a number of a JSON object, 0 when it is missing.  */
 static int64_t
 int_field (const cJSON *o, const char *key)
 {
@@ -236,8 +243,8 @@
   return cJSON_IsNumber (v) ? (int64_t)v->valuedouble : 0;
 }
 
-/* Returns whether another instance owns the shard and has not released it,
-   by the part of the stream that has been read.  */
+/* Returns whether another instance owns the shard and has not released it.
+   Only the records read so far are taken into account.  */
 static bool
 owned_by_another (const mm_shard *s)
 {
@@ -245,6 +252,9 @@
          && strcmp (s->owner, s->env->self) != 0;
 }
 
+/* Applies the records that a read of the stream returned.  At the end of the
+   stream the take follows, unless the shard is left to its owner.  After a
+   failed read, mm_shard_retry() reads again.  */
 static void
 read_done (const mm_http_result *res, void *ctx)
 {
@@ -264,6 +274,7 @@
       apply_record (s, cJSON_GetObjectItem (r, "data"));
       s->cursor = offset + 1;
     }
+  /* Any records between the cursor and the head were dropped by retention. */
   if (!cJSON_GetArraySize (cJSON_GetObjectItem (o, "records")))
     s->cursor = MAX (s->cursor, head);
   s->seen_epoch = MAX (s->seen_epoch, int_field (o, "epoch"));
@@ -301,6 +312,9 @@
   g_free (url);
 }
 
+/* Appends @record to the stream with the epoch of this instance, and frees
+   it.  With @at_cursor the log refuses the record (412) unless the stream ends
+   at the cursor.  */
 static void
 append_record (mm_shard *s, cJSON *record, bool at_cursor, mm_http_done done)
 {
@@ -321,6 +335,7 @@
   free (body);
 }
 
+/* Returns a number of an answer's JSON body, 0 when it is missing.  */
 static int64_t
 answer_field (const mm_http_result *res, const char *key)
 {
@@ -330,7 +345,9 @@
   return v;
 }
 
-/* Returns whether the platform answered, with success or with a refusal.  */
+/* Returns whether the platform answered: with success (200), or with a
+   refusal because of a higher epoch (409) or another end of the stream
+   (412).  */
 static bool
 platform_answered (const mm_http_result *res)
 {
@@ -389,6 +406,9 @@
   append_record (s, r, true, take_done);
 }
 
+/* Answers the jobs that an accept record holds once the log has it.  After a
+   failure the jobs stay waiting, and mm_shard_retry() records them again; a
+   refusal (409) shows that another instance has taken the shard.  */
 static void
 accept_done (const mm_http_result *res, void *ctx)
 {
@@ -438,6 +458,8 @@
   return true;
 }
 
+/* Records all waiting jobs, and the jobs that started without a record, in
+   one accept record, unless the last one was sent too recently.  */
 static void
 append_accept (mm_shard *s)
 {
@@ -463,6 +485,8 @@
   append_record (s, r, false, accept_done);
 }
 
+/* Gives the shard up once the log has the release record.  After a failure
+   this instance still owns the shard, and the caller may release it again.  */
 static void
 release_done (const mm_http_result *res, void *ctx)
 {
@@ -491,8 +515,8 @@
   append_record (s, r, false, release_done);
 }
 
-/* Makes the next call to the log that the state calls for.  At most one
-   read or append is in flight per shard.  */
+/* Makes the next call to the log that the state of the shard requires, unless
+   a read or an append is in flight.  */
 static void
 advance (mm_shard *s)
 {
@@ -515,7 +539,7 @@
       break;
     case SHARD_OWNED:
       answer_waiting (s, was_accepted, MM_ACCEPT_KNOWN);
-      /* The callbacks may have called advance() already.  */
+      /* The callbacks of answer_waiting() may have called advance().  */
       if (s->call_in_flight || s->state != SHARD_OWNED)
         break;
       if (s->env->outage (s->env->ctx))
@@ -529,14 +553,14 @@
 }
 
 /**
- * mm_shard_superseded() - handle an epoch seen in the log or at an upstream.
+ * mm_shard_superseded() - give the shard up if its epoch has been raised.
  * @s: the shard.
- * @epoch: the epoch that the log has for the shard, or an upstream for one
- *         of its jobs; 0 when an upstream only refused this instance's epoch
- *         as too old.
+ * @epoch: the epoch that the log has for the shard, or that an upstream has
+ *         for one of its jobs; 0 when an upstream refused this instance's
+ *         epoch as too old without its own.
  *
- * Nothing happens when the shard is not owned or @epoch is not higher than
- * this instance's epoch.
+ * Nothing happens when this instance does not own the shard, or when @epoch
+ * is neither 0 nor higher than this instance's epoch.
  */
 void
 mm_shard_superseded (mm_shard *s, int64_t epoch)
@@ -552,7 +576,8 @@
  * mm_shard_accept() - record that this instance runs a job, before it starts.
  * @s: the shard; taken first when this instance does not own it.
  * @job_id: the job.
- * @done: called once, possibly before this function returns.
+ * @done: called once, possibly before this function returns; never after
+ *        mm_shard_cancel().
  * @ctx: context pointer for @done; also identifies the job to
  *       mm_shard_cancel().
  */
@@ -595,6 +620,8 @@
 
 static void start_verify (mm_shard *s);
 
+/* Answers the waiters of a verify call, then starts the next call if more
+   have come meanwhile.  */
 static void
 verify_done (const mm_http_result *res, void *ctx)
 {
@@ -602,6 +629,7 @@
   s->env->contact (platform_answered (res), s->env->ctx);
   int64_t epoch = res->status == 200 ? answer_field (res, "epoch") : 0;
   bool owned = s->state == SHARD_OWNED && epoch == s->epoch;
+  /* A call without an answer must not pass 0, which would mean a refusal.  */
   mm_shard_superseded (s, MAX (epoch, 1));
   GQueue ready = s->verify_in_flight;
   g_queue_init (&s->verify_in_flight);
@@ -614,6 +642,8 @@
   start_verify (s);
 }
 
+/* Reads the stream's epoch for all waiters of the queue.  A read from
+   INT64_MAX returns no records.  */
 static void
 start_verify (mm_shard *s)
 {
@@ -657,8 +687,9 @@
 
 /**
  * mm_shard_take() - take ownership of the shard before jobs arrive.
- * @s: the shard; nothing happens when it is owned or being taken.
- * @only_if_released: leave the shard to an owner that has not released it.
+ * @s: the shard; nothing happens when this instance owns or is taking it.
+ * @only_if_released: leave the shard to another owner that has not released
+ *                    it, unless jobs are waiting here.
  */
 void
 mm_shard_take (mm_shard *s, bool only_if_released)
@@ -695,14 +726,13 @@
 }
 
 /**
- * mm_shard_accepted_before() - check whether a job that is not here was
- * accepted.
+ * mm_shard_accepted_before() - check whether a job was accepted before.
  * @s: the shard; while this instance does not own it, more jobs may have
  *     been accepted than are known here.
- * @job_id: the job.
+ * @job_id: the job, not one that this instance is running.
  *
- * Return: true when an earlier owner accepted the job, or this instance did
- * and the job has moved away.
+ * Return: true when an earlier owner accepted the job, or when this instance
+ * accepted it and it has since moved to another instance.
  */
 bool
 mm_shard_accepted_before (const mm_shard *s, const char *job_id)
@@ -711,16 +741,16 @@
 }
 
 /**
- * mm_shard_unclean_takeover() - check for a previous owner that did not
+ * mm_shard_unclean_takeover() - check whether the shard was taken without a
  * release.
  * @s: the shard.
  *
- * If the platform had an outage in the previous owner's time, that owner may
- * have run jobs without a record in the log.
+ * A previous owner that did not release the shard may have run jobs without
+ * a record in the log, if the platform had an outage in its time.
  *
- * Return: true when the previous owner did not release the shard, for ttl_ms
- * after the shard was taken; answers from before the take are no longer kept
- * after that.
+ * Return: true when the previous owner did not release the shard and this
+ * instance took it less than ttl_ms ago.  Answers to jobs of the
+ * previous owner's time are no longer kept after that.
  */
 bool
 mm_shard_unclean_takeover (const mm_shard *s)
@@ -730,7 +760,8 @@
 }
 
 /**
- * mm_shard_unobserved() - check whether an outage may be unknown here.
+ * mm_shard_unobserved() - check whether an outage of the platform may have
+ * gone unnoticed.
  * @s: the shard, whose previous owner did not release it.
  *
  * Return: true when no live instance was up in the time of the previous
@@ -771,7 +802,7 @@
 }
 
 /**
- * mm_shard_retry() - continue after a call to the log that failed.
+ * mm_shard_retry() - repeat the call to the log that failed last.
  * @s: the shard; no call is made while one is in flight.
  *
  * Also drops accepted jobs that are older than ttl_ms.
@@ -789,10 +820,10 @@
  *
  * The caller has checked that no instance can reach the log, so no instance
  * can take the shard from now on.  Another instance may have taken it just
- * before, unknown to this one: the caller then relies on the epochs that the
- * upstreams have for a job instead of the log's.  The missing records are
- * part of the next append.  A later owner that knows of the
- * outage does not rely on these records and asks the upstreams instead.
+ * before, unknown to this one, so the caller must ask the upstreams which
+ * epoch they have for a job.  The missing records are part of the next append.
+ * A later owner that knows of the outage asks the upstreams too and does not
+ * rely on these records.
  */
 void
 mm_shard_serve_unrecorded (mm_shard *s)
@@ -823,10 +854,11 @@
 }
 
 /**
- * mm_shard_end_hold_down() - end the hold-down that follows on being fenced.
- * @s: the shard; the instance that took it is gone.
+ * mm_shard_end_hold_down() - allow this instance to take the shard back.
+ * @s: the shard; the instance that took it from this one is gone.
  *
- * The shard can then be taken back at once.
+ * Ends the time of MM_SHARD_HOLD_DOWN_MS in which a fenced instance does not
+ * take the shard.
  */
 void
 mm_shard_end_hold_down (mm_shard *s)
