--- a/src/mm_peer.c
+++ b/src/mm_peer.c
@@ -7,6 +7,9 @@
      [3, req_id]                            ask whether the peer reaches the
                                             platform (answered by 200, 204 or
                                             503)
+   The sender of a request chooses its req_id, and the answer repeats it;
+   retry_after is in seconds; name is the member name of the sender.
+
    Each peer_link owns its socket, buffers and pending requests.  A peer_link
    that fails answers every pending request with an error at once, so no
    caller waits for an answer that cannot come.  */
@@ -22,8 +25,9 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define FRAME_MAX_BYTES (8u << 20)
+#define FRAME_MAX_BYTES (8u << 20) /* a longer frame closes the link */
 
+/* The first element of a frame.  */
 enum
 {
   FRAME_FORWARD = 1,
@@ -40,28 +44,30 @@
   int listen_fd;
   ev_io accept_io;
   uint16_t port;
-  mm_peer_request_cb on_request;
+  mm_peer_request_cb on_request; /* receives forwarded jobs */
   void *ctx;                     /* of on_request */
-  mm_peer_contact_cb in_contact; /* status for pings, NULL: 204 */
+  mm_peer_contact_cb in_contact; /* returns a ping's status; NULL: 204 */
   void *contact_ctx;
   mm_peer_tell_cb on_tell; /* receives notifications, or NULL */
   void *tell_ctx;
   GHashTable *links_by_id;      /* id -> peer_link */
   GHashTable *outgoing_by_addr; /* "host:port" -> peer_link (outgoing) */
-  uint64_t next_link_id;
-  uint64_t next_req_id;
+  uint64_t last_link_id;        /* id of the link that was opened last */
+  uint64_t last_req_id;         /* last req_id that this endpoint issued */
 };
 
 /* A request that has no answer yet.  */
 typedef struct
 {
   mm_peer_answer_cb done;
-  void *ctx;
-  ev_timer timer;
-  peer_link *link;
+  void *ctx;       /* of done */
+  ev_timer timer;  /* runs until the request times out */
+  peer_link *link; /* the link that it was sent on */
   uint64_t req_id;
 } pending_request;
 
+/* A TCP connection to a peer: outgoing, for requests and notifications to the
+   peer, or accepted, for those of the peer.  */
 struct peer_link
 {
   mm_peer *peer;
@@ -110,6 +116,7 @@
   msgpack_pack_bin_body (packer, data, len);
 }
 
+/* Queues @body, preceded by its length, to be sent as one frame.  */
 static void
 link_queue (peer_link *l, GByteArray *body)
 {
@@ -119,6 +126,8 @@
   ev_io_start (l->peer->loop, &l->write_io);
 }
 
+/* Calls the callback of a request and frees the request, which the caller has
+   already removed from its link.  */
 static void
 answer_pending (pending_request *p, const mm_peer_answer *a)
 {
@@ -127,6 +136,7 @@
   g_free (p);
 }
 
+/* Answers a request with an error, as answer_pending() does.  */
 static void
 fail_pending (pending_request *p, int code, const char *why)
 {
@@ -136,6 +146,7 @@
   g_error_free (a.error);
 }
 
+/* Returns false when @o is not an unsigned integer.  */
 static bool
 unpack_uint (const msgpack_object *o, uint64_t *v)
 {
@@ -145,8 +156,9 @@
   return true;
 }
 
-/* Handles one frame.  Returns false when it is malformed; the caller must
-   then close the peer_link.  */
+/* Handles one frame.  An answer whose request has timed out is ignored.
+   Returns false when the frame is malformed; the caller must then close the
+   peer_link.  */
 static bool
 on_frame (peer_link *l, const uint8_t *data, size_t len)
 {
@@ -187,7 +199,7 @@
   else if (ok && type == FRAME_ANSWER && fields == 5
            && f[4].type == MSGPACK_OBJECT_STR)
     {
-      uint64_t status = 0, after = 0;
+      uint64_t status = 0, after = 0; /* after: Retry-After in seconds */
       pending_request *p = g_hash_table_lookup (l->pending, &req);
       ok = unpack_uint (&f[2], &status) && unpack_uint (&f[3], &after);
       if (ok && p)
@@ -207,6 +219,7 @@
   return ok;
 }
 
+/* Reads what has arrived on a link and handles all complete frames.  */
 static void
 read_ready_cb (struct ev_loop *loop, ev_io *w, int revents)
 {
@@ -246,6 +259,8 @@
     }
 }
 
+/* Sends queued bytes; with none left, stops waiting for the socket to be
+   writable.  */
 static void
 write_ready_cb (struct ev_loop *loop, ev_io *w, int revents)
 {
@@ -267,12 +282,14 @@
     ev_io_stop (loop, w);
 }
 
+/* Adds a link for a socket.  @addr: the peer's "host:port" for an outgoing
+   link, NULL for an accepted one.  */
 static peer_link *
 link_new (mm_peer *p, int fd, const char *addr)
 {
   peer_link *l = g_new0 (peer_link, 1);
   l->peer = p;
-  l->id = ++p->next_link_id;
+  l->id = ++p->last_link_id;
   l->fd = fd;
   l->addr = g_strdup (addr);
   l->in = g_byte_array_new ();
@@ -290,6 +307,8 @@
   return l;
 }
 
+/* Closes and frees a link.  Its pending requests are answered with
+   MM_ERROR_IO and the text @why.  */
 static void
 link_close (peer_link *l, const char *why)
 {
@@ -324,6 +343,8 @@
     link_new (p, fd, NULL);
 }
 
+/* Opens a listening socket at an IPv4 address and stores its port in @bound.
+   Returns the socket, or -1 with @error set.  */
 static int
 listen_on (const char *host, uint16_t port, uint16_t *bound, GError **error)
 {
@@ -348,7 +369,7 @@
 /**
  * mm_peer_create() - listen for peer links.
  * @loop: the event loop.
- * @host: address to bind.
+ * @host: IPv4 address to bind.
  * @port: TCP port, 0 for any.
  * @on_request: called for each forwarded job; answer with mm_peer_reply().
  * @ctx: context pointer for @on_request.
@@ -378,6 +399,12 @@
   return p;
 }
 
+/**
+ * mm_peer_destroy() - stop listening and close all links.
+ * @p: the peer endpoint, or NULL.
+ *
+ * Requests that have no answer yet are answered with an error first.
+ */
 void
 mm_peer_destroy (mm_peer *p)
 {
@@ -394,13 +421,21 @@
   g_free (p);
 }
 
+/**
+ * mm_peer_port() - the TCP port that peers connect to.
+ * @p: the peer endpoint.
+ *
+ * Return: the port in host byte order, also when mm_peer_create() chose it.
+ */
 uint16_t
 mm_peer_port (const mm_peer *p)
 {
   return p->port;
 }
 
-/* Returns the outgoing link to @addr, and opens one when there is none.  */
+/* Returns the outgoing link to @addr ("host:port" with an IPv4 address), and
+   opens one when there is none.  The connection may not be established yet:
+   if that fails later, the link is closed and its requests fail.  */
 static peer_link *
 link_to (mm_peer *p, const char *addr, GError **error)
 {
@@ -433,6 +468,7 @@
   return link_new (p, fd, addr);
 }
 
+/* Fails a request that has no answer in time; its link stays open.  */
 static void
 timeout_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
@@ -441,8 +477,8 @@
   fail_pending (p, MM_ERROR_TIMEOUT, "no answer in time");
 }
 
-/* Sends a request frame and registers @done for its answer.  The frame's
-   req_id must be p->next_req_id, the last one that was issued.  */
+/* Sends a request frame and registers @done for its answer.  @frame must be
+   the request begun last, as its req_id is taken from p->last_req_id.  */
 static void
 send_request (mm_peer *p, const char *addr, GByteArray *frame,
               mm_time_ms timeout_ms, mm_peer_answer_cb done, void *ctx)
@@ -460,7 +496,7 @@
   request->done = done;
   request->ctx = ctx;
   request->link = l;
-  request->req_id = p->next_req_id;
+  request->req_id = p->last_req_id;
   ev_timer_init (&request->timer, timeout_cb, (double)timeout_ms / 1000.0, 0.);
   request->timer.data = request;
   ev_timer_start (p->loop, &request->timer);
@@ -486,7 +522,7 @@
                  mm_peer_answer_cb done, void *ctx)
 {
   msgpack_packer packer;
-  GByteArray *b = frame_begin (&packer, 4, FRAME_FORWARD, ++p->next_req_id);
+  GByteArray *b = frame_begin (&packer, 4, FRAME_FORWARD, ++p->last_req_id);
   msgpack_pack_uint32 (&packer, hops);
   pack_bytes (&packer, job, len);
   send_request (p, addr, b, timeout_ms, done, ctx);
@@ -497,7 +533,7 @@
  * mm_peer_ping() - ask a peer whether it reaches the platform's service.
  * @p: the peer endpoint.
  * @addr: the peer's "host:peer_port".
- * @timeout_ms: without an answer for this long, @done gets an error.
+ * @timeout_ms: without an answer for this long, @done gets MM_ERROR_TIMEOUT.
  * @done: called once with status 200 when the peer reaches the platform,
  *        503 when it does not, 204 when it cannot tell, or an error.
  * @ctx: context pointer for @done.
@@ -507,11 +543,17 @@
               mm_peer_answer_cb done, void *ctx)
 {
   msgpack_packer packer;
-  GByteArray *b = frame_begin (&packer, 2, FRAME_PING, ++p->next_req_id);
+  GByteArray *b = frame_begin (&packer, 2, FRAME_PING, ++p->last_req_id);
   send_request (p, addr, b, timeout_ms, done, ctx);
   g_byte_array_free (b, TRUE);
 }
 
+/**
+ * mm_peer_set_tell() - set the callback for notifications from peers.
+ * @p: the peer endpoint.
+ * @on_tell: called for each notification, or NULL to ignore them.
+ * @ctx: context pointer for @on_tell.
+ */
 void
 mm_peer_set_tell (mm_peer *p, mm_peer_tell_cb on_tell, void *ctx)
 {
@@ -528,8 +570,8 @@
  * @payload: the payload.
  * @len: length of @payload in bytes.
  *
- * A notification that cannot be sent is dropped: notifications only save
- * work.
+ * A notification that cannot be sent is dropped.  Nothing depends on its
+ * arrival: notifications only save work.
  */
 void
 mm_peer_tell (mm_peer *p, const char *addr, mm_tell_kind kind,
@@ -539,7 +581,7 @@
   if (!l)
     return;
   msgpack_packer packer;
-  GByteArray *b = frame_begin (&packer, 5, FRAME_NOTIFY, ++p->next_req_id);
+  GByteArray *b = frame_begin (&packer, 5, FRAME_NOTIFY, ++p->last_req_id);
   msgpack_pack_uint32 (&packer, kind);
   pack_text (&packer, self);
   pack_bytes (&packer, payload, len);
@@ -564,6 +606,13 @@
     link_close (l, "it left the member list");
 }
 
+/**
+ * mm_peer_set_contact() - set the callback that answers pings from peers.
+ * @p: the peer endpoint.
+ * @in_contact: returns 200 when this instance reaches the platform, 503 when
+ *              it does not and 204 when that is not known; NULL: always 204.
+ * @ctx: context pointer for @in_contact.
+ */
 void
 mm_peer_set_contact (mm_peer *p, mm_peer_contact_cb in_contact, void *ctx)
 {
