--- a/src/mm_pool.c
+++ b/src/mm_pool.c
@@ -1,7 +1,7 @@
 /* mm_pool: chooses the upstream for the next task.
 
-   Upstreams start all tasks that they receive, also those that exceed their
-   slots.  The entry instance therefore counts the tasks in flight of each
+   An upstream starts all tasks that it receives, even more than it has slots.
+   The entry instance therefore counts the tasks in flight of each
    upstream and sends only into free slots: to the upstream with the most free
    slots, and among equals to the lower index.  An upstream that is leaving
    gets no new tasks.
@@ -9,7 +9,8 @@
    Some upstreams fail every task that they start.  An upstream that fails
    eject_after times in a row is ejected for eject_ms.  Then it is on trial
    with one task at a time: a task that is done ends the trial, a failure
-   ejects the upstream for twice as long as before.  Peers that are notified
+   ejects the upstream for twice as long as before, up to
+   2^MM_EJECT_MAX_DOUBLINGS times eject_ms.  Peers that are notified
    of an ejection put the upstream on trial, so that each of them need not lose
    eject_after tasks of its own.  */
 #include "mm_pool.h"
@@ -29,11 +30,11 @@
 /* The set of upstream incarnations in one member list.  */
 typedef struct
 {
-  uint64_t fingerprint;
-  GArray *hashes; /* uint64_t, one per incarnation */
+  uint64_t fingerprint; /* mm_pool_list_fingerprint() of the list */
+  GArray *hashes;       /* uint64_t, mm_pool_incarnation_hash() of each */
 } listed_set;
 
-#define MAX_REMEMBERED_LISTS 256
+#define MAX_REMEMBERED_LISTS 256 /* the oldest sets are dropped */
 
 static void
 free_member (gpointer data)
@@ -52,6 +53,12 @@
   g_free (l);
 }
 
+/**
+ * mm_pool_create() - create a pool without upstreams.
+ * @default_slots: number of slots of an upstream that reports none.
+ *
+ * Return: the pool, to free with mm_pool_destroy().
+ */
 mm_pool *
 mm_pool_create (uint32_t default_slots)
 {
@@ -72,6 +79,13 @@
   g_free (p);
 }
 
+/**
+ * mm_pool_find() - find an upstream by name, listed or not.
+ * @p: the pool.
+ * @name: member name, or the address of an upstream from the settings.
+ *
+ * Return: index of the upstream, or -1.
+ */
 int
 mm_pool_find (const mm_pool *p, const char *name)
 {
@@ -82,15 +96,15 @@
 }
 
 /**
- * mm_pool_add() - add an upstream, or refresh one already known.
+ * mm_pool_add() - add an upstream, or update one already known.
  * @p: the pool.
- * @name: member name of the upstream.
- * @addr: "host:port".
+ * @name: member name of the upstream, or its address from the settings.
+ * @addr: "host:port"; ignored when the upstream is known.
  * @slots: number of slots, 0 for the default.
  * @boot_ms: identifies the incarnation, 0 when not known.
  *
- * Members are never removed, so that the indexes in tasks in flight stay
- * valid.
+ * Members are never removed, so that the upstream indexes that tasks in
+ * flight hold stay valid.
  *
  * Return: index of the upstream.
  */
@@ -124,14 +138,15 @@
 }
 
 /**
- * mm_pool_list_begin() - prepare for a complete new member list.
+ * mm_pool_list_begin() - set all upstreams to not listed, before the members
+ * of a complete new list are added.
  * @p: the pool.
  * @now: mm_clock_now_ms().
  *
- * An upstream that crashed vanishes from the list without ever having been
- * shown as leaving.  An upstream that is not added again after this call
- * therefore gets no new tasks until it is listed again.  Upstreams that only
- * the settings name (boot_ms 0) stay listed.
+ * An upstream that crashed vanishes from the member list without ever having
+ * been shown as leaving.  So an upstream that is not added again after this
+ * call gets no new tasks until it is listed again.  Upstreams that only the
+ * settings name (boot_ms 0) stay listed.
  */
 void
 mm_pool_list_begin (mm_pool *p, mm_time_ms now)
@@ -161,8 +176,8 @@
  * incarnations.
  * @p: the pool.
  *
- * Return: the exclusive or of the hashes of all incarnations, which does not
- * depend on their order.
+ * Return: the exclusive or of the hashes of all listed incarnations, so that
+ * equal sets have equal fingerprints whatever their order.
  */
 uint64_t
 mm_pool_list_fingerprint (const mm_pool *p)
@@ -214,11 +229,13 @@
 }
 
 /**
- * mm_pool_list_end() - finish a new member list, all of it being added.
+ * mm_pool_list_end() - remember a new member list after all its members were
+ * added.
  * @p: the pool.
  *
- * The set of listed upstreams is remembered by its fingerprint, so that the
- * upstreams of an accept record are found by the fingerprint in the record.
+ * The set of listed upstreams is remembered by its fingerprint.  An accept
+ * record of a job holds such a fingerprint, which tells here which upstreams
+ * were listed when the job was accepted.
  */
 void
 mm_pool_list_end (mm_pool *p)
@@ -242,14 +259,16 @@
 }
 
 /**
- * mm_pool_all_reported() - whether all upstreams of an earlier list reported.
+ * mm_pool_all_reported() - whether all upstreams of an earlier member list
+ * are among those that reported.
  * @p: the pool.
  * @hashes: set of mm_pool_incarnation_hash() (as int64 keys) of the upstreams
  *          that reported.
  * @fingerprint: fingerprint of the earlier list.
  *
- * Return: true when they did.  For a list that is not remembered here, true
- * only when exactly the upstreams of that list reported.
+ * Return: true when all of them reported.  For a list that is not remembered
+ * here, true only when exactly the upstreams of that list reported, which
+ * their fingerprint shows.
  */
 bool
 mm_pool_all_reported (const mm_pool *p, GHashTable *hashes,
@@ -291,6 +310,8 @@
   return m->listed || now - m->unlisted_ms < ttl_ms;
 }
 
+/* Returns whether an upstream gets new tasks.  Puts it on trial when its
+   ejection has ended.  */
 static bool
 accepts_tasks (mm_pool_member *m, mm_time_ms now)
 {
@@ -300,12 +321,15 @@
          && (m->state == MM_UPSTREAM_LIVE || m->state == MM_UPSTREAM_ON_TRIAL);
 }
 
+/* Returns how many tasks an upstream may have in flight.  */
 static uint32_t
 usable_slots (const mm_pool_member *m)
 {
   return m->state == MM_UPSTREAM_ON_TRIAL ? 1 : m->slots;
 }
 
+/* Ejects an upstream for @eject_ms, doubled for each ejection since the last
+   task that was done, MM_EJECT_MAX_DOUBLINGS times at most.  */
 static void
 eject (mm_pool_member *m, mm_time_ms now, mm_time_ms eject_ms)
 {
@@ -359,6 +383,11 @@
   return best;
 }
 
+/**
+ * mm_pool_task_sent() - count a task as in flight.
+ * @p: the pool.
+ * @i: index of the upstream that it is sent to.
+ */
 void
 mm_pool_task_sent (mm_pool *p, int i)
 {
@@ -375,8 +404,9 @@
  * @eject_after: number of failures in a row that ejects the upstream.
  * @eject_ms: duration of the first ejection.
  *
- * A refusal sets the upstream to leaving, because it shows that the upstream
- * drains before the lagging member list does.
+ * A refusal sets the upstream to leaving: it shows that the upstream drains,
+ * which the member list shows only later, as it lags.  MM_OUTCOME_FENCED says
+ * nothing about the upstream, so that its state and failures stay.
  *
  * Return: true when this outcome ejected the upstream.
  */
@@ -427,6 +457,14 @@
   return p->members->pdata[i];
 }
 
+/**
+ * mm_pool_free_slots() - number of free slots of the upstreams that accept
+ * tasks.
+ * @p: the pool.
+ * @now: mm_clock_now_ms().
+ *
+ * Return: the sum of their free slots; an upstream on trial has one slot.
+ */
 uint32_t
 mm_pool_free_slots (const mm_pool *p, mm_time_ms now)
 {
@@ -445,7 +483,8 @@
  * @p: the pool.
  * @now: mm_clock_now_ms().
  *
- * Return: the sum of their slots, used or free.
+ * Return: the sum of their slots, used or free; an upstream on trial has one
+ * slot.
  */
 uint32_t
 mm_pool_live_slots (const mm_pool *p, mm_time_ms now)
