--- a/src/mm_cfg.c
+++ b/src/mm_cfg.c
@@ -3,8 +3,8 @@
    A record is {"kind":"config"|"snapshot","parent":P,"base":TOML,
    "overlays":{SITE:TOML}}.  It is accepted when its parent is the offset
    of the head (the last accepted record, -1 before the first one) and the
-   base with each overlay is valid by mm_cfg_setting_specs.  Every instance
-   reads the same log in the same order and checks the overlays of all
+   base is valid by mm_cfg_setting_specs, alone and with each overlay.  Every
+   instance reads the same log in the same order and checks the overlays of all
    sites, not only its own, so every instance accepts the same records.
    When two operators publish edits of the same head, the first record in
    the log is accepted and every instance refuses the second.  The head
@@ -24,14 +24,16 @@
 
 struct mm_cfg
 {
-  char *site;        /* the site whose overlay applies here */
-  int64_t head;      /* offset of the last accepted record, -1: none yet */
-  int64_t origin;    /* offset of the change that the head is or copies */
-  char *head_record; /* JSON text of the head, or NULL */
+  char *site;   /* the site whose overlay applies here */
+  int64_t head; /* offset of the last accepted record, -1: none yet */
+  /* Offset of the head, or of the change that the head is a snapshot of.  */
+  int64_t origin;
+  char *head_record;        /* JSON text of the head, or NULL */
   mm_cfg_settings settings; /* settings in force */
-  uint64_t rejected;        /* records refused */
+  uint64_t rejected;        /* number of records refused */
 };
 
+/* The keys, limits and help texts of the published settings.  */
 const mm_setting_spec mm_cfg_setting_specs[] = {
   { "limits.max_tasks_per_job", MM_SETTING_INT,
     offsetof (mm_cfg_settings, max_tasks_per_job), 1, 100000, "largest job" },
@@ -61,6 +63,10 @@
   { NULL },
 };
 
+/**
+ * mm_cfg_settings_clear() - free the memory that the settings own.
+ * @k: the settings.
+ */
 void
 mm_cfg_settings_clear (mm_cfg_settings *k)
 {
@@ -85,6 +91,10 @@
   return quota ? (int64_t)GPOINTER_TO_SIZE (quota) : k->team_max_queued_tasks;
 }
 
+/**
+ * mm_cfg_settings_defaults() - set the settings used before any is published.
+ * @k: set; its old content is not freed.
+ */
 void
 mm_cfg_settings_defaults (mm_cfg_settings *k)
 {
@@ -99,6 +109,12 @@
   k->eject_ms = MM_DEFAULT_EJECT_MS;
 }
 
+/**
+ * mm_cfg_create() - create a config state with the default settings.
+ * @site: name of the site whose overlays apply.
+ *
+ * Return: the config state, to free with mm_cfg_destroy().
+ */
 mm_cfg *
 mm_cfg_create (const char *site)
 {
@@ -121,7 +137,8 @@
 }
 
 /* Builds the settings of one site from a record: the defaults, then the
-   base, then the site's overlay.  Without @site no overlay is applied.  */
+   base, then the site's overlay.  With @site NULL no overlay is applied.
+   Returns true when @out was set; the caller clears it.  */
 static bool
 settings_for_site (const cJSON *rec, const char *site, mm_cfg_settings *out,
                    GError **error)
@@ -159,8 +176,8 @@
   return ok;
 }
 
-/* Returns whether a record is valid for every site that it names, so that
-   the result does not depend on the site that reads it.  */
+/* Returns whether a record is valid without an overlay and for every site
+   that it names.  The result does not depend on the site of the reader.  */
 static bool
 valid_for_all_sites (const cJSON *rec, GError **error)
 {
@@ -180,8 +197,8 @@
   return true;
 }
 
-/* Makes a record the head and its settings those in force, if it is valid
-   for every site.  */
+/* Makes a valid record the head and puts its settings into force.  A record
+   that is not valid for every site is refused.  */
 static bool
 apply_record (mm_cfg *c, int64_t offset, const cJSON *rec, const char *text,
               GError **error)
@@ -212,9 +229,10 @@
  * @c: the config state.
  * @offset: the record's log offset; records must come in log order.
  * @record: the record's JSON text.
- * @error: MM_ERROR_CONFIG_REJECTED when the parent is not the head or a
- *         snapshot of it, MM_ERROR_BAD_REQUEST or a settings error when
- *         the record is not valid.
+ * @error: MM_ERROR_CONFIG_REJECTED when the parent is neither the head, nor
+ *         the change that the head is a snapshot of, nor an offset between
+ *         them; MM_ERROR_BAD_REQUEST or a settings error when the record is
+ *         not valid.
  *
  * Return: true when the record became the head and is in force; false
  * without @error when its offset is not past the head.
@@ -251,12 +269,14 @@
  * @c: the config state, just created.
  * @offset: the record's log offset.
  * @record: the record's JSON text.
- * @error: as for mm_cfg_apply(), but never MM_ERROR_CONFIG_REJECTED.
+ * @error: MM_ERROR_BAD_REQUEST or a settings error when the record is not
+ *         valid.
  *
- * An instance that starts after retention has dropped the start of the
- * stream adopts the head that live instances report.
+ * An instance that starts after retention has dropped the first records of
+ * the stream adopts the head that live instances report.
  *
- * Return: true when the record became the head.
+ * Return: true when the record became the head; false without @error when
+ * its offset is not past the head.
  */
 bool
 mm_cfg_adopt (mm_cfg *c, int64_t offset, const char *record, GError **error)
@@ -303,7 +323,7 @@
  * @sites: NULL-terminated site names, or NULL.
  * @overlays: TOML text of each site's overlay, in the order of @sites.
  *
- * Return: newly allocated text, free with free().
+ * Return: newly allocated text, to free with free().
  */
 char *
 mm_cfg_make_record (const char *kind, int64_t parent, const char *base,
@@ -330,7 +350,8 @@
  * snapshot's parent is the head, so a snapshot that is appended after a
  * newer change is refused like any stale edit.
  *
- * Return: newly allocated text, or NULL when there is no head.
+ * Return: newly allocated text, to free with free(), or NULL when there is
+ * no head.
  */
 char *
 mm_cfg_snapshot_record (const mm_cfg *c)
@@ -359,7 +380,8 @@
  * @error: the first settings error of the base or of an overlay, naming the
  *         site, line and key; the record must not be published then.
  *
- * Return: the record's JSON text (free with free()), or NULL.
+ * Return: the record's JSON text, to free with free(), or NULL with @error
+ * set.
  */
 char *
 mm_cfg_record_text (const char *kind, int64_t parent, const char *base,
