--- a/src/mm_contact.c
+++ b/src/mm_contact.c
@@ -2,22 +2,22 @@
 
    Failing calls alone do not tell an outage of the platform from a
    failure of this instance's own connection.  In an outage no instance
-   can take over the shards of this one, so it may go on without records.
-   When only this instance is disconnected, a peer may own them by now.
-   Peers are pinged to find out: one peer in contact means "cut", answers
-   only from peers out of contact mean "outage", and no answer at all means
-   "alone".  */
+   can take over the shards of this one, so it may start jobs without
+   records in the log.  When only this instance is disconnected, a peer may
+   own its shards by now.  Peers are pinged to find out: one peer in contact
+   means MM_STANDING_DISCONNECTED, answers only from peers that lost contact
+   mean MM_STANDING_OUTAGE, and no answer at all means MM_STANDING_ALONE.  */
 #include "mm_contact.h"
 
 #include "config.h"
 
 struct mm_contact
 {
-  mm_time_ms last_ok_ms;  /* last call to the platform that succeeded */
-  bool last_failed;       /* the last call failed */
+  mm_time_ms last_ok_ms;  /* end of the last call that succeeded */
+  bool last_failed;       /* the last call to the platform failed */
   mm_time_ms regained_ms; /* when contact was regained, 0: never lost */
-  int64_t outage_wall_ms; /* last call that failed without contact */
-  GHashTable *votes;      /* peer name -> vote */
+  int64_t outage_wall_ms; /* last call that failed without contact, 0: none */
+  GHashTable *votes;      /* peer name -> vote, the peer's last one */
 };
 
 /* A peer's answer to a ping.  */
@@ -27,6 +27,7 @@
   mm_time_ms received_ms; /* when its answer arrived */
 } vote;
 
+/* Indexed by mm_standing.  */
 static const char *const standing_names[]
     = { "contact", "outage", "cut", "alone" };
 
@@ -36,6 +37,12 @@
   return standing_names[s];
 }
 
+/**
+ * mm_contact_create() - create a contact state that starts in contact.
+ * @now: mm_clock_now_ms().
+ *
+ * Return: the contact, to free with mm_contact_destroy().
+ */
 mm_contact *
 mm_contact_create (mm_time_ms now)
 {
@@ -72,6 +79,14 @@
     c->outage_wall_ms = mm_clock_wall_ms ();
 }
 
+/**
+ * mm_contact_lost() - whether calls to the platform have failed for a while.
+ * @c: the contact.
+ * @now: mm_clock_now_ms().
+ *
+ * Return: true when the last call failed and the last success was more than
+ * MM_CONTACT_LOST_MS ago.
+ */
 bool
 mm_contact_lost (const mm_contact *c, mm_time_ms now)
 {
@@ -87,7 +102,8 @@
  * No member can send heartbeats during an outage of the platform, so live
  * members expire.  They are listed again soon after the outage.
  *
- * Return: true without contact and for MM_LIST_GRACE_MS after it.
+ * Return: true while contact is lost and for MM_LIST_GRACE_MS after it is
+ * regained.
  */
 bool
 mm_contact_list_incomplete (const mm_contact *c, mm_time_ms now)
@@ -101,7 +117,8 @@
  * @c: the contact.
  * @now: mm_clock_now_ms().
  *
- * Return: 200 in contact, 503 contact lost, 204 not known yet (no vote).
+ * Return: 200 in contact, 503 when contact is lost, and 204 when calls fail
+ * but not for long enough to tell.  A peer does not count 204 as a vote.
  */
 unsigned
 mm_contact_ping_status (const mm_contact *c, mm_time_ms now)
@@ -129,13 +146,17 @@
 }
 
 /**
- * mm_contact_standing() - whether the platform is out or only unreachable.
+ * mm_contact_standing() - whether the platform has an outage or only this
+ * instance cannot reach it.
  * @c: the contact.
  * @n_peers: number of live peers in the member list.
  * @now: mm_clock_now_ms().
  * @peer: with MM_STANDING_DISCONNECTED, set to a peer in contact; may be NULL.
  *
- * Return: what this instance may do, see mm_standing.
+ * Votes older than MM_VOTE_VALID_MS do not count.  Without peers, no other
+ * instance can take over a shard, so that lost contact counts as an outage.
+ *
+ * Return: what this instance concludes, see mm_standing.
  */
 mm_standing
 mm_contact_standing (const mm_contact *c, uint32_t n_peers, mm_time_ms now,
