--- a/src/mm_quota.c
+++ b/src/mm_quota.c
@@ -1,13 +1,13 @@
-/* mm_quota: a team's tasks against its quota in the whole data centre.
+/* mm_quota: counts a team's tasks in the whole data centre.
 
    A team's jobs are spread over the entry instances by their ids, so no
-   instance alone knows how many tasks a team has.  A few times a second,
-   each instance reports to its peers the teams that use at least 1/(4n) of
-   their quota on it, n being the number of instances; of these only the
-   MM_QUOTA_REPORT_MAX_TEAMS teams with most tasks.  The unreported usage of a
-   team is thus less than a quarter of its quota over all instances, and a team
-   with few tasks costs no message.  Reports expire, so the tasks of an
-   instance that dies stop counting against the quota.
+   instance alone knows how many tasks a team has.  Every MM_QUOTA_REPORT_MS,
+   each instance sends its peers a usage report.  It lists the teams whose
+   tasks on that instance are at least 1/(4n) of their quota, with n instances,
+   and of these teams only the MM_QUOTA_REPORT_MAX_TEAMS with the most tasks.
+   Over all n instances, a team's tasks below that limit are less than a
+   quarter of its quota, and a team with few tasks costs no message.  Reports
+   expire, so that the tasks of an instance that has died no longer count.
 
    A report is a msgpack array: [team, tasks, team, tasks, ...].  */
 #include "mm_quota.h"
@@ -21,15 +21,17 @@
 {
   GHashTable *local; /* team -> tasks waiting or running here */
   GHashTable *peers; /* peer -> peer_report, the last one */
-  bool reported;     /* the last report was not empty */
+  bool reported;     /* the last report that was built was not empty */
 };
 
+/* The last usage report of a peer.  */
 typedef struct
 {
-  GHashTable *tasks; /* team -> tasks */
-  mm_time_ms received_ms;
+  GHashTable *tasks;      /* team -> tasks waiting or running at the peer */
+  mm_time_ms received_ms; /* when the report arrived */
 } peer_report;
 
+/* A team in the report that is being built.  */
 typedef struct
 {
   const char *team;
@@ -44,12 +46,14 @@
   g_free (r);
 }
 
+/* Returns a new table: team -> number of tasks, stored in the pointer.  */
 static GHashTable *
 counts_create (void)
 {
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
+/* Returns a team's number of tasks, 0 when the table does not list it.  */
 static int64_t
 count_of (GHashTable *counts, const char *team)
 {
@@ -134,18 +138,15 @@
 }
 
 /**
- * mm_quota_report() - build the report for the peers.
+ * mm_quota_report() - build the usage report for the peers.
  * @q: the quota state.
  * @n_instances: number of live entry instances, this one included.
- * @quota_of: returns a team's quota.
+ * @quota_of: returns a team's quota in the data centre, in tasks.
  * @ctx: context pointer for @quota_of.
  * @out: the report is appended here.
  *
- * An empty report is sent once after one with teams, to replace it at the
- * peers.
- *
- * Return: false when the report need not be sent: it is empty, and so was
- * the one before.
+ * Return: whether the report must be sent.  An empty report is sent only
+ * after one that listed teams, to replace it at the peers.
  */
 bool
 mm_quota_report (mm_quota *q, uint32_t n_instances,
@@ -182,7 +183,7 @@
 }
 
 /**
- * mm_quota_apply_report() - replace a peer's last report by a new one.
+ * mm_quota_apply_report() - replace a peer's last usage report by a new one.
  * @q: the quota state.
  * @peer: the peer's name.
  * @data: the encoded report, untrusted.
--- a/src/mm_quota.h
+++ b/src/mm_quota.h
@@ -1,4 +1,5 @@
-/* mm_quota: how many tasks each team has in a data centre.  Internal.  */
+/* mm_quota: counts the tasks of each team that wait or run in a data centre,
+   to be compared with the team's quota.  Internal.  */
 #ifndef MM_QUOTA_H
 #define MM_QUOTA_H
 
@@ -7,15 +8,18 @@
 typedef struct mm_quota mm_quota;
 mm_quota *mm_quota_create (void);
 void mm_quota_destroy (mm_quota *q);
-void mm_quota_add (mm_quota *q, const char *team,
-                   int64_t n); /* on this instance */
-int64_t mm_quota_used (const mm_quota *q, const char *team,
-                       mm_time_ms now); /* in the data centre */
+/* Adds @n tasks of a team on this instance; negative when tasks have ended. */
+void mm_quota_add (mm_quota *q, const char *team, int64_t n);
+/* Returns the number of a team's tasks in the data centre.  */
+int64_t mm_quota_used (const mm_quota *q, const char *team, mm_time_ms now);
+/* Builds the usage report for the peers.  Returns whether it must be sent.  */
 bool mm_quota_report (mm_quota *q, uint32_t n_instances,
                       int64_t (*quota_of) (const char *team, void *ctx),
-                      void *ctx, GByteArray *out); /* to send to the peers */
+                      void *ctx, GByteArray *out);
+/* Applies the usage report of a peer.  */
 bool mm_quota_apply_report (mm_quota *q, const char *peer, const uint8_t *data,
                             size_t len, mm_time_ms now, GError **error);
-uint32_t mm_quota_team_count (const mm_quota *q); /* with tasks here */
+/* Returns the number of teams with tasks on this instance.  */
+uint32_t mm_quota_team_count (const mm_quota *q);
 
 #endif /* MM_QUOTA_H */
