--- a/src/mm_job.c
+++ b/src/mm_job.c
@@ -1,12 +1,17 @@
-/* mm_job: a job (one submission of many tasks), decoded from JSON.
+/* mm_job: decodes a job (one submission of many tasks) from JSON.
 
    Body of a caller's request: {"job_id":"j1","team":"t","tasks":[{"id":"a",
-   "payload":"..","run_ms":80,"deadline_ms":5000,"idempotent":true}]}  */
+   "payload":"..","run_ms":80,"deadline_ms":5000,"idempotent":true}]}
+   run_ms is the declared run time of the task, and deadline_ms counts from the
+   submission.  Only job_id, tasks and each task's id are required.  Defaults:
+   team "default", payload "", run_ms 0, deadline_ms 10000, idempotent false.
+ */
 #include "masticmill.h"
 
 #include <cJSON.h>
 #include <string.h>
 
+/* Names of the task states in answers.  */
 static const char *const state_names[] = {
   [MM_TASK_PENDING] = "pending", [MM_TASK_RUNNING] = "running",
   [MM_TASK_DONE] = "done",       [MM_TASK_FAILED] = "failed",
@@ -36,7 +41,7 @@
   g_free (job);
 }
 
-/* Sets @error with one string argument and returns false.  */
+/* Sets @error to @fmt, which must contain one %s, for @arg.  Returns false. */
 static bool
 set_error (GError **error, int code, const char *fmt, const char *arg)
 {
@@ -44,6 +49,9 @@
   return false;
 }
 
+/* Decodes one task into @task.  @index, its position in the job, is named in
+   errors.  Returns false with @error set when a field is missing or has a
+   wrong type or value.  */
 static bool
 parse_task (const cJSON *t, mm_task *task, uint32_t index, GError **error)
 {
@@ -86,8 +94,8 @@
  * @job: the job.
  * @error: MM_ERROR_BAD_REQUEST, naming the first id that appears twice.
  *
- * A task is identified by its job id and task id, so upstreams could not
- * tell two tasks of one job with the same id apart.
+ * Upstreams identify a task by its job id and task id, so they could not
+ * tell apart two tasks of a job that have the same task id.
  *
  * Return: true when the ids are distinct.
  */
@@ -112,7 +120,8 @@
  * @error: MM_ERROR_BAD_REQUEST for malformed input, MM_ERROR_JOB_SIZE
  *         for zero or more than @max_tasks tasks.
  *
- * Return: the job with all its tasks pending, or NULL with @error set.
+ * Return: the job with all its tasks pending, to free with mm_job_destroy(),
+ * or NULL with @error set.
  */
 mm_job *
 mm_job_parse_json (const char *body, size_t len, uint32_t max_tasks,
--- a/src/mm_job_codec.c
+++ b/src/mm_job_codec.c
@@ -1,11 +1,12 @@
-/* mm_job_codec: msgpack encoding of a job that is forwarded between entry
-   instances.  Layout: [job_id, team, [[id, payload, run_ms, deadline_ms,
-   idempotent], ...]].  */
+/* mm_job_codec: msgpack encoding of a job that an entry instance forwards to
+   another one.  Layout: [job_id, team, [[id, payload, run_ms, deadline_ms,
+   idempotent], ...]], with one inner array per task.  */
 #include "masticmill.h"
 
 #include <msgpack.h>
 #include <string.h>
 
+/* Appends packed bytes to @data, a GByteArray.  */
 static int
 write_cb (void *data, const char *buf, size_t len)
 {
@@ -22,7 +23,8 @@
 }
 
 /**
- * mm_job_pack() - encode a job as submitted, without progress, as msgpack.
+ * mm_job_pack() - encode a job as msgpack, as it was submitted: without task
+ * states and results.
  * @job: the job.
  * @out: the encoded bytes are appended here.
  *
@@ -53,6 +55,7 @@
   return true;
 }
 
+/* Returns a copy of a string, or NULL when @object is not a string.  */
 static char *
 unpack_str (const msgpack_object *object)
 {
@@ -61,6 +64,8 @@
   return g_strndup (object->via.str.ptr, object->via.str.size);
 }
 
+/* Decodes an integer; one above INT64_MAX becomes INT64_MAX.  Returns false
+   when @object is not an integer.  */
 static bool
 unpack_int (const msgpack_object *object, int64_t *value)
 {
@@ -73,6 +78,8 @@
   return true;
 }
 
+/* Decodes one task into @task.  Returns false when a field is missing or has a
+   wrong type or value; @task may then own some strings.  */
 static bool
 unpack_task (const msgpack_object *object, mm_task *task)
 {
@@ -104,7 +111,8 @@
  *         zero or more than @max_tasks tasks, MM_ERROR_BAD_REQUEST when
  *         two tasks have the same id.
  *
- * Return: the job, or NULL with @error set.
+ * Return: the job with all its tasks pending, to free with mm_job_destroy(),
+ * or NULL with @error set.
  */
 mm_job *
 mm_job_unpack (const uint8_t *data, size_t len, uint32_t max_tasks,
