--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -9,18 +9,20 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+/* Appends a record to the platform's config stream.  Returns its offset.  */
 static int64_t
 append (const char *record, long *status)
 {
   char path[64];
   g_snprintf (path, sizeof path, "/v1/log/config");
   cJSON *o = h_call ("POST", h_platform_port, path, record, status);
-  int64_t off
+  int64_t offset
       = (int64_t)cJSON_GetNumberValue (cJSON_GetObjectItem (o, "offset"));
   cJSON_Delete (o);
-  return off;
+  return offset;
 }
 
+/* Returns the JSON text of a config record that sets dispatch.retry_budget. */
 static char *
 record (int64_t parent, int budget)
 {
@@ -30,16 +32,19 @@
                           parent, budget);
 }
 
+/* Returns the dispatch.retry_budget that is in force at an instance.  */
 static int
 budget_at (int entry)
 {
   cJSON *o = h_call ("GET", h_instance_ports[entry], "/v1/state", NULL, NULL);
-  int b = (int)cJSON_GetNumberValue (
+  int in_force = (int)cJSON_GetNumberValue (
       cJSON_GetObjectItem (cJSON_GetObjectItem (o, "config"), "retry_budget"));
   cJSON_Delete (o);
-  return b;
+  return in_force;
 }
 
+/* Publishes a base TOML text with masticctl, which waits up to 3 s until the
+   change is in force.  Returns the exit status of masticctl, or -1.  */
 static int
 publish_with_ctl (const char *base_text)
 {
@@ -65,8 +70,8 @@
   g_usleep (500000);
   mm_time_ms t0 = mm_clock_now_ms ();
   ck_assert_int_eq (publish_with_ctl ("[dispatch]\nretry_budget = 5\n"), 0);
-  mm_time_ms took = mm_clock_now_ms () - t0;
-  ck_assert_msg (took < 3000, "publish took %ld ms", (long)took);
+  mm_time_ms took_ms = mm_clock_now_ms () - t0;
+  ck_assert_msg (took_ms < 3000, "publish took %ld ms", (long)took_ms);
   for (int i = 0; i < 3; i++)
     ck_assert_int_eq (budget_at (i), 5);
   h_stop_cluster ();
@@ -80,23 +85,24 @@
 START_TEST (racing_operators_end_with_one_winner_everywhere)
 {
   h_start_cluster (1, 3, 100);
-  char *r0 = record (-1, 1), *ra = record (0, 3), *rb = record (0, 4);
-  long st;
-  ck_assert_int_eq (append (r0, &st), 0);
-  ck_assert_int_eq (append (ra, &st), 1);
-  ck_assert_int_eq (append (rb, &st), 2);
+  char *first_record = record (-1, 1), *ra = record (0, 3),
+       *rb = record (0, 4);
+  long http_status;
+  ck_assert_int_eq (append (first_record, &http_status), 0);
+  ck_assert_int_eq (append (ra, &http_status), 1);
+  ck_assert_int_eq (append (rb, &http_status), 2);
   for (int i = 0; i < 3; i++)
     {
       ck_assert (h_wait_json (h_instance_ports[i], "/v1/state",
                               "config_offset", 1, 3000));
       ck_assert_int_eq (budget_at (i), 3);
     }
-  char *late = record (-1, 9); /* a repeated edit of an empty configuration */
-  append (late, &st);
+  char *late = record (-1, 9); /* an edit of the empty configuration */
+  append (late, &http_status);
   g_usleep (600000);
   for (int i = 0; i < 3; i++)
     ck_assert_int_eq (budget_at (i), 3);
-  g_free (r0);
+  g_free (first_record);
   g_free (ra);
   g_free (rb);
   g_free (late);
@@ -110,9 +116,9 @@
 START_TEST (platform_outage_keeps_config_and_service)
 {
   h_start_cluster (2, 2, 100);
-  char *r0 = record (-1, 0);
-  long st;
-  append (r0, &st);
+  char *first_record = record (-1, 0);
+  long http_status;
+  append (first_record, &http_status);
   for (int i = 0; i < 2; i++)
     ck_assert (h_wait_json (h_instance_ports[i], "/v1/state", "config_offset",
                             0, 3000));
@@ -120,23 +126,24 @@
       h_call ("POST", h_platform_port, "/v1/faults", "{\"down\":true}", NULL));
   g_usleep (1500000);
   char *job = h_job_json ("po1", 10, 50, 5000, true);
-  cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &st);
-  ck_assert_int_eq (st, 200);
+  cJSON *o
+      = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &http_status);
+  ck_assert_int_eq (http_status, 200);
   cJSON_Delete (o);
   for (int i = 0; i < 2; i++)
     ck_assert_int_eq (budget_at (i), 0);
   cJSON_Delete (h_call ("POST", h_platform_port, "/v1/faults",
                         "{\"down\":false}", NULL));
-  char *r1 = record (0, 2);
-  append (r1, &st);
+  char *second_record = record (0, 2);
+  append (second_record, &http_status);
   for (int i = 0; i < 2; i++)
     {
       ck_assert (h_wait_json (h_instance_ports[i], "/v1/state",
                               "config_offset", 1, 3000));
       ck_assert_int_eq (budget_at (i), 2);
     }
-  g_free (r0);
-  g_free (r1);
+  g_free (first_record);
+  g_free (second_record);
   g_free (job);
   h_stop_cluster ();
 }
@@ -151,18 +158,20 @@
   h_platform_extra_setting = "platform.retention_ms=2000";
   h_entry_extra_setting = "entry.config_snapshot_ms=600";
   h_start_cluster (1, 2, 100);
-  char *r0 = record (-1, 7);
-  long st;
-  append (r0, &st);
+  char *first_record = record (-1, 7);
+  long http_status;
+  append (first_record, &http_status);
   for (int i = 0; i < 2; i++)
     ck_assert (h_wait_json (h_instance_ports[i], "/v1/state", "config_offset",
                             0, 3000));
   g_usleep (3500000);
-  cJSON *plat = h_call ("GET", h_platform_port, "/v1/state", NULL, NULL);
+  cJSON *platform_state
+      = h_call ("GET", h_platform_port, "/v1/state", NULL, NULL);
   double first = cJSON_GetNumberValue (cJSON_GetObjectItem (
-      cJSON_GetObjectItem (cJSON_GetObjectItem (plat, "streams"), "config"),
+      cJSON_GetObjectItem (cJSON_GetObjectItem (platform_state, "streams"),
+                           "config"),
       "first"));
-  cJSON_Delete (plat);
+  cJSON_Delete (platform_state);
   ck_assert_msg (first > 0, "retention dropped nothing");
   h_start_entry (2);
   ck_assert (h_wait_port (h_instance_ports[2], 5000));
@@ -170,7 +179,7 @@
   while (budget_at (2) != 7 && mm_clock_now_ms () < until)
     g_usleep (50000);
   ck_assert_int_eq (budget_at (2), 7);
-  g_free (r0);
+  g_free (first_record);
   h_stop_cluster ();
 }
 END_TEST
@@ -213,6 +222,7 @@
 }
 END_TEST
 
+/* Runs masticctl and returns what it prints on standard output.  */
 static char *
 ctl_output (const char *args)
 {
--- a/tests/test_jobs.c
+++ b/tests/test_jobs.c
@@ -1,19 +1,23 @@
 /* Tests the guarantees for jobs whose callers wait, with faults that are
-   injected into the stand-ins of the platform: complete answers, no double
-   start on resubmit, answers to the right caller, complete-or-failed, not-run,
-   at-most-once, leaving upstreams, graceful shutdown, and early refusal.  */
+   injected into the stand-ins of the platform and the upstreams.  An answer is
+   complete or failed as a whole and reaches its own caller; a task is not
+   started twice on a resubmit, and a task that is not idempotent is started at
+   most once; "not run" is true; stops are graceful; jobs that cannot be served
+   are refused early.  */
 #include "harness.h"
 
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
+/* Returns the status in a job's answer, such as "complete" or "failed".  */
 static const char *
 status_of (cJSON *o)
 {
   return cJSON_GetStringValue (cJSON_GetObjectItem (o, "status"));
 }
 
+/* Returns how many tasks a job's answer lists in a state.  */
 static int
 tasks_in_state (cJSON *o, const char *state)
 {
@@ -28,6 +32,7 @@
   return n;
 }
 
+/* Sets the mode of an upstream stand-in, such as "normal" or "freeze".  */
 static void
 set_mode (int upstream, const char *mode)
 {
@@ -44,26 +49,29 @@
 {
   h_start_cluster (3, 1, 100);
   char *job = h_job_json ("rs1", 40, 100, 5000, false);
-  long st1 = 0, st2 = 0;
+  long answer_status = 0, child_status = 0;
   pid_t child = fork ();
   if (child == 0)
     {
       g_usleep (50000);
-      cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &st2);
-      _exit (st2 == 200 && tasks_in_state (o, "done") == 40 ? 0 : 1);
+      cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job,
+                         &child_status);
+      _exit (child_status == 200 && tasks_in_state (o, "done") == 40 ? 0 : 1);
     }
-  cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &st1);
+  cJSON *o
+      = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &answer_status);
   int wait_status;
   waitpid (child, &wait_status, 0);
-  ck_assert_int_eq (st1, 200);
+  ck_assert_int_eq (answer_status, 200);
   ck_assert_str_eq (status_of (o), "complete");
   ck_assert_int_eq (tasks_in_state (o, "done"), 40);
   ck_assert (WIFEXITED (wait_status) && WEXITSTATUS (wait_status) == 0);
   int max = 0;
   ck_assert_int_eq (h_count_starts ("rs1", &max), 40);
   ck_assert_int_eq (max, 1);
-  cJSON *again = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &st1);
-  ck_assert_int_eq (st1, 200);
+  cJSON *again
+      = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &answer_status);
+  ck_assert_int_eq (answer_status, 200);
   ck_assert_int_eq (tasks_in_state (again, "done"), 40);
   ck_assert_int_eq (h_count_starts ("rs1", &max), 40);
   ck_assert_int_eq (max, 1);
@@ -97,12 +105,12 @@
         const cJSON *t;
         cJSON_ArrayForEach (t, cJSON_GetObjectItem (o, "tasks"))
           {
-            const char *tid
+            const char *task_id
                 = cJSON_GetStringValue (cJSON_GetObjectItem (t, "id"));
             const char *res
                 = cJSON_GetStringValue (cJSON_GetObjectItem (t, "result"));
-            ok = ok && g_str_has_prefix (tid, id) && res
-                 && g_str_has_prefix (res + 3, tid);
+            ok = ok && g_str_has_prefix (task_id, id) && res
+                 && g_str_has_prefix (res + 3, task_id);
           }
         _exit (ok ? 0 : 1);
       }
@@ -118,8 +126,8 @@
 END_TEST
 
 /* Every upstream fails every task that it starts.  The caller must get one
-   failed answer for the whole job (never a partial booking), at once and with
-   retry_after_s, and idempotent tasks are retried only within the retry
+   failed answer for the whole job, never for a part of it, at once and with
+   retry_after_s.  Idempotent tasks are retried only within the retry
    budget.  */
 START_TEST (job_fails_as_a_whole_when_every_upstream_fails)
 {
@@ -130,13 +138,14 @@
   long status = 0;
   mm_time_ms t0 = mm_clock_now_ms ();
   cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
-  mm_time_ms took = mm_clock_now_ms () - t0;
+  mm_time_ms took_ms = mm_clock_now_ms () - t0;
   ck_assert_int_eq (status, 502);
   ck_assert_str_eq (status_of (o), "failed");
   ck_assert_int_eq (tasks_in_state (o, "done"), 0);
   ck_assert (cJSON_GetNumberValue (cJSON_GetObjectItem (o, "retry_after_s"))
              >= 1);
-  ck_assert_msg (took < 5000, "failed answer held back %ld ms", (long)took);
+  ck_assert_msg (took_ms < 5000, "failed answer held back %ld ms",
+                 (long)took_ms);
   int max = 0;
   h_count_starts ("f1", &max);
   ck_assert_int_le (max, 3); /* one try and at most two retries */
@@ -251,9 +260,9 @@
   char *job = h_job_json ("late1", 80, 300, 2000, true);
   mm_time_ms t0 = mm_clock_now_ms ();
   cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
-  mm_time_ms took = mm_clock_now_ms () - t0;
+  mm_time_ms took_ms = mm_clock_now_ms () - t0;
   ck_assert_int_eq (status, 503);
-  ck_assert_msg (took < 500, "answer held back %ld ms", (long)took);
+  ck_assert_msg (took_ms < 500, "answer held back %ld ms", (long)took_ms);
   ck_assert (cJSON_GetNumberValue (cJSON_GetObjectItem (o, "retry_after_s"))
              >= 2);
   ck_assert_int_eq (
@@ -396,9 +405,9 @@
 END_TEST
 
 /* The upstream is stalled until after the job's deadline.  The caller must get
-   a complete answer at the deadline: failed, with retry_after_s, tasks that
-   were sent as "unknown" and the others as "not run", which the upstream's
-   start records must confirm.  */
+   an answer for all tasks at the deadline: failed, with retry_after_s, tasks
+   that were sent (8, one per slot) as "unknown" and the others as "not run".
+   The upstream's start records must confirm this.  */
 START_TEST (passed_deadline_fails_the_job_and_not_run_is_true)
 {
   h_start_cluster (1, 1, 100);
@@ -407,9 +416,9 @@
   long status = 0;
   mm_time_ms t0 = mm_clock_now_ms ();
   cJSON *o = h_call ("POST", h_instance_ports[0], "/v1/jobs", job, &status);
-  mm_time_ms took = mm_clock_now_ms () - t0;
+  mm_time_ms took_ms = mm_clock_now_ms () - t0;
   ck_assert_int_eq (status, 504);
-  ck_assert_msg (took < 2500, "answered after %ld ms", (long)took);
+  ck_assert_msg (took_ms < 2500, "answered after %ld ms", (long)took_ms);
   ck_assert_int_eq (tasks_in_state (o, "unknown"), 8);
   ck_assert_int_eq (tasks_in_state (o, "not_run"), 12);
   ck_assert (cJSON_GetNumberValue (cJSON_GetObjectItem (o, "retry_after_s"))
@@ -425,10 +434,10 @@
 END_TEST
 
 /* A team with a quota of 40 tasks in the data centre sends 6 jobs of 20 tasks
-   to three instances in turn.  Each instance alone has capacity for them, and
-   the jobs are spread over the instances by their ids; together the instances
-   must not accept more than the quota.  Refused jobs must not run, and another
-   team is served.  */
+   to three instances in turn.  Each instance alone has capacity for them.  The
+   jobs are spread over the instances by their ids, so that no instance sees
+   all of them, but together they must not accept more than the quota.  Refused
+   jobs must not run, and another team is served.  */
 START_TEST (teams_quota_holds_over_the_data_centre)
 {
   h_start_cluster (3, 3, 100);
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -13,6 +13,8 @@
   N_ENTRIES = 3
 };
 
+/* Checks that the upstreams' start records hold @n_tasks starts of a job, and
+   no task twice at the same upstream.  */
 static void
 assert_started_once (const char *job, int n_tasks)
 {
@@ -44,7 +46,8 @@
   return false;
 }
 
-/* Returns the instance that runs the job, -1 if none does within about 1 s. */
+/* Returns the index of the instance that runs the job, -1 if none does within
+   about 1 s.  */
 static int
 owner_of (const char *job_id)
 {
@@ -72,7 +75,7 @@
 }
 
 /* Starts N_ENTRIES instances and waits until they know each other and own
-   their partitions.  */
+   their shards of jobs.  */
 static void
 start_cluster (void)
 {
@@ -187,7 +190,7 @@
 
 /* Guards against unanswered or doubled jobs when one instance is disconnected
    from the platform and its peers are not: they drop it from the list and take
-   over its partitions.  Jobs submitted to the disconnected instance must be
+   over its shards.  Jobs submitted to the disconnected instance must be
    answered, and jobs submitted both there and at a peer must not start
    twice.  */
 START_TEST (instance_cut_off_from_the_platform_passes_its_jobs_on)
