--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -50,15 +50,18 @@
   const mm_shard_env *env;
   char *stream; /* "accept.DC.N", the shard's stream in the log */
   shard_state state;
-  bool call_in_flight;     /* a read or an append is in flight */
-  int64_t epoch;           /* of this instance, while OWNED or TAKING */
-  int64_t seen_epoch;      /* highest epoch known of the stream */
-  int64_t cursor;          /* next offset to read */
-  char *owner;             /* owner by the last take record read, or NULL */
-  bool owner_released;     /* a release record followed the last take */
-  bool unclean_takeover;   /* the previous owner had not released the shard */
-  bool unobserved;         /* unclean, and no live instance was up before it */
-  bool releasing;          /* release the shard with the next append */
+  bool call_in_flight; /* a read or an append is in flight */
+  int64_t epoch;       /* of this instance; valid while OWNED or TAKING */
+  int64_t seen_epoch;  /* highest epoch known of the stream */
+  int64_t cursor;      /* next offset to read */
+  char *owner;         /* owner by the last take record read, or NULL */
+  bool owner_released; /* a release record followed the last take */
+  /* The previous owner had not released the shard.  */
+  bool unclean_takeover;
+  /* The takeover was unclean, and no instance that is alive now was up in the
+     previous owner's time.  */
+  bool unobserved;
+  bool releasing;          /* release the shard when unrecorded is empty */
   bool only_if_released;   /* take the shard only if its owner released it */
   uint32_t failed_takes;   /* takes refused or unanswered in a row */
   mm_time_ms appended_ms;  /* when the last accept record was sent */
@@ -67,7 +70,7 @@
   mm_time_ms fenced_ms;    /* when this instance was fenced, 0: never */
   GQueue waiting;          /* waiting_job *, oldest first */
   GPtrArray *unrecorded;   /* ids of jobs that started without a record */
-  guint unrecorded_sent;   /* how many of these the append in flight has */
+  guint unrecorded_sent;   /* number of unrecorded in the append in flight */
   mm_accepted_jobs *accepted; /* accepted jobs that are not stored here */
   GQueue verify_queue;        /* verify_waiter *, for the next verify call */
   GQueue verify_in_flight;    /* verify_waiter *, for the one in flight */
@@ -252,9 +255,9 @@
          && strcmp (s->owner, s->env->self) != 0;
 }
 
-/* Applies the records that a read of the stream returned.  At the end of the
-   stream the take follows, unless the shard is left to its owner.  After a
-   failed read, mm_shard_retry() reads again.  */
+/* Applies the records that a read of the stream returned.  Once the stream is
+   read to its end, takes the shard or leaves it to its owner.  After a failed
+   read, mm_shard_retry() reads again.  */
 static void
 read_done (const mm_http_result *res, void *ctx)
 {
@@ -284,7 +287,8 @@
       if (mm_shard_recently_fenced (s, mm_clock_now_ms ()) && s->owner
           && strcmp (s->owner, s->env->self) != 0)
         {
-          /* Fenced a short time ago: the jobs go to the new owner.  */
+          /* After being fenced, this instance forwards the jobs to the new
+             owner for MM_SHARD_HOLD_DOWN_MS and does not take the shard.  */
           s->state = SHARD_IDLE;
           answer_waiting (s, any_job, MM_ACCEPT_MOVED);
           return;
@@ -300,6 +304,7 @@
   advance (s);
 }
 
+/* Reads the stream from the cursor on.  */
 static void
 read_stream (mm_shard *s)
 {
@@ -354,6 +359,8 @@
   return res->status == 200 || res->status == 409 || res->status == 412;
 }
 
+/* Makes this instance the owner once the log has its take record, and notes
+   how the previous owner left the shard.  */
 static void
 become_owner (mm_shard *s)
 {
@@ -397,6 +404,8 @@
     advance (s);
 }
 
+/* Appends the take record with a higher epoch, if the stream still ends at
+   the cursor.  */
 static void
 append_take (mm_shard *s)
 {
@@ -557,7 +566,7 @@
  * @s: the shard.
  * @epoch: the epoch that the log has for the shard, or that an upstream has
  *         for one of its jobs; 0 when an upstream refused this instance's
- *         epoch as too old without its own.
+ *         epoch as too old and did not send the newer one.
  *
  * Nothing happens when this instance does not own the shard, or when @epoch
  * is neither 0 nor higher than this instance's epoch.
--- a/src/mm_shard.h
+++ b/src/mm_shard.h
@@ -51,7 +51,8 @@
   mm_time_ms accept_interval_ms; /* least time between accept records */
   /* Returns the fingerprint of the upstreams that are listed now.  */
   uint64_t (*fingerprint) (void *ctx);
-  /* Returns whether a live instance was up in the previous owner's time.  */
+  /* Returns whether an instance that is alive now was already up in the time
+     of a previous owner, so that it knows of outages in that time.  */
   bool (*observed_before) (void *ctx);
   /* Called when a call to the log has ended.  @ok: the platform answered.  */
   void (*contact) (bool ok, void *ctx);
