--- a/src/mm_contact.h
+++ b/src/mm_contact.h
@@ -11,9 +11,11 @@
 {
   /* The platform answers, or has failed too short a time to tell.  */
   MM_STANDING_CONTACT,
-  /* The platform answers no instance, so no instance can take over a shard. */
+  /* No peer that answers reaches the platform: no instance can take over a
+     shard.  */
   MM_STANDING_OUTAGE,
-  /* The platform answers a peer: it may have taken over this one's shards.  */
+  /* A peer reaches the platform: this instance's shards may have been taken
+     over.  */
   MM_STANDING_DISCONNECTED,
   /* Neither the platform nor any known peer answers.  */
   MM_STANDING_ALONE
--- a/src/mm_pool.c
+++ b/src/mm_pool.c
@@ -6,7 +6,9 @@
    slots, and among equals to the lower index.  An upstream that is leaving
    gets no new tasks.
 
-   Some upstreams fail every task that they start.  An upstream that fails
+   Some upstreams fail every task that they start, so each upstream has a
+   circuit breaker: ejected is its open state, on trial its half-open state.
+   An upstream that fails
    eject_after times in a row is ejected for eject_ms.  Then it is on trial
    with one task at a time: a task that is done ends the trial, a failure
    ejects the upstream for twice as long as before, up to
