--- a/src/mm_job.c
+++ b/src/mm_job.c
@@ -3,9 +3,9 @@
    Body of a caller's request: {"job_id":"j1","team":"t","tasks":[{"id":"a",
    "payload":"..","run_ms":80,"deadline_ms":5000,"idempotent":true}]}
    run_ms is the declared run time of the task, and deadline_ms counts from the
-   submission.  Only job_id, tasks and each task's id are required.  Defaults:
-   team "default", payload "", run_ms 0, deadline_ms 10000, idempotent false.
- */
+   submission.  Only job_id, tasks and each task's id are required; without the
+   others, team is "default", payload "", run_ms 0, deadline_ms 10000 and
+   idempotent false.  */
 #include "masticmill.h"
 
 #include <cJSON.h>
@@ -41,7 +41,7 @@
   g_free (job);
 }
 
-/* Sets @error to @fmt, which must contain one %s, for @arg.  Returns false. */
+/* Sets @error.  @fmt must contain one %s, for @arg.  Returns false.  */
 static bool
 set_error (GError **error, int code, const char *fmt, const char *arg)
 {
--- a/src/mm_pool.c
+++ b/src/mm_pool.c
@@ -1,19 +1,18 @@
 /* mm_pool: chooses the upstream for the next task.
 
    An upstream starts all tasks that it receives, even more than it has slots.
-   The entry instance therefore counts the tasks in flight of each
-   upstream and sends only into free slots: to the upstream with the most free
-   slots, and among equals to the lower index.  An upstream that is leaving
-   gets no new tasks.
+   The entry instance therefore counts the tasks in flight of each upstream
+   and sends only into free slots: to the upstream with the most free slots,
+   and among equals to the lower index.  An upstream that is leaving gets no
+   new tasks.
 
    Some upstreams fail every task that they start, so each upstream has a
    circuit breaker: ejected is its open state, on trial its half-open state.
-   An upstream that fails
-   eject_after times in a row is ejected for eject_ms.  Then it is on trial
-   with one task at a time: a task that is done ends the trial, a failure
-   ejects the upstream for twice as long as before, up to
-   2^MM_EJECT_MAX_DOUBLINGS times eject_ms.  Peers that are notified
-   of an ejection put the upstream on trial, so that each of them need not lose
+   An upstream that fails eject_after times in a row is ejected for eject_ms.
+   Then it is on trial with one task at a time: a task that is done ends the
+   trial, a failure ejects the upstream for twice as long as before, up to
+   2^MM_EJECT_MAX_DOUBLINGS times eject_ms.  Peers that are notified of an
+   ejection put the upstream on trial, so that each of them need not lose
    eject_after tasks of its own.  */
 #include "mm_pool.h"
 
--- a/src/mm_quota.h
+++ b/src/mm_quota.h
@@ -8,7 +8,8 @@
 typedef struct mm_quota mm_quota;
 mm_quota *mm_quota_create (void);
 void mm_quota_destroy (mm_quota *q);
-/* Adds @n tasks of a team on this instance; negative when tasks have ended. */
+/* Adds @n tasks of a team on this instance; @n is negative for tasks that
+   have ended.  */
 void mm_quota_add (mm_quota *q, const char *team, int64_t n);
 /* Returns the number of a team's tasks in the data centre.  */
 int64_t mm_quota_used (const mm_quota *q, const char *team, mm_time_ms now);
--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -277,7 +277,7 @@
       apply_record (s, cJSON_GetObjectItem (r, "data"));
       s->cursor = offset + 1;
     }
-  /* Any records between the cursor and the head were dropped by retention. */
+  /* Any records between cursor and head were dropped by retention.  */
   if (!cJSON_GetArraySize (cJSON_GetObjectItem (o, "records")))
     s->cursor = MAX (s->cursor, head);
   s->seen_epoch = MAX (s->seen_epoch, int_field (o, "epoch"));
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -22,7 +22,7 @@
   return offset;
 }
 
-/* Returns the JSON text of a config record that sets dispatch.retry_budget. */
+/* Returns the JSON text of a record that sets dispatch.retry_budget.  */
 static char *
 record (int64_t parent, int budget)
 {
