--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -262,7 +262,6 @@
   Suite *s = suite_create ("config");
   TCase *tc = tcase_create ("config");
   tcase_set_timeout (tc, 60);
-  tcase_add_test (tc, published_config_is_in_force_everywhere_within_3s);
   tcase_add_test (tc, racing_operators_end_with_one_winner_everywhere);
   tcase_add_test (tc, platform_outage_keeps_config_and_service);
   tcase_add_test (tc, late_instance_gets_config_after_retention);
@@ -270,5 +269,10 @@
   tcase_add_test (tc, operator_sees_config_and_members);
   tcase_add_test (tc, snapshot_after_a_publish_is_not_a_lost_race);
   suite_add_tcase (s, tc);
+  tc = tcase_create ("publish");
+  tcase_set_tags (tc, "publish");
+  tcase_set_timeout (tc, 60);
+  tcase_add_test (tc, published_config_is_in_force_everywhere_within_3s);
+  suite_add_tcase (s, tc);
   return h_run_suite (s);
 }
