--- a/tests/fake_upstreams.c
+++ b/tests/fake_upstreams.c
@@ -7,16 +7,16 @@
 #include <stdio.h>
 #include <string.h>
 
-#define LINK_MS 1 /* delay in each direction */
-#define MAX_LEASE_MS 1000
+#define LINK_MS 1         /* delay in each direction */
+#define MAX_LEASE_MS 1000 /* no lease is longer */
 
 struct fake
 {
-  fakes *fakes;
-  mm_upstream_info info;
-  fake_mode mode;
-  bool gone; /* replaced by another incarnation */
-  mm_run_table *table;
+  fakes *fakes;          /* the set that holds this upstream */
+  mm_upstream_info info; /* its entry in the upstream list */
+  fake_mode mode;        /* faults that the test has set */
+  bool gone;             /* replaced by another incarnation */
+  mm_run_table *table;   /* its runs and their ends */
 };
 
 typedef enum
@@ -31,31 +31,32 @@
 {
   fake *upstream;
   call_kind kind;
-  mm_task_id task;
-  uint32_t number;
-  char *payload;
-  uint64_t fence;
-  uint64_t acked_seq;
-  mm_time_ms deadline_ms;
+  mm_task_id task;          /* of a start or stop */
+  uint32_t run_number;      /* of a start or stop: its run number */
+  char *payload;            /* of a start */
+  uint64_t fence;           /* fencing token of the sender */
+  uint64_t acked_seq;       /* of a hold: ends up to this one are forgotten */
+  mm_time_ms deadline_ms;   /* of a hold: end of the leases; of a start: latest
+                               time of execution */
   mm_time_ms wait_until_ms; /* latest time for the answer to a hold */
   mm_time_ms arrives_ms;    /* time of execution, -1: done or never */
   mm_time_ms answer_ms;     /* time of the answer, -1: not known yet */
   mm_time_ms timeout_ms;    /* time when the caller stops waiting */
   mm_call_result result;
-  mm_call_done done;
-  mm_hold_done hold_done;
-  void *ctx;
-  bool overdue; /* has timed out; a late answer is delivered */
-  bool answered;
-  bool lost; /* gets no answer */
+  mm_call_done done;      /* callback of a start or stop */
+  mm_hold_done hold_done; /* callback of a hold */
+  void *ctx;              /* argument of the callback */
+  bool overdue;           /* has timed out; a late answer is delivered */
+  bool answered;          /* the callback is not called any more */
+  bool lost;              /* gets no answer; may be executed late */
 } fake_call;
 
 struct fakes
 {
   mm_time_ms now_ms;
   GList *upstreams;
-  GList *calls; /* in order of sending */
-  fakes_counts counts;
+  GList *calls;        /* in order of sending */
+  fakes_counts counts; /* without the counts of the run tables */
 };
 
 static mm_time_ms
@@ -98,9 +99,10 @@
 void
 fakes_destroy (fakes *f)
 {
+  /* A session keeps a call until the callback has been called.  */
   for (GList *l = f->calls; l; l = l->next)
     if (!((fake_call *)l->data)->answered)
-      deliver_timeout (l->data); /* drops the sessions' references */
+      deliver_timeout (l->data);
   g_list_free_full (f->calls, call_free);
   g_list_free_full (f->upstreams, fake_free);
   mm_clock_set_source (NULL, NULL);
@@ -134,7 +136,7 @@
 {
   x->gone = true;
   mm_run_table_clear (x->table);
-  /* Open connections break.  */
+  /* Connections break: calls that wait for their answer get none.  */
   for (GList *l = x->fakes->calls; l; l = l->next)
     {
       fake_call *c = l->data;
@@ -228,6 +230,7 @@
 
 /* ---- execution at the upstream ---------------------------------------- */
 
+/* Counts the other upstreams on which the task runs when it starts here.  */
 static void
 count_double_runs (fake *x, const mm_task_id *task)
 {
@@ -237,21 +240,24 @@
       x->fakes->counts.double_runs++;
 }
 
+/* Carries out a start with the cpu and the run time that its payload gives.  A
+   repeated order for a run that goes on starts nothing.  */
 static mm_call_verdict
 do_start (fake *x, const mm_order *o)
 {
   long long cpu = 0, run_ms = 0;
   sscanf (o->payload, "%lld %lld", &cpu, &run_ms);
   mm_resources required = { .cpu_milli = cpu };
-  bool ran = mm_run_table_is_running (x->table, o->task);
+  bool was_running = mm_run_table_is_running (x->table, o->task);
   mm_call_verdict v
       = mm_run_table_start (x->table, o, &required, run_ms, x->fakes->now_ms);
-  if (!ran && v == MM_CALL_OK)
+  if (!was_running && v == MM_CALL_OK)
     count_double_runs (x, o->task);
   return v;
 }
 
-/* Executes a call and sets the time of its answer.  */
+/* Executes a call and sets the time of its answer, except for a hold, whose
+   answer waits for an end (step_hold()).  */
 static void
 execute_call (fake_call *c)
 {
@@ -271,7 +277,7 @@
   else
     {
       mm_order o = { .task = &c->task,
-                     .run = c->number,
+                     .run = c->run_number,
                      .payload = c->payload,
                      .fence = c->fence,
                      .deadline_ms = c->deadline_ms };
@@ -288,6 +294,7 @@
 
 /* ---- calls ------------------------------------------------------------ */
 
+/* Returns the simulated upstream with the name of @u, or NULL.  */
 static fake *
 find_fake (fakes *f, const mm_upstream_info *u)
 {
@@ -297,6 +304,8 @@
   return NULL;
 }
 
+/* Returns whether the next call is lost.  @left: number of calls still to be
+   lost, reduced by this one.  */
 static bool
 consume_loss (uint32_t *left)
 {
@@ -306,6 +315,8 @@
   return true;
 }
 
+/* Creates a call and decides, by the upstream's faults, when it arrives and
+   whether it is answered.  The caller of this function fills in the rest.  */
 static fake_call *
 send (fakes *f, const mm_upstream_info *u, call_kind kind,
       mm_time_ms timeout_ms, void *ctx)
@@ -349,7 +360,7 @@
 {
   fake_call *c = send (ctx, u, CALL_START, o->timeout_ms, done_ctx);
   c->task = *o->task;
-  c->number = o->run;
+  c->run_number = o->run;
   c->payload = g_strdup (o->payload);
   c->fence = o->fence;
   c->deadline_ms = o->deadline_ms;
@@ -362,7 +373,7 @@
 {
   fake_call *c = send (ctx, u, CALL_STOP, o->timeout_ms, done_ctx);
   c->task = *o->task;
-  c->number = o->run;
+  c->run_number = o->run;
   c->fence = o->fence;
   c->done = done;
 }
@@ -401,6 +412,7 @@
   do_start (x, &o);
 }
 
+/* Answers a hold with the runs and ends that the upstream lists now.  */
 static void
 deliver_hold_answer (fake_call *c)
 {
@@ -415,6 +427,7 @@
   c->hold_done (&r, c->ctx);
 }
 
+/* Calls the callback of a call with its result.  */
 static void
 deliver_answer (fake_call *c)
 {
@@ -430,6 +443,8 @@
     }
 }
 
+/* Reports a timeout.  The first one tells the caller that the answer is
+   overdue; the second one, MM_CALL_LATE_MS later, that there is none.  */
 static void
 deliver_timeout (fake_call *c)
 {
@@ -442,7 +457,7 @@
   deliver_answer (c);
   if (!first)
     return;
-  /* A late answer is still delivered for MM_CALL_LATE_MS.  */
+  /* A late answer is delivered until the second timeout.  */
   c->result = saved_result;
   c->result.was_overdue = true;
   c->overdue = true;
@@ -460,7 +475,8 @@
   mm_run_table_step (x->table, x->fakes->now_ms);
 }
 
-/* Answers a hold when an end is listed or the wait has passed.  */
+/* Answers a hold when an end is listed or the wait has passed.  The result of
+   a call that was not executed has a clock of 0.  */
 static void
 step_hold (fake_call *c)
 {
@@ -472,6 +488,8 @@
     c->answer_ms = c->upstream->fakes->now_ms + LINK_MS;
 }
 
+/* Executes a call, delivers its answer, or reports its timeout, once the time
+   for that has come.  */
 static void
 step_call (fake_call *c)
 {
@@ -487,6 +505,7 @@
     deliver_timeout (c);
 }
 
+/* Advances the clock by 1 ms.  */
 static void
 step (fakes *f)
 {
@@ -498,7 +517,8 @@
     {
       fake_call *c = l->data;
       step_call (c);
-      next = l->next;
+      next = l->next; /* read now: the callback may send further calls */
+      /* A call may be executed after its caller has stopped waiting.  */
       if (c->answered && c->arrives_ms < 0)
         {
           f->calls = g_list_delete_link (f->calls, l);
@@ -513,7 +533,7 @@
   for (mm_time_ms i = 0; i < ms; i++)
     {
       step (f);
-      if (o && f->now_ms % 25 == 0)
+      if (o && f->now_ms % 25 == 0) /* each MM_EXEC_TICK_MS */
         mm_owner_tick (o);
     }
 }
--- a/tests/owner_fixture.h
+++ b/tests/owner_fixture.h
@@ -4,32 +4,37 @@
 
 #include "fake_upstreams.h"
 
-#define UPSTREAM_CPU_MILLI 32000 /* two tasks of TASK_CPU_MILLI fit */
+/* In thousandths of a core.  Two tasks of TASK_CPU_MILLI fit.  */
+#define UPSTREAM_CPU_MILLI 32000
 #define TASK_CPU_MILLI 14000
 
 /* What was reported for a task that was submitted to the owner.  */
 typedef struct
 {
-  mm_work *work;    /* NULL once the task has ended */
-  uint32_t answers; /* how often an end was reported */
-  mm_end how;
-  mm_time_ms ended_ms; /* when the end was reported */
+  mm_work *work;       /* handle of the task, NULL once the task has ended */
+  uint32_t answers;    /* how often an end was reported */
+  mm_end how;          /* the end that was reported last */
+  mm_time_ms ended_ms; /* when that end was reported */
   char upstream[32];   /* where the task ran last, or "" */
 } outcome;
 
+/* An owner and the simulated upstreams that it calls.  */
 typedef struct
 {
   fakes *upstreams;
   mm_owner *owner;
 } fixture;
 
-fixture fixture_create (void);
-fake *fixture_add (fixture *fx,
-                   const char *name); /* owned at once by @fx->owner */
+fixture fixture_create (void); /* an owner without upstreams */
+/* Adds an upstream, which the owner holds with the fencing token 5.  */
+fake *fixture_add (fixture *fx, const char *name);
+/* Advances the clock and ticks the owner.  */
 void fixture_run (fixture *fx, mm_time_ms ms);
 void fixture_destroy (fixture *fx);
-void on_done (void *ctx, const mm_work_result *res); /* @ctx: outcome */
-/* Submits a task of TASK_CPU_MILLI.  */
+/* Stores the end of a task in @ctx, its outcome.  */
+void on_done (void *ctx, const mm_work_result *res);
+/* Submits a task that takes TASK_CPU_MILLI and @run_ms.  @r is filled in when
+   the task ends, and must exist until then.  */
 void submit (fixture *fx, outcome *r, const char *job, uint32_t index,
              mm_time_ms run_ms);
 /* Asserts that no upstream was over its capacity and that no task ran twice at
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -10,6 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Five tasks are submitted to an upstream where two fit at a time.  */
 START_TEST (tasks_wait_for_free_capacity_and_all_end)
 {
   fixture fx = fixture_create ();
@@ -29,11 +30,11 @@
 }
 END_TEST
 
-/* An upstream accepts an order without an answer and carries it out 2.5 s
-   later.  If its capacity is given to other tasks meanwhile, it runs three
-   tasks where two fit, and bookings on that machine fail.  The capacity must
-   stay reserved until the order is certain to have expired, and the task must
-   run elsewhere at once, and only once.  */
+/* An upstream accepts a start order without an answer and carries the order
+   out 2.5 s later.  If other tasks have got the capacity meanwhile, the
+   upstream runs three tasks where two fit, and bookings on its machine fail.
+   The capacity must stay reserved until the order is certain to have expired,
+   and the task must run elsewhere at once, and only once.  */
 START_TEST (late_order_finds_its_capacity_free)
 {
   fixture fx = fixture_create ();
@@ -59,9 +60,9 @@
 }
 END_TEST
 
-/* An order is carried out, but its answer is lost, and the task is stopped
-   soon after.  It must not be reported as not run: a task that may run only
-   once would be started a second time.  */
+/* A start order is carried out, but its answer is lost, and the task is
+   stopped soon after.  The task must not be reported as not run: a task that
+   may run only once would then be started a second time.  */
 START_TEST (task_that_ran_before_its_stop_is_not_reported_as_not_run)
 {
   fixture fx = fixture_create ();
@@ -78,8 +79,9 @@
 }
 END_TEST
 
-/* An order arrives after its stop and is rejected.  The task has not run, so
-   it is started again on the same upstream, and only that start runs.  */
+/* A start order arrives after the order to stop the same run, and is rejected.
+   The task has not run, so it is started again on the same upstream, and only
+   the second start is carried out.  */
 START_TEST (order_that_comes_after_its_stop_does_not_run)
 {
   fixture fx = fixture_create ();
@@ -112,8 +114,8 @@
     UPSTREAMS = 8,
     TASKS = 800,
     RUN_MS = 60,
-    SPARE_MS = 80,
-    EVERY_MS = 14 /* 4.3 of 16 places in use */
+    SPARE_MS = 80, /* time that a caller can wait beyond the run time */
+    EVERY_MS = 14  /* time between two tasks: 4.3 of 16 places in use */
   };
   fixture fx = fixture_create ();
   fake *x[UPSTREAMS];
@@ -124,7 +126,7 @@
       x[i] = fixture_add (&fx, name);
     }
   fixture_run (&fx, 500);
-  GRand *rnd = g_rand_new_with_seed (7);
+  GRand *rng = g_rand_new_with_seed (7);
   outcome *r = g_new0 (outcome, TASKS);
   mm_time_ms *from_ms = g_new0 (mm_time_ms, TASKS);
   for (uint32_t t = 0; t < TASKS; t++)
@@ -137,9 +139,9 @@
             {
               fake_mode *m = fake_mode_of (x[i]);
               m->late_start_ms = 2500;
-              m->lose_starts = g_rand_double (rnd) < 0.3;
-              m->lose_stops = g_rand_double (rnd) < 0.3;
-              m->lose_holds = g_rand_double (rnd) < 0.3;
+              m->lose_starts = g_rand_double (rng) < 0.3;
+              m->lose_stops = g_rand_double (rng) < 0.3;
+              m->lose_holds = g_rand_double (rng) < 0.3;
             }
           fixture_run (&fx, 1);
         }
@@ -155,15 +157,15 @@
   assert_invariants (&fx);
   g_free (from_ms);
   g_free (r);
-  g_rand_free (rnd);
+  g_rand_free (rng);
   fixture_destroy (&fx);
 }
 END_TEST
 
-/* Every other order gets no answer.  A queue of tasks of 60 ms then takes
-   longer than their run times, because orders that start nothing use places
-   too.  If the report stated 60 ms, admission would accept jobs that are all
-   late.  */
+/* Every other start order gets no answer.  A queue of tasks of 60 ms then
+   takes longer than their run times, because orders that start nothing use
+   places too.  If the capacity report stated 60 ms per task, admission would
+   accept jobs that are all late.  */
 START_TEST (average_place_time_counts_runs_that_were_not_done)
 {
   enum
@@ -195,10 +197,10 @@
 }
 END_TEST
 
-/* Neither an order nor its stops get an answer.  The order may still be
-   carried out late.  Until its deadline has passed at the upstream, the
-   capacity that it needs must not be used and the task must not be started
-   elsewhere.  */
+/* Neither a start order nor the stop orders after it get an answer.  The start
+   may still be carried out late.  Until its deadline has passed at the
+   upstream, the capacity that the task needs must not be used, and the task
+   must not be started elsewhere.  */
 START_TEST (order_without_any_answer_is_waited_out)
 {
   fixture fx = fixture_create ();
@@ -222,9 +224,9 @@
 }
 END_TEST
 
-/* Orders arrive at an upstream, but its answers do not come back.  The task
-   runs until its stop arrives.  If it were reported as not run, it would be
-   started again, though it may run at most once.  */
+/* Orders arrive at an upstream, but its answers are lost.  The task runs until
+   its stop arrives.  A task that may run at most once would be started again
+   if it were reported as not run.  */
 START_TEST (task_whose_start_was_never_answered_is_not_reported_as_not_run)
 {
   fixture fx = fixture_create ();
@@ -242,8 +244,9 @@
 END_TEST
 
 /* An upstream becomes unreachable while a task runs there.  The task must not
-   be started elsewhere before its lease expires, and must be reported as lost
-   when it does, not only when the upstream is reachable again.  */
+   be started elsewhere before its lease expires.  The task must be reported as
+   lost when the lease expires, not only when the upstream is reachable
+   again.  */
 START_TEST (disconnected_upstream_loses_its_task_with_the_lease)
 {
   fixture fx = fixture_create ();
@@ -254,19 +257,19 @@
   fixture_run (&fx, 100);
   ck_assert_uint_eq (fake_running (a), 1);
   fake_mode_of (a)->unresponsive = true;
-  mm_time_ms cut_ms = fakes_now (fx.upstreams);
+  mm_time_ms disconnected_ms = fakes_now (fx.upstreams);
   fixture_run (&fx, 2000);
   ck_assert_uint_eq (r.answers, 1);
   ck_assert_int_eq (r.how, MM_END_LOST);
   ck_assert_uint_eq (fake_running (a), 0);
-  ck_assert_int_le (r.ended_ms - cut_ms, 1500);
+  ck_assert_int_le (r.ended_ms - disconnected_ms, 1500);
   fixture_destroy (&fx);
 }
 END_TEST
 
 /* Calls arrive at an upstream, but its answers are lost.  If the owner went on
-   renewing the lease, a task that is about to run elsewhere would never
-   stop.  */
+   renewing the lease without any answer, a task that is about to run elsewhere
+   would never stop there.  */
 START_TEST (answers_lost_one_way_do_not_renew_leases)
 {
   fixture fx = fixture_create ();
@@ -285,10 +288,10 @@
 END_TEST
 
 /* An instance dies and another one takes its upstreams over.  The new owner's
-   hold renews the leases of the dead owner's runs too.  If these went on, they
-   would use capacity and run beside the same tasks that are sent again.  They
-   must be stopped before anything is started, as the capacity that they use is
-   not known.  */
+   hold renews the leases of the dead owner's runs too.  Without a stop, those
+   runs would use capacity and go on beside the same tasks when callers send
+   them again.  The new owner must stop the runs before it starts anything,
+   because it does not know how much capacity they use.  */
 START_TEST (new_owner_stops_what_it_finds_before_it_starts)
 {
   fixture fx = fixture_create ();
@@ -329,9 +332,9 @@
 }
 END_TEST
 
-/* A caller leaves and its task is stopped.  The capacity is not free before
-   the upstream lists the end: a task that was started earlier would not
-   fit.  */
+/* A caller leaves and its task is stopped.  The task's capacity is not free
+   before the upstream lists the end of the run: another task that was started
+   earlier would not fit.  */
 START_TEST (cancelled_task_keeps_its_capacity_until_it_has_ended)
 {
   fixture fx = fixture_create ();
@@ -375,8 +378,9 @@
 }
 END_TEST
 
-/* A caller sends its job again, and a task is started on the upstream where it
-   has already ended.  The upstream accepts only a higher run number.  */
+/* A caller sends its job again, and a task is started on the upstream where
+   the same task has already ended.  The upstream refuses the start unless its
+   run number is higher than that of the ended run.  */
 START_TEST (task_that_ended_there_gets_a_higher_run_number)
 {
   fixture fx = fixture_create ();
@@ -393,9 +397,10 @@
 }
 END_TEST
 
-/* Updates an upstream's entry in the list while an order is in flight that the
-   upstream rejects for its run number.  Returns the number of starts that
-   follow.  */
+/* Starts a task again on an upstream where the task has ended, and updates the
+   upstream's list entry with @draining and @cpu_milli while the start order is
+   in flight.  The upstream rejects that order for its run number.  Returns the
+   number of starts that follow.  */
 static uint32_t
 starts_after_a_rejected_number (bool draining, int64_t cpu_milli)
 {
@@ -419,8 +424,9 @@
   return starts;
 }
 
-/* An order that was rejected for its run number is sent again with a higher
-   one.  It must not be sent if the upstream is listed as draining by then.  */
+/* A start order that was rejected for its run number is sent again with a
+   higher number.  If the upstream is listed as draining by then, the order
+   must not be sent again.  */
 START_TEST (start_with_a_higher_number_is_not_sent_to_a_draining_upstream)
 {
   ck_assert_uint_eq (
@@ -430,9 +436,9 @@
 }
 END_TEST
 
-/* An order that was rejected for its run number is sent again with a higher
-   one.  It must not be sent if the task exceeds the capacity that is listed
-   for the upstream by then.  */
+/* A start order that was rejected for its run number is sent again with a
+   higher number.  If the task exceeds the capacity that is listed for the
+   upstream by then, the order must not be sent again.  */
 START_TEST (start_with_a_higher_number_is_not_sent_beyond_a_smaller_capacity)
 {
   ck_assert_uint_eq (starts_after_a_rejected_number (false, TASK_CPU_MILLI),
@@ -465,9 +471,9 @@
 }
 END_TEST
 
-/* An upstream restarts at the same address.  The tasks that ran there are
-   gone and can run elsewhere at once.  Orders for the previous incarnation
-   must not reach the new one.  */
+/* An upstream restarts at the same address.  The tasks that ran there are gone
+   and must be reported as lost within 0.7 s, so that they can run elsewhere.
+   Orders for the previous incarnation must not reach the new one.  */
 START_TEST (restarted_upstream_loses_its_tasks_at_once)
 {
   fixture fx = fixture_create ();
@@ -576,7 +582,7 @@
    at the same time, and the end of each task is reported exactly once.  */
 START_TEST (random_faults_break_no_invariant)
 {
-  GRand *rnd = g_rand_new_with_seed ((guint32)_i);
+  GRand *rng = g_rand_new_with_seed ((guint32)_i);
   fixture fx = fixture_create ();
   fake *x[3] = { fixture_add (&fx, "a"), fixture_add (&fx, "b"),
                  fixture_add (&fx, "c") };
@@ -589,13 +595,13 @@
   bool cancelled[TASKS] = { false };
   for (uint32_t i = 0; i < TASKS; i++)
     {
-      submit (&fx, &r[i], "soak", i, g_rand_int_range (rnd, 20, 400));
-      fake_mode *m = fake_mode_of (x[g_rand_int_range (rnd, 0, 3)]);
-      switch (g_rand_int_range (rnd, 0, 12))
+      submit (&fx, &r[i], "soak", i, g_rand_int_range (rng, 20, 400));
+      fake_mode *m = fake_mode_of (x[g_rand_int_range (rng, 0, 3)]);
+      switch (g_rand_int_range (rng, 0, 12))
         {
         case 0:
           m->lose_starts = 2;
-          m->late_start_ms = g_rand_int_range (rnd, 0, 4000);
+          m->late_start_ms = g_rand_int_range (rng, 0, 4000);
           break;
         case 1:
           m->lose_stops = 2;
@@ -622,7 +628,7 @@
         default:
           break;
         }
-      fixture_run (&fx, g_rand_int_range (rnd, 1, 60));
+      fixture_run (&fx, g_rand_int_range (rng, 1, 60));
     }
   for (int i = 0; i < 3; i++)
     *fake_mode_of (x[i]) = (fake_mode){ 0 };
@@ -631,10 +637,11 @@
     ck_assert_uint_eq (r[i].answers, cancelled[i] ? 0 : 1);
   assert_invariants (&fx);
   fixture_destroy (&fx);
-  g_rand_free (rnd);
+  g_rand_free (rng);
 }
 END_TEST
 
+/* Submits a task of a kept job: its end waits for an acknowledgement.  */
 static void
 submit_kept (fixture *fx, outcome *r, const char *job, uint32_t index,
              mm_time_ms run_ms)
@@ -659,8 +666,9 @@
   return found;
 }
 
-/* A task's data is in another rack than the upstream that would be chosen
-   otherwise.  Away from its data the task takes several times as long.  */
+/* A task takes several times as long in another rack than that of its data.
+   The task must be placed in the rack of its data, although an upstream in
+   another rack would be chosen for a task without data.  */
 START_TEST (task_goes_to_the_rack_of_its_data)
 {
   fixture fx = fixture_create ();
@@ -716,8 +724,9 @@
 
 /* A home stops a job's tasks that are just done, and its record that the job
    has ended never reaches the store.  The next home goes on with the job and
-   must find the ends, so they stay listed until the outcome is stored.  The
-   end of a task that is still being stopped then is not held.  */
+   must find the ends of the tasks, so the ends stay listed until the outcome
+   is stored.  The end of a task that is still being stopped at that time does
+   not stay listed.  */
 START_TEST (ends_of_a_stopped_job_stay_listed_until_its_outcome_is_stored)
 {
   fixture fx = fixture_create ();
@@ -741,53 +750,53 @@
 END_TEST
 
 /* Half of a data centre's upstreams are handed over to a joining instance.
-   One of them runs a task for 0.9 s more.  If all of them were idle until it
-   ends, half of the capacity would be missing for tasks that take 0.1 s.
-   Tasks that end before the running one must start there meanwhile; a longer
-   one must not, and the handover must not wait for tasks that started after
-   it began.  */
+   One of these upstreams runs a task for 0.9 s more.  If all of them started
+   nothing until that task ends, half of the capacity would be missing for
+   tasks that take 0.1 s.  Tasks that end before the running task must start
+   there meanwhile, and longer tasks must not.  The handover must not wait for
+   tasks that started after it began.  */
 START_TEST (upstreams_run_short_tasks_during_their_handover)
 {
   enum
   {
-    LONG_MS = 900,
-    SHORT_MS = 100,
-    SHORT = 18
+    LONG_MS = 900,  /* run time of a long task */
+    SHORT_MS = 100, /* run time of a short task */
+    SHORT_TASKS = 18
   };
   fixture fx = fixture_create ();
   fixture_add (&fx, "a");
   fixture_add (&fx, "b");
   fixture_run (&fx, 10);
-  outcome longest, more, short_tasks[SHORT];
+  outcome longest, another_long, short_tasks[SHORT_TASKS];
   submit (&fx, &longest, "long", 0, LONG_MS);
   fixture_run (&fx, 50);
   mm_owner_freeze_upstream (fx.owner, "a");
   mm_owner_freeze_upstream (fx.owner, "b");
-  mm_time_ms handover_ms = mm_clock_now_ms ();
-  submit (&fx, &more, "more", 0, LONG_MS);
+  mm_time_ms handover_from_ms = mm_clock_now_ms ();
+  submit (&fx, &another_long, "more", 0, LONG_MS);
   int in_time = 0;
-  for (uint32_t i = 0; i < SHORT; i++)
+  for (uint32_t i = 0; i < SHORT_TASKS; i++)
     {
       submit (&fx, &short_tasks[i], "short", i, SHORT_MS);
       fixture_run (&fx, 25);
     }
-  ck_assert_uint_eq (more.answers, 0);
-  fixture_run (&fx, LONG_MS - 25 * SHORT);
+  ck_assert_uint_eq (another_long.answers, 0);
+  fixture_run (&fx, LONG_MS - 25 * SHORT_TASKS);
   ck_assert_int_eq (longest.how, MM_END_DONE);
-  for (uint32_t i = 0; i < SHORT; i++)
+  for (uint32_t i = 0; i < SHORT_TASKS; i++)
     in_time += short_tasks[i].answers == 1 && short_tasks[i].how == MM_END_DONE
                && short_tasks[i].ended_ms <= longest.ended_ms;
-  ck_assert_int_eq (in_time, SHORT);
+  ck_assert_int_eq (in_time, SHORT_TASKS);
   ck_assert (mm_owner_idle (fx.owner, "a") && mm_owner_idle (fx.owner, "b"));
-  ck_assert_int_le (longest.ended_ms - handover_ms, LONG_MS);
+  ck_assert_int_le (longest.ended_ms - handover_from_ms, LONG_MS);
   assert_invariants (&fx);
-  mm_owner_cancel (fx.owner, more.work);
+  mm_owner_cancel (fx.owner, another_long.work);
   fixture_destroy (&fx);
 }
 END_TEST
 
-/* A dead process refuses connections at once.  The stop must not be sent again
-   without a pause.  */
+/* A dead process refuses connections at once.  An order to stop a run there
+   must not be sent again as fast as the connections are refused.  */
 START_TEST (stop_that_is_refused_at_once_is_not_sent_without_a_pause)
 {
   fixture fx = fixture_create ();
@@ -806,11 +815,12 @@
 }
 END_TEST
 
-/* An instance is stalled for three seconds.  A kept job's task ends meanwhile,
-   its lease expires by the instance's account, and the timeout of a call is
-   handled before the list of ends.  Reported as lost, the task would be
-   started again 2.5 s after it was done; it must be reported as in doubt, so
-   that its home searches for it.  */
+/* An instance is stalled for three seconds, and a task of a kept job ends
+   meanwhile.  As far as the instance knows, the lease of the run has expired,
+   and it handles the timeout of a call before the list of ends.  If it
+   reported the task as lost, the task would be started again 2.5 s after it
+   was done.  The task must be reported as in doubt, so that its home searches
+   for it.  */
 START_TEST (kept_task_out_of_contact_is_in_doubt_not_lost)
 {
   fixture fx = fixture_create ();
@@ -839,12 +849,12 @@
   submit_kept (&fx, &r, "kept", 0, 100);
   fixture_run (&fx, 300);
   ck_assert_int_eq (r.how, MM_END_DONE);
-  mm_owner_add_upstream (fx.owner, fake_info (a),
-                         6); /* begins a new session */
+  /* A higher fencing token begins a new session.  */
+  mm_owner_add_upstream (fx.owner, fake_info (a), 6);
   mm_owner_set_confirmed (fx.owner, true);
   mm_search_result found = search_for (&fx, "kept", 0);
-  ck_assert_uint_eq (found.clear_upstreams->len,
-                     0); /* runs are not listed yet */
+  /* The upstream has not listed its runs to the new session yet.  */
+  ck_assert_uint_eq (found.clear_upstreams->len, 0);
   mm_search_result_clear (&found);
   fixture_run (&fx, 100);
   found = search_for (&fx, "kept", 0);
@@ -913,9 +923,10 @@
 }
 END_TEST
 
-/* Ends that are not acknowledged fill the page that an upstream answers with.
-   A task that has just ended is neither listed as running nor on that page.
-   If it were taken for lost, it would run a second time.  */
+/* An upstream lists its ends in pages, and the first page is full of ends that
+   are not acknowledged.  A task that has just ended is neither listed as
+   running nor on that page.  If the owner took the task for lost, it would run
+   a second time.  */
 START_TEST (task_whose_end_is_on_a_later_page_is_not_lost)
 {
   fixture fx = fixture_create ();
@@ -941,12 +952,13 @@
 
 /* ---- late answers ----------------------------------------------------- */
 
-#define N_UPSTREAMS 8
+#define N_UPSTREAMS 8 /* also the number of tasks in a job */
 #define JOBS 50
 
-/* Runs jobs of eight tasks one after the other, with eight upstreams.  The
-   orders of every second job take @delay_ms to arrive.  Returns the number of
-   jobs whose tasks all ended within 260 ms.  */
+/* Runs JOBS jobs of eight tasks, one job after the other, on eight upstreams.
+   The orders of every second job arrive @delay_ms later than others.  Returns
+   the number of jobs whose tasks all ended within 260 ms: the 60 ms that a
+   task runs, and 200 ms to spare.  */
 static uint32_t
 jobs_in_time (fixture *fx, fake **x, mm_time_ms delay_ms)
 {
@@ -970,11 +982,11 @@
   return in_time;
 }
 
-/* On a thin link other data, such as an upstream list or a caller's job,
-   delays every second job's orders by 80 ms.  All orders arrive and are
-   answered.  If they were taken as lost, their tasks would be stopped and
-   placed again, their upstreams would get no tasks for a while, and a third of
-   the callers would wait for that.  */
+/* On a link with little bandwidth, other data such as an upstream list or a
+   caller's job delays the start orders of every second job by 80 ms.  All
+   orders arrive and are answered.  If the owner took them as lost, it would
+   stop their tasks and place them again and send no tasks to these upstreams
+   for a while, and a third of the callers would have to wait.  */
 START_TEST (delayed_orders_are_not_taken_as_lost)
 {
   fixture fx = fixture_create ();
@@ -998,9 +1010,9 @@
 }
 END_TEST
 
-/* On a link of 2 Mbit/s the last order of a job is sent 50 ms after the first
-   one.  The time in this instance's own queue must not count towards the
-   timeout of the order's answer.  */
+/* On a link of 2 Mbit/s the last order of a job leaves the instance 50 ms
+   after the first one.  The time that an order waits in the instance's own
+   queue must not count towards the timeout of its answer.  */
 START_TEST (orders_in_the_uplink_queue_are_waited_for)
 {
   fixture fx = fixture_create ();
@@ -1016,7 +1028,7 @@
       fixture_run (&fx, 200);
     }
   uint64_t before = mm_metrics_counter (MM_CT_ORDERS_UNANSWERED);
-  mm_owner_record_sent (fx.owner, 50 * 2000 / 8);
+  mm_owner_record_sent (fx.owner, 50 * 2000 / 8); /* 50 ms at 2 Mbit/s */
   fake_mode_of (x)->delivery_delay_ms = 50;
   outcome r;
   submit (&fx, &r, "behind", 0, 60);
@@ -1027,9 +1039,9 @@
 }
 END_TEST
 
-/* Slow answers of one upstream must not delay the detection of a lost order to
-   another one.  Only when two upstreams answer late does the minimum timeout
-   of all upstreams rise, for MM_RTO_FLOOR_TTL_MS.  */
+/* Late answers of one upstream must not delay the detection of a lost order to
+   another one.  The minimum timeout of all upstreams rises only when two
+   upstreams answer late, and for MM_RTO_FLOOR_TTL_MS.  */
 START_TEST (slow_answers_of_one_upstream_delay_no_other)
 {
   mm_rto_floor rto_floor = { 0 };
