--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -1,5 +1,5 @@
-/* Upstreams change their owner while tasks run there.  Two owners transfer
-   the runs over links that delay and lose messages.  */
+/* Upstreams change their owner at random while tasks run there.  Two owners
+   transfer the runs over links that delay and lose messages.  */
 #include "config.h"
 #include "fake_upstreams.h"
 #include "harness.h"
@@ -12,43 +12,44 @@
   OWNERS = 2,
   UPSTREAMS = 2,
   TASKS = 12,
-  CPU_MILLI = 14000,
-  UPSTREAM_CPU_MILLI = 32000,
-  FAULTS_MS = 6000,
-  END_MS = 12000, /* latest end of a task */
-  START_WITHIN_MS = 40,
-  RUN_MAX_MS = 900,
-  LINK_MAX_MS = 80,
-  LINK_TIMEOUT_MS = 600, /* each end notices a broken link within this */
-  RECONNECT_MS = 250,
-  RESEND_MS = 1300 /* time after which a task in doubt, or a task whose
-                      caller has left, is submitted again */
+  CPU_MILLI = 14000,          /* of a task, in thousandths of a core */
+  UPSTREAM_CPU_MILLI = 32000, /* two tasks fit */
+  FAULTS_MS = 6000,           /* faults happen for this long */
+  END_MS = 12000,             /* each task must have ended by then */
+  START_WITHIN_MS = 40,       /* longest wait for free capacity */
+  RUN_MAX_MS = 900,           /* a task runs 50 ms and up to this more */
+  LINK_MAX_MS = 80,           /* longest delay of a message */
+  LINK_TIMEOUT_MS = 600,      /* each end notices a broken link within this */
+  RECONNECT_MS = 250, /* from the notice at both ends to a new connection */
+  RESEND_MS = 1300    /* time after which a task in doubt, or a task whose
+                         caller has left, is submitted again */
 };
 
+/* Messages between two owners; the last one is an answer.  */
 typedef enum
 {
-  MSG_FOUND,
-  MSG_RUN,
-  MSG_CANCEL,
-  MSG_ENDED
+  MSG_FOUND,  /* the sender found a run that it had not started */
+  MSG_RUN,    /* a task is transferred to the receiver */
+  MSG_CANCEL, /* a transferred task is cancelled */
+  MSG_ENDED   /* a transferred task has ended */
 } message_kind;
 
 typedef struct
 {
   message_kind kind;
-  mm_time_ms delivery_ms;
-  uint64_t number;         /* of the sent run on its link */
+  mm_time_ms delivery_ms;  /* time of delivery */
+  uint64_t number;         /* except MSG_FOUND: number of the transfer */
   mm_task_request request; /* MSG_RUN: its strings are copies */
-  char upstream[16];       /* MSG_FOUND, MSG_ENDED */
+  char upstream[16];       /* MSG_FOUND, MSG_ENDED: where the run is */
   mm_found_run found;      /* MSG_FOUND, except the name of the upstream */
-  uint32_t run;            /* MSG_ENDED */
+  uint32_t run;            /* MSG_ENDED: run number */
   mm_end how;              /* MSG_ENDED */
 } message;
 
 typedef struct link link;
 typedef struct instance instance;
 
-/* A link on which one instance sends requests and the other answers.  */
+/* A link on which the instance @from sends requests and @to answers.  */
 struct link
 {
   instance *from, *to;
@@ -57,24 +58,26 @@
   /* Times at which each end notices that the link is broken.  0: the link
      works, or that end has noticed.  */
   mm_time_ms sender_notices_ms, receiver_notices_ms;
-  mm_time_ms connected_from_ms;
-  uint64_t last_number;
-  GHashTable *sent_runs;     /* number -> sent_run */
-  GHashTable *received_runs; /* number -> received_run */
+  mm_time_ms connected_from_ms; /* time from which requests can be sent */
+  uint64_t last_number;         /* of the last transfer */
+  GHashTable *sent_runs;        /* number of the transfer -> sent_run */
+  GHashTable *received_runs;    /* number of the transfer -> received_run */
 };
 
+/* A run whose task was transferred to the other instance.  */
 typedef struct
 {
   link *via;
-  uint64_t number;
-  mm_work *work;
+  uint64_t number; /* of the transfer on its link */
+  mm_work *work;   /* the task at the sender */
 } sent_run;
 
+/* A run whose task was transferred from the other instance.  */
 typedef struct
 {
   link *via;
-  uint64_t number;
-  mm_work *work;
+  uint64_t number; /* of the transfer on its link */
+  mm_work *work;   /* the task at the receiver */
 } received_run;
 
 typedef struct fixture fixture;
@@ -83,21 +86,22 @@
 {
   fixture *fx;
   mm_owner *owner;
-  link *to_peer;
+  link *to_peer; /* for requests of this instance */
 };
 
 /* A task as its submitter sees it.  */
 typedef struct
 {
   fixture *fx;
-  uint32_t index;
-  mm_time_ms run_ms;
-  mm_work *work;
-  int submitted_to; /* index of the instance */
-  mm_time_ms retry_ms;
+  uint32_t index;      /* in the fixture */
+  mm_time_ms run_ms;   /* run time */
+  mm_work *work;       /* NULL: not submitted, or ended */
+  int submitted_to;    /* index of the instance */
+  mm_time_ms retry_ms; /* time of the next submission */
   bool done;
 } task;
 
+/* Two instances with their links, and the upstreams and tasks of one test.  */
 struct fixture
 {
   fakes *fake_upstreams;
@@ -108,9 +112,9 @@
   /* Time at which the previous owner learns that it no longer owns the
      upstream; G_MAXINT64: never.  */
   mm_time_ms disown_at_ms[UPSTREAMS];
-  uint64_t fence;
+  uint64_t fence; /* last fencing token that was assigned */
   task tasks[TASKS];
-  uint32_t adopted;
+  uint32_t adopted; /* number of runs that were transferred */
 };
 
 static int
@@ -121,6 +125,7 @@
 
 /* ---- links ------------------------------------------------------------ */
 
+/* Returns whether the sender can send requests on the link.  */
 static bool
 connected (const link *l)
 {
@@ -137,6 +142,8 @@
   g_free (m);
 }
 
+/* Sends a message, which arrives in order after a random delay, or never if
+   the link is broken.  @m now belongs to the link.  */
 static void
 send_message (link *l, GQueue *queue, message *m)
 {
@@ -152,6 +159,7 @@
     g_queue_push_tail (queue, m);
 }
 
+/* Breaks a link with the loss of all messages in flight.  */
 static void
 break_link (link *l)
 {
@@ -166,6 +174,9 @@
   l->receiver_notices_ms = now + 1 + random_below (fx, LINK_TIMEOUT_MS);
 }
 
+/* Handles a broken link at each end once that end notices.  The sender reports
+   its transferred tasks as in doubt; the receiver cancels them.  When both
+   ends have noticed, the link is connected again RECONNECT_MS later.  */
 static void
 notice_break (link *l)
 {
@@ -201,6 +212,8 @@
     }
 }
 
+/* Sends the end of a transferred task back to the instance that it came
+   from.  */
 static void
 on_received_run_done (void *ctx, const mm_work_result *r)
 {
@@ -236,6 +249,7 @@
   g_hash_table_remove (l->received_runs, &m->number);
 }
 
+/* Transfers the task @w to the other instance with the request @t.  */
 static sent_run *
 transfer_run (link *l, const mm_task_request *t, mm_work *w)
 {
@@ -255,8 +269,8 @@
   return r;
 }
 
-/* Handles a run that the other owner has found: if its task was submitted
-   here, transfers the task to that owner.  */
+/* Handles a run that the other owner has found: if the task of that run was
+   submitted here, the task is transferred to the other owner.  */
 static void
 receive_found (link *l, const message *m)
 {
@@ -273,6 +287,7 @@
   mm_owner_transfer (self->owner, w, transfer_run (self->to_peer, &t, w));
 }
 
+/* Handles the end of a task that was transferred to the other instance.  */
 static void
 receive_ended (link *l, const message *m)
 {
@@ -306,6 +321,7 @@
     }
 }
 
+/* Delivers the messages of a queue that are due.  */
 static void
 deliver (link *l, GQueue *queue)
 {
@@ -319,6 +335,8 @@
     }
 }
 
+/* Notifies the other instance of a run that this instance's owner has found.
+ */
 static void
 on_found (void *ctx, const mm_found_run *r)
 {
@@ -332,6 +350,7 @@
   send_message (self->to_peer, self->to_peer->requests, m);
 }
 
+/* Cancels a transferred task; its end is not reported.  */
 static void
 on_cancel (void *ctx, void *transfer)
 {
@@ -346,6 +365,8 @@
 
 /* ---- tasks ------------------------------------------------------------ */
 
+/* A task that is not done is submitted again: at once, or after RESEND_MS
+   when it may still run.  */
 static void
 on_task_done (void *ctx, const mm_work_result *r)
 {
@@ -357,6 +378,7 @@
     t->retry_ms += RESEND_MS;
 }
 
+/* Submits a task to a random instance.  */
 static void
 submit_task (task *t)
 {
@@ -370,7 +392,8 @@
                              on_task_done, t);
 }
 
-/* The caller's connection breaks; it sends the task again after RESEND_MS.  */
+/* Simulates a broken connection to the caller, who sends the task again after
+   RESEND_MS.  */
 static void
 cancel_task (task *t)
 {
@@ -408,6 +431,9 @@
   g_free (l);
 }
 
+/* Assigns an upstream to the other instance.  The previous owner is told
+   within 300 ms, or, in half of the cases, learns of the change only when the
+   upstream refuses its calls.  */
 static void
 change_owner (fixture *fx, int i)
 {
@@ -420,6 +446,8 @@
                          fake_info (fx->upstreams[i]), ++fx->fence);
 }
 
+/* Tells previous owners, when it is time, that an upstream is not theirs any
+   more.  */
 static void
 disown_upstreams (fixture *fx)
 {
@@ -432,6 +460,7 @@
       }
 }
 
+/* Causes each kind of fault with a probability per ms.  */
 static void
 cause_faults (fixture *fx)
 {
@@ -454,6 +483,7 @@
     cancel_task (&fx->tasks[random_below (fx, TASKS)]);
 }
 
+/* Advances the clock by 1 ms.  */
 static void
 step (fixture *fx, mm_time_ms elapsed_ms)
 {
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -1,27 +1,27 @@
-/* Upstreams get another owner while tasks run there.  Each test causes one
-   fault.  */
+/* Upstreams get another owner while tasks run there: the runs must go on under
+   the next owner, or be stopped.  Each test causes one fault.  */
 #include "config.h"
 #include "harness.h"
 #include "owner_fixture.h"
 
 #include <string.h>
 
-/* Two owners, one of which follows the other at the same upstreams, and their
-   connection.  */
+/* Two owners of the same upstreams, one after the other, and the connection
+   between the two.  */
 typedef struct
 {
   fixture fx;              /* with the first owner */
   mm_owner *next;          /* the second owner */
   bool disconnected;       /* requests between the owners are lost */
   mm_time_ms requested_ms; /* when the pending request was sent, 0: none */
-  char upstream[32];
-  mm_found_run found;
+  char upstream[32];       /* name of the upstream in the pending request */
+  mm_found_run found;      /* found run that the pending request is about */
 } succession;
 
 #define REQUEST_MS 5 /* time until a request arrives */
 
-/* Handles a run that an owner has found: if the first owner has its task, that
-   owner transfers the task to the second one.  */
+/* Handles a run that was found: if the first owner has the task of that run,
+   the task is transferred to the second owner.  */
 static void
 on_found (void *ctx, const mm_found_run *r)
 {
@@ -34,7 +34,7 @@
         mm_owner_submit (s->next, &t, mm_owner_transferred_end, w));
 }
 
-/* Keeps a found run, which succession_run() handles REQUEST_MS later.  */
+/* Keeps a found run; succession_run() handles the run REQUEST_MS later.  */
 static void
 on_found_later (void *ctx, const mm_found_run *r)
 {
@@ -45,12 +45,14 @@
   s->found.upstream = s->upstream;
 }
 
+/* Cancels a transferred task at the second owner.  */
 static void
 on_cancel_transferred (void *ctx, void *transfer)
 {
   mm_owner_cancel (((succession *)ctx)->next, transfer);
 }
 
+/* @disconnected: the owners cannot transfer runs.  */
 static void
 succession_init (succession *s, bool disconnected)
 {
@@ -65,6 +67,7 @@
   mm_owner_set_links (s->next, &l);
 }
 
+/* Advances the clock and ticks both owners.  */
 static void
 succession_run (succession *s, mm_time_ms ms)
 {
@@ -88,10 +91,10 @@
 }
 
 /* The store assigns an upstream to another instance while tasks run there, as
-   when a membership is revoked.  If the next owner stopped them, the callers
-   of their jobs would have to send these again.  It must take the runs over
-   instead, so that each task runs once, to its end.  A task whose caller
-   leaves meanwhile is stopped there.  */
+   when a membership is revoked.  If the next owner stopped the runs, the
+   callers would have to send their jobs again.  The next owner must take the
+   runs over instead, so that each task runs once, to its end.  A task whose
+   caller leaves meanwhile must be stopped at the next owner.  */
 START_TEST (runs_go_on_under_the_next_owner)
 {
   succession s;
@@ -118,10 +121,10 @@
 }
 END_TEST
 
-/* The next owner has taken a run over, and its first hold gets no answer.
-   That owner has not renewed the lease yet, but must not take the run for
-   expired at once: the task would be started again elsewhere while the run
-   goes on under the lease of the previous owner.  */
+/* The next owner has taken a run over, and its first hold afterwards gets no
+   answer.  That owner has not renewed the lease yet, but must not conclude
+   that the lease has lapsed: the task would be started again elsewhere while
+   the run goes on under the lease from the previous owner.  */
 START_TEST (run_taken_over_has_not_lapsed_while_its_first_lease_lasts)
 {
   succession s;
@@ -136,8 +139,8 @@
                        .cancel = on_cancel_transferred,
                        .ctx = &s };
   mm_owner_set_links (s.next, &l);
-  fake_mode_of (a)->lose_holds = 1; /* the hold after the one that finds
-                                        the run */
+  /* The hold that finds the run is in flight; the one after it is lost.  */
+  fake_mode_of (a)->lose_holds = 1;
   succession_run (&s, 400);
   ck_assert_uint_eq (r.answers, 0);
   succession_run (&s, 600);
@@ -148,8 +151,9 @@
 }
 END_TEST
 
-/* The next owner finds a run whose start has no answer yet.  Ending the task
-   then would leave its run with a pointer to freed memory.  */
+/* The next owner finds a run whose start order, from the previous owner, has
+   no answer yet.  If the previous owner ended the task then, its run would
+   keep a pointer to the freed task.  */
 START_TEST (task_claimed_before_its_start_is_answered_ends_once)
 {
   succession s;
@@ -157,8 +161,8 @@
   fake *a = fixture_add (&s.fx, "a");
   succession_run (&s, 10);
   outcome r[3];
-  submit (&s.fx, &r[2], "before", 0, 900); /* a hold waits for the
-                                               end of this task */
+  /* A hold of the first owner waits for the end of this task.  */
+  submit (&s.fx, &r[2], "before", 0, 900);
   succession_run (&s, 50);
   fake_mode_of (a)->start_answer_delay_ms = 20;
   submit (&s.fx, &r[0], "claimed", 0, 600);
@@ -177,8 +181,8 @@
 }
 END_TEST
 
-/* Handles a run that the first owner has found: if the second owner has its
-   task, that owner transfers the task to the first one.  */
+/* Handles a run that the first owner has found: if the second owner has the
+   task of that run, the task is transferred to the first owner.  */
 static void
 on_found_by_first (void *ctx, const mm_found_run *r)
 {
@@ -191,9 +195,9 @@
         mm_owner_submit (s->fx.owner, &t, mm_owner_transferred_end, w));
 }
 
-/* A hold that the first owner sent before the change of owner lists a run that
-   the next owner has started.  The first owner must not take that run over,
-   as it would lose it.  */
+/* The answer to a hold that the first owner sent before the change of owner
+   lists a run that the next owner has started.  If the first owner took that
+   run over, it would lose the run, as it no longer owns the upstream.  */
 START_TEST (outranked_owner_claims_nothing_of_the_next)
 {
   succession s;
@@ -220,10 +224,10 @@
 }
 END_TEST
 
-/* Two tasks are started at the same time on an upstream that has a new owner,
-   and both starts are refused.  The first refusal ends the session.  The
-   second must count as well; otherwise its task is taken for lost though it
-   has not run.  Both tasks must run elsewhere at once.  */
+/* An owner starts two tasks at the same time on an upstream that already has
+   another owner, and both starts are refused.  The first refusal ends the
+   session.  The second refusal must count as well; otherwise its task, which
+   has not run, is taken for lost.  Both tasks must run elsewhere at once.  */
 START_TEST (starts_refused_together_both_run_elsewhere)
 {
   succession s;
@@ -249,8 +253,9 @@
 END_TEST
 
 /* An upstream gets another owner, and the two owners are disconnected.  The
-   next owner stops runs that are not claimed.  The first owner must notice the
-   stop, or give the run up, well before the job is sent again.  */
+   next owner stops the runs that no instance claims.  The first owner must
+   notice the stop, or give the run up, well before the caller sends the job
+   again.  */
 START_TEST (unclaimed_runs_are_stopped)
 {
   succession s;
