--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -24,8 +24,8 @@
 }
 END_TEST
 
-/* A burst fills all places.  A job that would finish too late is refused on
-   arrival, with a time to retry; one with enough slack waits.  */
+/* A burst of jobs fills all places.  A job that would finish too late is
+   refused on arrival, with a time to retry; a job with enough slack waits.  */
 START_TEST (job_that_would_finish_too_late_is_refused_at_once)
 {
   mm_load load
@@ -53,6 +53,8 @@
 }
 END_TEST
 
+/* With a stretch of 1.6, 60 ms more and a chain of 100 ms the objective is
+   220 ms.  An answer is of use for three times as long.  */
 START_TEST (slack_and_limit_follow_the_objective)
 {
   ck_assert_int_eq (mm_admission_slack_ms (1.6, 60, 100),
@@ -63,16 +65,17 @@
 }
 END_TEST
 
-/* Jobs arrive at twice the rate that the places can serve, for three seconds.
-   Without refusals the queue grows without limit, and after a second every
-   job is late; with them, most accepted jobs are in time.  */
+/* For three seconds, tasks arrive at twice the rate at which the places can
+   run them.  Without refusals the queue grows without limit, and after a
+   second every job is late.  With refusals most accepted jobs must be in time.
+ */
 START_TEST (overload_is_refused_rather_than_served_late)
 {
   enum
   {
     PLACES = 100,
     TASK_MS = 200,
-    PER_MS = 1 /* one task arrives each ms; 0.5 per ms are served */
+    PER_MS = 1 /* tasks that arrive per ms; 0.5 per ms can be run */
   };
   double waiting = 0, busy = 0;
   int accepted = 0, refused = 0, late = 0;
@@ -99,10 +102,11 @@
 }
 END_TEST
 
-/* Simulates an outage of all instances for 1.1 s.  Callers that sent jobs
-   meanwhile send them again 1.3 s later, beside the new jobs.  There are 100
-   places and a task takes 200 ms; 400 new tasks arrive per second, and 500
-   can be run.  Returns the share of the new jobs of the next two seconds that
+/* Simulates the two seconds after all instances were out of service for 1.1 s.
+   Callers whose jobs were lost send them again 1.3 s later, beside the new
+   jobs.  There are 100 places and a task takes 200 ms; 400 new tasks arrive
+   per second, and 500 can be run.  @use_timeout: whether admission uses the
+   remaining timeouts of the callers.  Returns the share of the new jobs that
    are in time.  */
 static double
 share_in_time_beside_resent_jobs (bool use_timeout)
@@ -111,10 +115,10 @@
   {
     PLACES = 100,
     TASK_MS = 200,
-    SLACK_MS = 165,
-    USEFUL_MS = 1140,
-    TIMEOUT_MS = 2640, /* a caller's full timeout */
-    RESENT_FROM_MS = 200,
+    SLACK_MS = 165,       /* longest wait of a job that is in time */
+    USEFUL_MS = 1140,     /* an answer is of use for this long */
+    TIMEOUT_MS = 2640,    /* a caller's full timeout */
+    RESENT_FROM_MS = 200, /* jobs that were lost arrive again from here */
     RESENT_TO_MS = 1300,
     END_MS = 2000
   };
@@ -156,22 +160,24 @@
 
 /* After an outage, jobs that are sent again take capacity from new jobs that
    could still be in time, although the callers that send again have no use for
-   an answer any more.  If admission ignores the remaining timeout of the
-   callers, 0.91 of the new jobs are in time; if it uses it, all are.  */
+   an answer any more.  If admission ignores the remaining timeouts of the
+   callers, 0.91 of the new jobs are in time; if admission uses these timeouts,
+   all new jobs are.  */
 START_TEST (jobs_sent_again_after_an_outage_do_not_displace_new_jobs)
 {
   double without_timeout = share_in_time_beside_resent_jobs (false);
   double with_timeout = share_in_time_beside_resent_jobs (true);
   ck_assert_msg (with_timeout >= 0.97 && with_timeout > without_timeout,
-                 "%.2f, %.2f before", with_timeout, without_timeout);
+                 "%.2f in time, %.2f without the timeouts", with_timeout,
+                 without_timeout);
 }
 END_TEST
 
-/* Callers of a queue have 1.5 s to spare.  A caller with only 0.2 s left has
-   sent its job before and is too late.  In a queue where all callers have
-   little time to spare, no caller counts as too late.  Neither does one in a
-   queue where an answer is of use for longer than a caller takes to send a job
-   again.  */
+/* The callers of a queue wait for 1.5 s after the time when an answer is of
+   use to them.  A caller that waits for only 0.2 s after that has sent its job
+   before and is too late.  No caller counts as too late in a queue where all
+   callers have little time to spare, nor in a queue where an answer is of use
+   for longer than a caller takes to send its job again (MM_RESEND_MS).  */
 START_TEST (remaining_timeout_shows_that_a_job_was_sent_before)
 {
   mm_caller_wait caller_wait = { 0 };
@@ -190,8 +196,9 @@
 }
 END_TEST
 
-/* Sixty tasks of a less urgent queue wait.  An urgent job goes before them
-   and must not be refused because of them; a job of their own queue must.  */
+/* Sixty tasks of a less urgent queue wait.  An urgent job goes before these
+   tasks and must not be refused because of them.  A job of the less urgent
+   queue goes after them and must be refused.  */
 START_TEST (urgent_job_is_not_refused_for_less_urgent_tasks)
 {
   mm_capacity_report r
@@ -208,6 +215,7 @@
 }
 END_TEST
 
+/* An owner to which a task may be dispatched, with capacity in tasks.  */
 static mm_dispatch_candidate
 owner (mm_nearness near, uint32_t places, uint32_t free, uint32_t waiting)
 {
@@ -217,6 +225,8 @@
   };
 }
 
+/* This instance has no free capacity.  An owner in the same data centre must
+   be preferred to one in another data centre with more free capacity.  */
 START_TEST (task_goes_to_the_nearest_owner_with_free_capacity)
 {
   mm_dispatch_candidate c[]
@@ -226,6 +236,9 @@
 }
 END_TEST
 
+/* An owner that has just returned a task cannot use its free capacity for that
+   task.  The task must go to another owner with free capacity, if there is
+   one.  */
 START_TEST (task_goes_last_to_the_owner_that_returned_it)
 {
   mm_dispatch_candidate c[]
@@ -238,6 +251,8 @@
 }
 END_TEST
 
+/* The shortest queue is the one with the fewest waiting tasks per place.  An
+   owner without places gets no task.  */
 START_TEST (task_goes_to_the_shortest_queue_when_all_owners_are_full)
 {
   mm_dispatch_candidate c[]
@@ -248,6 +263,7 @@
 }
 END_TEST
 
+/* An upstream on which a task may be placed.  */
 static mm_placement_candidate
 upstream (int64_t free_milli, double slowness)
 {
@@ -257,6 +273,9 @@
                                    .slowness = slowness };
 }
 
+/* Of two upstreams that are about equally fast, the one with less free
+   capacity is preferred; a slower upstream is used only if no faster one is
+   allowed.  */
 START_TEST (task_is_placed_on_a_fast_upstream_and_fits_tightly)
 {
   mm_resources required = { .cpu_milli = 14000 };
@@ -272,6 +291,8 @@
 }
 END_TEST
 
+/* An upstream with free processors but without enough memory or GPUs must not
+   be chosen.  */
 START_TEST (memory_and_gpus_limit_placement_too)
 {
   mm_resources required = { .cpu_milli = 1, .mem_mb = 100, .gpus = 1 };
@@ -309,6 +330,8 @@
 }
 END_TEST
 
+/* The host must match, whatever its case and port; of the prefixes that match
+   the path, the longest selects the queue.  */
 START_TEST (longest_prefix_of_a_host_selects_the_queue)
 {
   mm_route routes[] = {
@@ -332,6 +355,8 @@
 }
 END_TEST
 
+/* Steps 0, 1 and 2 depend on each other and take 100 + 50 + 10 ms; step 3 runs
+   beside them for 120 ms.  */
 START_TEST (chain_is_the_longest_path_through_the_steps)
 {
   uint32_t after0[] = { 0 }, after01[] = { 0, 1 };
@@ -354,6 +379,8 @@
 }
 END_TEST
 
+/* A job must be rejected if it repeats, has a step whose tasks must all run at
+   once or are limited per upstream, or has too many tasks.  */
 START_TEST (unsupported_jobs_are_rejected)
 {
   mm_step step = { .count = 2 };
@@ -375,18 +402,18 @@
 }
 END_TEST
 
-/* Updates pass through a queue that grows and empties.  The clocks of sender
-   and receiver differ and drift.  The delay in the queue must be found to
-   within 10 ms.  */
+/* Messages pass through a queue that grows and empties.  The clocks of sender
+   and receiver differ and drift apart.  The delay in the queue must be
+   estimated to within 10 ms.  */
 START_TEST (queue_delay_is_found_despite_clock_offset_and_drift)
 {
-  GRand *rnd = g_rand_new_with_seed ((guint32)_i);
+  GRand *rng = g_rand_new_with_seed ((guint32)_i);
   mm_queue_delay queue_delay = { 0 };
-  mm_time_ms offset_ms = g_rand_int_range (rnd, -1000000, 1000000);
+  mm_time_ms offset_ms = g_rand_int_range (rng, -1000000, 1000000);
   mm_time_ms queue_ms = 0;
   for (mm_time_ms now = 10000000; now < 10600000; now += 200)
     {
-      queue_ms += g_rand_int_range (rnd, -600, 500);
+      queue_ms += g_rand_int_range (rng, -600, 500);
       queue_ms = MAX (queue_ms, 0);
       if (queue_ms > 5000)
         queue_ms = 0;
@@ -399,10 +426,13 @@
       ck_assert_int_ge (delay_ms, queue_ms - 10);
       ck_assert_int_le (delay_ms, queue_ms + 10);
     }
-  g_rand_free (rnd);
+  g_rand_free (rng);
 }
 END_TEST
 
+/* A peer's messages start to arrive 3 s later than before, as after a stall of
+   the peer.  They must count as delayed by queues only until the earlier,
+   faster messages have left the window.  */
 START_TEST (stalled_peer_counts_as_delayed_for_a_while_only)
 {
   mm_queue_delay queue_delay = { 0 };
