--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -168,8 +168,7 @@
   double without_timeout = share_in_time_beside_resent_jobs (false);
   double with_timeout = share_in_time_beside_resent_jobs (true);
   ck_assert_msg (with_timeout >= 0.97 && with_timeout > without_timeout,
-                 "%.2f in time, %.2f without the timeouts", with_timeout,
-                 without_timeout);
+                 "%.2f, %.2f before", with_timeout, without_timeout);
 }
 END_TEST
 
