--- a/tests/test_capacity.c
+++ b/tests/test_capacity.c
@@ -1,4 +1,5 @@
-/* Tests of upstreams whose capacity changes while tasks run.  */
+/* Tests of upstreams whose capacity changes while tasks run, with real
+   processes.  */
 #include "harness.h"
 
 #include <signal.h>
@@ -9,11 +10,11 @@
 enum
 {
   UPSTREAMS = 4,
-  SLOTS = 4,
-  SLOT_CPU_MILLI = 1000,
-  BOUND_MS = 2000, /* starts may exceed a reduced capacity for this long */
-  HEARTBEAT_MS = 200,
-  CHANGES = 40
+  SLOTS = 4,             /* tasks that fit on an upstream */
+  SLOT_CPU_MILLI = 1000, /* thousandths of a core that a task takes */
+  BOUND_MS = 2000,    /* starts may exceed a reduced capacity for this long */
+  HEARTBEAT_MS = 200, /* an upstream lists a change within this time */
+  CHANGES = 40        /* number of changes of capacity */
 };
 
 static void
@@ -22,6 +23,9 @@
   g_usleep ((gulong)ms * 1000);
 }
 
+/* Sets the capacity of an upstream to @slots tasks.  A start counts as over
+   capacity only if it exceeds all capacities that the upstream had in the last
+   BOUND_MS + HEARTBEAT_MS.  */
 static void
 set_slots (int upstream, int slots)
 {
@@ -32,6 +36,8 @@
       h_call ("POST", h_upstream_ports[upstream], "/v1/capacity", body, NULL));
 }
 
+/* Submits the job "@name-@number", whose tasks run @run_ms, at instance 0 or 1
+   with a timeout of 4 s.  Returns the process of its caller.  */
 static pid_t
 submit (const char *name, int number, int tasks, int run_ms)
 {
@@ -43,6 +49,7 @@
   return caller;
 }
 
+/* Returns the number of starts beyond the capacity of an upstream.  */
 static int
 over_capacity (void)
 {
@@ -53,8 +60,9 @@
 }
 
 /* Upstreams change their capacity often under load.  Starts must not exceed a
-   reduced capacity, and capacity that returns must be used: at the end a job
-   that fills all slots takes less than two rounds of tasks.  */
+   reduced capacity.  Capacity that returns must be used again: at the end, a
+   job with one task for each slot must take less than twice the run time of a
+   task.  */
 START_TEST (changing_capacity_is_respected_and_used_again)
 {
   h_start_nodes (UPSTREAMS, SLOTS, 2);
@@ -106,9 +114,9 @@
 }
 END_TEST
 
-/* One upstream reports a huge capacity and the others none, then no upstream
-   has any.  The caller must get an answer in both cases: the complete job,
-   then a 5xx status.  */
+/* First, one upstream reports a huge capacity and the others report none; then
+   no upstream has any capacity.  The caller must get an answer in both cases:
+   the complete job in the first, a 5xx status in the second.  */
 START_TEST (huge_and_zero_capacity_get_an_answer)
 {
   h_start_nodes (UPSTREAMS, SLOTS, 1);
--- a/tests/test_ownership.c
+++ b/tests/test_ownership.c
@@ -1,12 +1,12 @@
-/* Tests the ownership of a job among the entry instances of a data centre: a
-   job resubmitted to another instance behind the load balancer must not start
-   any task again.  */
+/* Tests that a job belongs to one instance of a data centre: when a caller
+   sends the job again and the load balancer routes it to another instance, no
+   task may start again.  */
 #include "harness.h"
 
-/* Guards against tasks started twice when a caller resubmits a slow job and
-   the load balancer routes the resubmitted job to another entry instance.  All
-   callers must get the complete answer, and every task must start exactly
-   once on the upstreams, whichever instance each call reached.  */
+/* Guards against tasks that start twice when a caller sends a slow job again
+   and the load balancer routes the second request to another instance.  All
+   callers must get the complete answer, and each task must start exactly once,
+   whichever instances the requests reached.  */
 START_TEST (resubmit_to_another_instance_starts_nothing_twice)
 {
   h_start_cluster (3, 3, 100);
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -1,6 +1,6 @@
 /* Tests that poison tasks, which crash their upstreams, are distinguished from
-   tasks lost to disconnected, draining or restarted upstreams; without a
-   network.  */
+   tasks that are lost because an upstream was disconnected, draining or
+   restarted.  The tests use no network.  */
 #include "config.h"
 #include "fake_upstreams.h"
 #include "harness.h"
@@ -40,7 +40,8 @@
   return id;
 }
 
-/* Records the loss of upstream @number with the tasks @ids.  */
+/* Records the loss of upstream @number with the @n tasks @ids.  The upstream
+   has not answered for 1 s.  */
 static void
 record_loss (mm_suspects *s, int number, mm_loss_verdict v,
              const mm_task_id *ids, size_t n)
@@ -74,9 +75,9 @@
   mm_suspects_listed (s, &u);
 }
 
-/* A task whose upstream was lost is isolated.  After a second loss it waits
-   until other incarnations at both addresses prove two crashes, and is then
-   given up.  */
+/* A task whose upstream was lost must run isolated.  After a second loss the
+   task must wait until other incarnations at both addresses prove two crashes,
+   and must then be given up.  */
 START_TEST (task_is_given_up_after_two_crashes)
 {
   mm_suspects *s = suspects_setup ();
@@ -108,13 +109,14 @@
       record_loss (s, number, MM_LOSS_OPEN, &id, 1);
       char name[16];
       g_snprintf (name, sizeof name, "up%d", number);
-      mm_suspects_alive (s, name); /* reachable again */
+      mm_suspects_alive (s, name); /* the upstream is reachable again */
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_RUN);
       record_loss (s, number + 1, MM_LOSS_OPEN, &id, 1);
-      record_listing (s, number + 1, NULL,
-                      true); /* the upstream was draining */
+      /* The upstream was draining.  */
+      record_listing (s, number + 1, NULL, true);
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_RUN);
-      record_loss (s, number + 2, MM_LOSS_OPEN, &id, 1); /* not seen again */
+      /* The upstream is not seen again, and its loss expires.  */
+      record_loss (s, number + 2, MM_LOSS_OPEN, &id, 1);
       ck_assert_int_eq (mm_suspects_decide (s, &id), MM_SUSPECT_ISOLATE);
       now_ms += MM_SUSPECTS_OPEN_KEEP_MS;
       mm_suspects_tick (s);
@@ -124,8 +126,9 @@
 }
 END_TEST
 
-/* After one crash all tasks of the upstream are suspect.  After a second crash
-   under one of them, the others must not be given up.  */
+/* An upstream crashes, so that all tasks that ran there are suspect.  A second
+   upstream crashes while it runs one of these tasks alone.  That task must be
+   given up, and the others must not.  */
 START_TEST (tasks_beside_a_poison_task_are_not_given_up)
 {
   mm_suspects *s = suspects_setup ();
@@ -143,9 +146,9 @@
 }
 END_TEST
 
-/* A poison task that is not suspect yet may start beside an isolated suspect
-   when there is no other free capacity.  The suspect must not be given up for
-   the crash that the poison task causes.  */
+/* A suspect task runs isolated, and a poison task that is not suspect yet is
+   started beside it because there is no other free capacity.  The suspect must
+   not be given up for the crash that the poison task causes.  */
 START_TEST (suspect_beside_a_new_poison_task_is_not_given_up)
 {
   mm_suspects *s = suspects_setup ();
@@ -161,8 +164,9 @@
 }
 END_TEST
 
-/* After two crashes with the same two suspects, a third crash decides which of
-   them is given up.  */
+/* Two upstreams crash, each while it runs the same two tasks.  Neither task
+   may be given up.  A third crash, with only one of the tasks, must decide
+   which of the two is given up.  */
 START_TEST (third_crash_decides_between_two_suspects)
 {
   mm_suspects *s = suspects_setup ();
@@ -178,8 +182,9 @@
 }
 END_TEST
 
-/* An upstream that was disconnected and answered again can be lost a second
-   time; a late report of the first loss changes nothing.  */
+/* An upstream that was disconnected and has answered again can be lost a
+   second time.  A late report of the first loss must not make its tasks
+   suspect.  */
 START_TEST (upstream_that_answered_can_be_lost_again)
 {
   mm_suspects *s = suspects_setup ();
@@ -195,14 +200,16 @@
 }
 END_TEST
 
+/* Counts the losses that were added or changed.  @ctx: an int.  */
 static void
 count_changes (void *ctx, const mm_loss *l)
 {
   (*(int *)ctx)++;
 }
 
-/* Instances report losses to each other.  A loss that is known already must
-   not be reported again, or the messages would never cease.  */
+/* Instances report losses to each other.  An instance must not pass on a loss
+   that it knows already, or the messages between the instances would never
+   cease.  */
 START_TEST (known_loss_is_not_reported_again)
 {
   mm_suspects *s = suspects_setup ();
@@ -224,6 +231,8 @@
 }
 END_TEST
 
+/* The record of losses must not grow without limit: at most MM_SUSPECTS_MAX
+   losses are kept, and each for MM_SUSPECTS_KEEP_MS.  */
 START_TEST (losses_are_bounded_and_expire)
 {
   mm_suspects *s = suspects_setup ();
@@ -242,9 +251,11 @@
 
 /* ---- with an owner ---------------------------------------------------- */
 
+/* In thousandths of a core.  Two tasks of TASK_CPU_MILLI fit.  */
 #define UPSTREAM_CPU_MILLI 32000
 #define TASK_CPU_MILLI 14000
 
+/* An owner that records lost upstreams in @suspects.  */
 typedef struct
 {
   fakes *upstreams;
@@ -271,12 +282,15 @@
   fakes_destroy (fx->upstreams);
 }
 
+/* Stores how a task ended.  @ctx: an mm_end.  */
 static void
 on_done (void *ctx, const mm_work_result *r)
 {
   *(mm_end *)ctx = r->how;
 }
 
+/* Submits a task that takes TASK_CPU_MILLI for 3 s.  @isolated: whether it is
+   suspect.  @how: receives its end, MM_END_COUNT until then.  */
 static mm_task_id
 start_task (fixture *fx, const char *job, bool isolated, mm_end *how)
 {
@@ -287,8 +301,9 @@
   return t.id;
 }
 
-/* A task that is lost repeatedly, with upstreams that are unresponsive for a
-   while and then answer as the same incarnation, must not be given up.  */
+/* Upstreams are unresponsive for a while and then answer as the same
+   incarnation.  A task that is lost with one such upstream after another must
+   not be given up.  */
 START_TEST (task_on_disconnected_upstreams_is_never_given_up)
 {
   fixture fx = fixture_create ();
@@ -317,8 +332,8 @@
 }
 END_TEST
 
-/* A restart counts as a crash, but not that of an upstream that was listed as
-   draining.  */
+/* The restart of an upstream counts as a crash unless the upstream was listed
+   as draining before it.  */
 START_TEST (restarted_upstream_has_crashed_unless_it_was_draining)
 {
   fixture fx = fixture_create ();
@@ -347,8 +362,9 @@
 }
 END_TEST
 
-/* A second crash identifies the poison task only if no other task ran on that
-   upstream, so suspects must run isolated.  */
+/* A crash identifies the poison task only if no other task ran on that
+   upstream.  So suspect tasks must run isolated: beside no other task while
+   there is other free capacity.  */
 START_TEST (suspect_runs_isolated)
 {
   fixture fx = fixture_create ();
@@ -374,7 +390,7 @@
   uint32_t alone = 0;
   for (int i = 0; i < 3; i++)
     alone += fake_running (x[i]) == 1;
-  ck_assert_uint_eq (alone, 2); /* the two suspects */
+  ck_assert_uint_eq (alone, 2); /* the two suspect tasks */
   fixture_destroy (&fx);
 }
 END_TEST
