--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -335,8 +335,8 @@
     }
 }
 
-/* Notifies the other instance of a run that this instance's owner has found.
- */
+/* Notifies the other instance of a run that the owner of this instance has
+   found.  */
 static void
 on_found (void *ctx, const mm_found_run *r)
 {
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -67,8 +67,8 @@
 
 /* For three seconds, tasks arrive at twice the rate at which the places can
    run them.  Without refusals the queue grows without limit, and after a
-   second every job is late.  With refusals most accepted jobs must be in time.
- */
+   second every job is late.  With refusals, most accepted jobs must be in
+   time.  */
 START_TEST (overload_is_refused_rather_than_served_late)
 {
   enum
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -1,6 +1,6 @@
-/* Tests that instances share the work of reading the upstream list: several
-   meshes in one process on loopback, with a fake store of one stream that
-   counts the reads.  */
+/* Tests that instances share the work of reading the upstream list.  The
+   instances are meshes in one process, connected over loopback.  A simulated
+   store holds the list as one stream and counts the reads.  */
 #include "config.h"
 #include "harness.h"
 #include "mm_list_update.h"
@@ -13,44 +13,50 @@
 
 #define INSTANCES 12
 #define UPSTREAMS 40
-#define CALL_MS 4           /* time that the store takes to answer a call */
-#define HEARTBEAT_S 0.1     /* between heartbeats of all upstreams */
-#define DRAIN_BOUND_MS 2000 /* shortest drain limit that a platform has */
+#define CALL_MS 4       /* time that the store takes to answer a call */
+#define HEARTBEAT_S 0.1 /* between heartbeats, of all upstreams at once */
+/* Shortest time, of all platforms, after which a draining upstream must get no
+   start.  */
+#define DRAIN_BOUND_MS 2000
 
+/* A record of the stream: the list entry of an upstream.  */
 typedef struct
 {
   mm_upstream_info info;
   bool draining;
 } record;
 
+/* The store and the instances, which are known by their index.  */
 typedef struct
 {
   struct ev_loop *loop;
-  ev_timer tick;
-  ev_timer heartbeat;
-  GArray *records; /* record, in the order of the stream */
-  uint32_t n_reads;
+  ev_timer tick;           /* ticks the instances */
+  ev_timer heartbeat;      /* appends the records of heartbeats */
+  GArray *records;         /* record, in the order of the stream */
+  uint32_t n_reads;        /* calls to the store */
   uint32_t n_records_sent; /* in answers to all reads */
   int last_reader;         /* instance that sent the last read */
   int unanswered;          /* instance whose calls get no answer, -1: none */
-  int no_history;          /* instance whose next tail call finds the history
-                             dropped, -1: none */
+  /* Instance whose next read of changes finds that the store has dropped the
+     history of the stream, -1: none.  */
+  int no_history;
   mm_owner *owner[INSTANCES];
-  mm_mesh *mesh[INSTANCES];
+  mm_mesh *mesh[INSTANCES]; /* NULL: the instance was stopped */
   mm_catalog *catalog[INSTANCES];
   mm_list_share *list_share[INSTANCES];
   mm_mesh_peer_info info[INSTANCES];
 } fixture;
 
+/* A call to the store from its sending to its answer.  */
 typedef struct
 {
-  ev_timer timer;
+  ev_timer timer; /* runs until the answer */
   fixture *fx;
   bool newest; /* reads the newest record of each key, else the changes */
-  int caller;  /* instance */
-  uint64_t from_offset;
-  mm_stream_answered done;
-  void *ctx;
+  int caller;  /* instance that sent the call */
+  uint64_t from_offset;    /* of the first change to read */
+  mm_stream_answered done; /* callback for the answer */
+  void *ctx;               /* argument of the callback */
 } call;
 
 static char *
@@ -59,6 +65,7 @@
   return g_strdup_printf ("up%d", i);
 }
 
+/* Appends a list entry of an upstream to the stream.  */
 static void
 append_record (fixture *fx, int upstream, bool draining)
 {
@@ -71,6 +78,8 @@
   g_array_append_val (fx->records, r);
 }
 
+/* Answers a call.  The newest records are the last ones in the stream, as many
+   as there are upstreams.  */
 static void
 answer_cb (struct ev_loop *loop, ev_timer *t, int revents)
 {
@@ -105,6 +114,8 @@
   g_free (c);
 }
 
+/* Sends a call to the store.  If the caller gets no answers, the call fails
+   after @timeout_ms.  */
 static void
 call_store (int caller, fixture *fx, bool newest, uint64_t from,
             mm_time_ms timeout_ms, mm_stream_answered done, void *ctx)
@@ -123,9 +134,10 @@
   ev_timer_start (fx->loop, &c->timer);
 }
 
+/* Identifies an instance to the store.  */
 typedef struct
 {
-  int number;
+  int number; /* index of the instance */
   fixture *fixture;
 } caller;
 
@@ -159,6 +171,7 @@
       }
 }
 
+/* Returns whether the last record of an upstream lists it as draining.  */
 static bool
 is_draining (fixture *fx, int upstream)
 {
@@ -174,7 +187,7 @@
   return draining;
 }
 
-/* Each upstream repeats its last entry.  */
+/* Appends the last entry of each upstream again.  */
 static void
 heartbeat_cb (struct ev_loop *loop, ev_timer *t, int revents)
 {
@@ -194,6 +207,7 @@
   ev_break (loop, EVBREAK_ALL);
 }
 
+/* Runs the event loop for @ms.  */
 static void
 run_for (fixture *fx, mm_time_ms ms)
 {
@@ -203,6 +217,7 @@
   ev_run (fx->loop, 0);
 }
 
+/* Creates instance @i.  @c: receives its identity, and must live as long.  */
 static void
 add_instance (fixture *fx, int i, caller *c)
 {
@@ -227,6 +242,8 @@
 
 static caller callers[INSTANCES];
 
+/* Creates the store and the instances.  On return, all instances know the
+   list.  */
 static fixture *
 fixture_create (void)
 {
@@ -279,8 +296,8 @@
   return u && u->draining;
 }
 
-/* Returns how long it takes until all remaining instances know that an
-   upstream is draining; stops waiting after 10 s.  */
+/* Runs until all instances that were not stopped know that an upstream is
+   draining, or for 10 s.  Returns how long that took.  */
 static mm_time_ms
 known_to_all_ms (fixture *fx, int upstream)
 {
@@ -297,17 +314,18 @@
     }
 }
 
-/* Guards against a store that is busy only with sending the list: with
-   hundreds of instances that each read all of it every 0.9 s, the store does
-   little else.  Twelve instances, with forty upstreams that write to the list
-   every 100 ms, may send at most a quarter of those reads.  */
+/* Guards against a store that is busy only with sending the list.  If each of
+   twelve instances reads all of the list every 0.9 s, the store sends the list
+   twelve times in 0.9 s; with hundreds of instances it does little else.  The
+   instances, with forty upstreams that write to the list every 100 ms, must
+   make do with a quarter of these reads.  */
 START_TEST (list_is_read_rarely_and_known_to_all)
 {
   fixture *fx = fixture_create ();
   fx->n_reads = fx->n_records_sent = 0;
   run_for (fx, 4000);
-  uint32_t each = 4000 / 900;
-  ck_assert_uint_le (fx->n_reads, INSTANCES * each / 4);
+  uint32_t full_reads_each = 4000 / 900;
+  ck_assert_uint_le (fx->n_reads, INSTANCES * full_reads_each / 4);
   ck_assert_uint_ge (fx->n_reads, 4);
   mm_time_ms now = mm_clock_now_ms ();
   for (int i = 0; i < INSTANCES; i++)
@@ -321,10 +339,10 @@
 }
 END_TEST
 
-/* Guards against tasks started on a draining upstream: the instance that reads
-   the draining entry dies before it has notified any other.  If the others
-   waited for its update, they would start tasks there until the upstream was
-   gone.  */
+/* Guards against tasks started on a draining upstream when the instance that
+   has read the entry of that upstream dies before it notifies the others.  If
+   the others waited for an update of the dead instance, they would start tasks
+   on the upstream until it was gone.  */
 START_TEST (reader_that_dies_does_not_delay_the_others)
 {
   fixture *fx = fixture_create ();
@@ -340,9 +358,9 @@
 }
 END_TEST
 
-/* Guards against a stale list at a reader that gets no answer from the store:
-   the store answers the other instances, which read the list and send that
-   reader their updates.  */
+/* Guards against an outdated list at the instance whose turn it is to read, if
+   the store does not answer this instance.  The store answers the others: they
+   must read the list instead and send their updates to this instance.  */
 START_TEST (reader_without_the_store_is_updated_by_the_others)
 {
   fixture *fx = fixture_create ();
@@ -355,8 +373,9 @@
 }
 END_TEST
 
-/* Delivers to instance 0 an update of a peer that holds no changes and was
-   sent @sent_ago_ms ago.  */
+/* Delivers an update without changes from instance 1 to instance 0.  The
+   update was sent @sent_ago_ms ago.  @delay: state of the link between the
+   two.  */
 static void
 deliver_update (fixture *fx, mm_queue_delay *delay, mm_time_ms sent_ago_ms)
 {
@@ -375,8 +394,8 @@
   msgpack_sbuffer_destroy (&buffer);
 }
 
-/* Guards against a list that seems newer than it is: an update that waited in
-   queues for DRAIN_BOUND_MS must not count as sent just now.  */
+/* Guards against a list that seems more recent than it is.  An update that
+   waited in queues for DRAIN_BOUND_MS must not count as sent just now.  */
 START_TEST (delayed_update_is_not_taken_for_a_new_one)
 {
   fixture *fx = fixture_create ();
@@ -397,8 +416,9 @@
 }
 END_TEST
 
-/* Makes an instance find the history dropped, so that it reads all of the list
-   again; after @after_ms the store no longer answers it.  */
+/* Makes instance @i read all of the list again, because the store has dropped
+   the history.  From @after_ms later on, the store does not answer the
+   instance any more.  */
 static void
 full_read_then_lose_store (fixture *fx, int i, mm_time_ms after_ms)
 {
@@ -410,8 +430,9 @@
   run_for (fx, MM_LIST_POLL_MS + MM_LIST_RANK_MAX * MM_LIST_RANK_DELAY_MS);
 }
 
-/* Guards against an instance that misses changes after a full read: it ignores
-   updates for a while, and the store stops answering it in that time.  */
+/* Guards against an instance that misses changes after it has read all of the
+   list.  For MM_LIST_OWN_READS_MS the instance reads the list by itself and
+   ignores updates.  In that time the store stops answering the instance.  */
 START_TEST (instance_refused_after_a_full_read_is_updated_by_the_others)
 {
   fixture *fx = fixture_create ();
@@ -421,11 +442,11 @@
 }
 END_TEST
 
-/* Guards against tasks started twice after a store outage, in which entries
-   have expired.  An instance that starts then reads an incomplete list.
-   Upstreams that are missing from it may still have the ends of kept jobs'
-   tasks; a search for these tasks would not find them, and the tasks would be
-   started again.  */
+/* Guards against tasks that are started twice after an outage of the store, in
+   which list entries have expired.  An instance that starts at that time reads
+   an incomplete list.  Upstreams that are missing from the list may still have
+   the ends of kept jobs' tasks.  A search for these tasks would not find the
+   ends, and the tasks would be started again.  */
 START_TEST (list_read_for_the_first_time_is_not_complete_at_once)
 {
   fixture *fx = fixture_create ();
@@ -445,17 +466,19 @@
 }
 END_TEST
 
-/* Guards against one instance that always reads: the answers load its link, so
-   the reader must change from round to round.  */
+/* Guards against a single instance that reads the list in all rounds.  The
+   answers of the store load the reader's link, so the reader must change from
+   round to round.  */
 START_TEST (readers_alternate)
 {
   char *names[INSTANCES];
+  /* Whether the instance was the first to read in any round.  */
   bool first[INSTANCES] = { false };
   for (int i = 0; i < INSTANCES; i++)
     names[i] = g_strdup_printf ("n%d", i);
   for (uint64_t round = 0; round < 200; round++)
     {
-      int firsts = 0;
+      int n_first = 0;
       for (int i = 0; i < INSTANCES; i++)
         {
           GList *others = NULL;
@@ -464,18 +487,19 @@
               others = g_list_prepend (others, names[k]);
           if (mm_list_read_rank (names[i], others, round) == 0)
             {
-              firsts++;
+              n_first++;
               first[i] = true;
             }
           g_list_free (others);
         }
-      ck_assert_int_eq (firsts, 1);
+      ck_assert_int_eq (n_first, 1);
     }
   for (int i = 0; i < INSTANCES; i++)
     ck_assert (first[i]);
 }
 END_TEST
 
+/* Returns a list entry of a draining upstream.  */
 static mm_upstream_info
 listed_upstream (char *name)
 {
@@ -490,8 +514,8 @@
                              .draining = true };
 }
 
-/* The log must return exactly the changes after an offset, and must drop its
-   oldest changes when it holds more than MM_LIST_LOG_MAX.  */
+/* The log of list changes must return exactly the changes after an offset, and
+   must drop its oldest changes when it holds more than MM_LIST_LOG_MAX.  */
 START_TEST (log_returns_changes_after_an_offset)
 {
   mm_list_log *l = mm_list_log_create ();
@@ -514,8 +538,8 @@
 }
 END_TEST
 
-/* An update must be read as it was packed.  A truncated one must be refused,
-   and a corrupted one must not crash the reader.  */
+/* An update must be read as it was packed.  A truncated update must be
+   refused, and a corrupted update must not crash the reader.  */
 START_TEST (update_is_read_as_it_was_written)
 {
   mm_upstream_info u = listed_upstream ("a");
@@ -542,18 +566,18 @@
       ck_assert (!mm_list_update_read (buffer.data, len, &out));
       mm_list_update_clear (&out);
     }
-  GRand *rand = g_rand_new_with_seed (7);
+  GRand *rng = g_rand_new_with_seed (7);
   for (int i = 0; i < 20000; i++)
     {
       char *bytes = g_memdup2 (buffer.data, buffer.size);
       for (int k = 0; k < 3; k++)
-        bytes[g_rand_int_range (rand, 0, (gint32)buffer.size)]
-            = (char)g_rand_int_range (rand, 0, 256);
+        bytes[g_rand_int_range (rng, 0, (gint32)buffer.size)]
+            = (char)g_rand_int_range (rng, 0, 256);
       mm_list_update_read (bytes, buffer.size, &out);
       mm_list_update_clear (&out);
       g_free (bytes);
     }
-  g_rand_free (rand);
+  g_rand_free (rng);
   msgpack_sbuffer_destroy (&buffer);
 }
 END_TEST
--- a/tests/test_ownership_changes.c
+++ b/tests/test_ownership_changes.c
@@ -1,6 +1,6 @@
-/* Tests that a session follows its upstream's list entry at once, whatever the
-   state of the partition, with upstreams in memory and a clock that the test
-   moves.  */
+/* Tests that a change of an upstream's list entry is in force in the session
+   with that upstream at once, whatever the state of its partition.  The
+   upstreams are simulated in memory, on a clock that the test advances.  */
 #include "config.h"
 #include "fake_upstreams.h"
 #include "harness.h"
@@ -14,18 +14,20 @@
 {
   UPSTREAMS = 6,
   UPSTREAM_CPU_MILLI = 32000, /* four tasks fit */
-  TASK_CPU_MILLI = 8000,
+  TASK_CPU_MILLI = 8000,      /* in thousandths of a core */
   CALL_MAX_MS = 5, /* longest time that a call to an upstream takes */
-  LONG_MS = 2000,
-  SHORT_MS = 50
+  LONG_MS = 2000,  /* run time of a long task */
+  SHORT_MS = 50    /* run time of a short task */
 };
 
+/* The partition of one upstream.  */
 typedef struct
 {
   mm_partition_state state;
-  uint64_t fence;
+  uint64_t fence; /* fencing token */
 } partition;
 
+/* One instance and its upstreams; upstream @i is alone in partition @i.  */
 typedef struct
 {
   fakes *fake_upstreams;
@@ -34,12 +36,13 @@
   mm_ownership *ownership;
   fake *upstreams[UPSTREAMS];
   partition partitions[UPSTREAMS];
-  uint64_t changes; /* number of changes of partitions */
-  uint64_t last_fence;
-  bool list_fresh;
-  uint32_t n_tasks;
+  uint64_t changes;    /* number of changes of partitions */
+  uint64_t last_fence; /* last fencing token that was assigned */
+  bool list_fresh;     /* the list was read since partitions were assigned */
+  uint32_t n_tasks;    /* number of submitted tasks */
 } fixture;
 
+/* Returns the partition of an upstream, whose name is "u" and its index.  */
 static partition *
 partition_of (fixture *fx, const mm_upstream_info *u)
 {
@@ -76,6 +79,7 @@
   return false;
 }
 
+/* Records the current list entry of upstream @i in the catalog.  */
 static void
 list_upstream (fixture *fx, int i)
 {
@@ -83,6 +87,8 @@
   mm_catalog_put (fx->catalog, fake_info (fx->upstreams[i]), &read);
 }
 
+/* Changes the state of partition @i.  A partition that this instance gets from
+   elsewhere has a new fencing token.  */
 static void
 assign (fixture *fx, int i, mm_partition_state state)
 {
@@ -93,6 +99,7 @@
   fx->changes++;
 }
 
+/* Advances the clock and ticks the owner and its ownerships.  */
 static void
 run_for (fixture *fx, mm_time_ms ms)
 {
@@ -103,6 +110,7 @@
     }
 }
 
+/* Returns an instance that owns all upstreams.  */
 static fixture *
 fixture_create (void)
 {
@@ -146,6 +154,7 @@
 {
 }
 
+/* Submits a task that may wait for free capacity for @wait_max_ms.  */
 static void
 submit (fixture *fx, mm_time_ms run_ms, mm_time_ms wait_max_ms)
 {
@@ -156,7 +165,8 @@
 }
 
 /* Starts a long task on each upstream, so that a handover takes time.  Short
-   tasks fill the rest of the capacity and have ended on return.  */
+   tasks, which have ended on return, fill the rest of the capacity to spread
+   the long ones.  */
 static void
 start_long_tasks (fixture *fx)
 {
@@ -179,6 +189,7 @@
     }
 }
 
+/* Returns the number of starts on all upstreams so far.  */
 static uint32_t
 total_starts (const fixture *fx)
 {
@@ -205,7 +216,8 @@
 }
 
 /* Guards against tasks started on a draining upstream while its partition is
-   owned: an order must not follow the list entry by more than a call.  */
+   owned: no start may arrive later than CALL_MAX_MS after the list entry has
+   changed.  */
 START_TEST (draining_is_in_force_while_partitions_are_owned)
 {
   fixture *fx = fixture_create ();
@@ -216,7 +228,8 @@
 END_TEST
 
 /* Guards against tasks started on a draining upstream while its partition is
-   handed over, when short tasks still start there.  */
+   handed over.  During a handover short tasks still start on upstreams that
+   are not draining.  */
 START_TEST (draining_is_in_force_during_a_handover)
 {
   fixture *fx = fixture_create ();
@@ -232,7 +245,7 @@
 END_TEST
 
 /* Guards against tasks started on a draining upstream while the upstream list
-   is stale.  */
+   was not read again since partitions were assigned.  */
 START_TEST (draining_is_in_force_while_the_list_is_not_fresh)
 {
   fixture *fx = fixture_create ();
@@ -243,8 +256,9 @@
 }
 END_TEST
 
-/* Guards against tasks started on a draining upstream by an outdated change:
-   a peer's update repeats changes from before the receiver's own read.  */
+/* Guards against tasks started on a draining upstream because of an outdated
+   change.  A peer's update can repeat changes from before the receiver's own
+   read: the upstream is listed as not draining for a moment.  */
 START_TEST (change_that_is_undone_at_once_starts_nothing)
 {
   fixture *fx = fixture_create ();
@@ -271,7 +285,7 @@
 }
 END_TEST
 
-/* Guards against too many tasks on an upstream whose capacity shrinks while
+/* Guards against too many tasks on an upstream whose capacity is reduced while
    its partition is handed over.  */
 START_TEST (smaller_capacity_is_in_force_during_a_handover)
 {
@@ -294,8 +308,8 @@
 }
 END_TEST
 
-/* Guards against a session that outlives its upstream because the list is
-   stale.  */
+/* Guards against a session that goes on after its upstream has left the list,
+   because the list was not read again since partitions were assigned.  */
 START_TEST (
     upstream_that_is_gone_loses_its_session_while_the_list_is_not_fresh)
 {
@@ -316,22 +330,24 @@
 }
 END_TEST
 
+/* Changes at random whether an upstream is draining, the state of a partition,
+   whether the list is fresh, or lists a missing upstream again.  */
 static void
-change_at_random (fixture *fx, GRand *rnd)
+change_at_random (fixture *fx, GRand *rng)
 {
-  int i = g_rand_int_range (rnd, 0, UPSTREAMS);
-  switch (g_rand_int_range (rnd, 0, 5))
+  int i = g_rand_int_range (rng, 0, UPSTREAMS);
+  switch (g_rand_int_range (rng, 0, 5))
     {
     case 0:
-      fake_set_draining (fx->upstreams[i], g_rand_boolean (rnd));
+      fake_set_draining (fx->upstreams[i], g_rand_boolean (rng));
       list_upstream (fx, i);
       break;
     case 1:
     case 2:
-      assign (fx, i, (mm_partition_state)g_rand_int_range (rnd, 0, 3));
+      assign (fx, i, (mm_partition_state)g_rand_int_range (rng, 0, 3));
       break;
     case 3:
-      fx->list_fresh = g_rand_boolean (rnd);
+      fx->list_fresh = g_rand_boolean (rng);
       break;
     default:
       mm_catalog_set_missing (fx->catalog, fake_info (fx->upstreams[i])->name);
@@ -340,29 +356,30 @@
     }
 }
 
-/* Guards against tasks started on a draining upstream after any order of list
-   changes, reassigned partitions and stale lists.  */
+/* Guards against tasks started on a draining upstream after changes of the
+   list and of partitions in any order.  With 50 seeds, 200 random changes are
+   made each time.  */
 START_TEST (random_changes_never_start_a_task_on_a_draining_upstream)
 {
-  GRand *rnd = g_rand_new_with_seed ((guint32)_i);
+  GRand *rng = g_rand_new_with_seed ((guint32)_i);
   fixture *fx = fixture_create ();
   start_long_tasks (fx);
   uint32_t starts[UPSTREAMS];
   for (int step = 0; step < 200; step++)
     {
-      change_at_random (fx, rnd);
+      change_at_random (fx, rng);
       fakes_run (fx->fake_upstreams, fx->owner, CALL_MAX_MS);
       for (int i = 0; i < UPSTREAMS; i++)
         starts[i] = fake_starts (fx->upstreams[i]);
       for (int i = 0; i < UPSTREAMS; i++)
-        submit (fx, g_rand_int_range (rnd, SHORT_MS, LONG_MS), LONG_MS);
-      run_for (fx, g_rand_int_range (rnd, 1, 80));
+        submit (fx, g_rand_int_range (rng, SHORT_MS, LONG_MS), LONG_MS);
+      run_for (fx, g_rand_int_range (rng, 1, 80));
       for (int i = 0; i < UPSTREAMS; i++)
         ck_assert (!fake_info (fx->upstreams[i])->draining
                    || fake_starts (fx->upstreams[i]) == starts[i]);
     }
   fixture_destroy (fx);
-  g_rand_free (rnd);
+  g_rand_free (rng);
 }
 END_TEST
 
