--- a/daemons/masticmill_upstream.c
+++ b/daemons/masticmill_upstream.c
@@ -67,7 +67,7 @@
       g_critical ("%s", err->message);
       return 1;
     }
-  mm_upstream_on_crash (upstream, crash, &s);
+  mm_upstream_set_crash_handler (upstream, crash, &s);
   ev_signal term, intr;
   ev_signal_init (&term, on_signal, SIGTERM);
   ev_signal_init (&intr, on_signal, SIGINT);
--- a/include/masticmill.h
+++ b/include/masticmill.h
@@ -173,9 +173,9 @@
   void mm_http_reply (mm_http_request *r, unsigned status, const char *body,
                       uint32_t retry_after_s); /* JSON reply, frees r later */
   /* Called when the caller closes the connection before the answer.  */
-  typedef void (*mm_http_left_cb) (void *ctx);
-  void mm_http_request_on_left (mm_http_request *r, mm_http_left_cb left,
-                                void *ctx);
+  typedef void (*mm_http_closed_cb) (void *ctx);
+  void mm_http_request_on_close (mm_http_request *r, mm_http_closed_cb left,
+                                 void *ctx);
   /* Closes each connection with its next answer, or when it is idle, so that
      callers connect to another instance.  */
   void mm_http_server_set_leaving (mm_http_server *s);
@@ -328,18 +328,21 @@
                      mm_peer_answer_cb done, void *ctx);
   typedef enum
   {
-    MM_TELL_USAGE = 1,  /* number of tasks of each team, see mm_quota */
-    MM_TELL_EJECTED = 2 /* name of an upstream that the peer ejected */
-  } mm_tell_kind;
+    MM_NOTIFICATION_USAGE = 1, /* number of tasks of each team, see mm_quota */
+    MM_NOTIFICATION_EJECTED = 2 /* name of an upstream that the peer ejected */
+  } mm_notification_kind;
   /* Called for each notification from a peer.  @peer: name of the peer.  */
-  typedef void (*mm_peer_tell_cb) (mm_tell_kind kind, const char *peer,
-                                   const uint8_t *payload, size_t len,
-                                   void *ctx);
-  void mm_peer_set_tell (mm_peer *p, mm_peer_tell_cb on_tell, void *ctx);
+  typedef void (*mm_peer_notification_cb) (mm_notification_kind kind,
+                                           const char *peer,
+                                           const uint8_t *payload, size_t len,
+                                           void *ctx);
+  void mm_peer_set_notification_cb (mm_peer *p,
+                                    mm_peer_notification_cb notification_cb,
+                                    void *ctx);
   /* Sends a notification to a peer, which does not answer it.  @self: name of
      this instance.  */
-  void mm_peer_tell (mm_peer *p, const char *addr, mm_tell_kind kind,
-                     const char *self, const uint8_t *payload, size_t len);
+  void mm_peer_notify (mm_peer *p, const char *addr, mm_notification_kind kind,
+                       const char *self, const uint8_t *payload, size_t len);
   /* Closes the link to a peer; its pending requests fail at once.  */
   void mm_peer_drop (mm_peer *p, const char *addr);
   uint16_t mm_peer_port (const mm_peer *p); /* listening port */
@@ -463,8 +466,8 @@
   /* Refuses new tasks and calls @drained when all others have ended.  */
   void mm_upstream_drain (mm_upstream *u, void (*drained) (void *), void *ctx);
   /* Sets the function that simulates the crash by a poison task.  */
-  void mm_upstream_on_crash (mm_upstream *u, void (*crash) (void *),
-                             void *ctx);
+  void mm_upstream_set_crash_handler (mm_upstream *u, void (*crash) (void *),
+                                      void *ctx);
   char *mm_upstream_dump (const mm_upstream *u); /* state as JSON */
 
   typedef struct
--- a/src/config.h
+++ b/src/config.h
@@ -57,7 +57,7 @@
 #define MM_LOG_CALL_TIMEOUT_MS 1000 /* of a call to the log of a shard */
 #define MM_SHARD_TAKE_BURST 3 /* takeover attempts, then wait for a tick */
 /* An instance that has been up for longer saw the earlier owners of shards. */
-#define MM_WITNESS_UPTIME_MS 15000
+#define MM_OBSERVER_UPTIME_MS 15000
 /* Timeout of the check with the log whether a shard is still owned here.
    While that is not confirmed, no answer states that a task was not run.  */
 #define MM_VERIFY_TIMEOUT_MS 300
@@ -139,7 +139,7 @@
 #define MM_RTO_LATE_MAX_MS 300
 #define MM_ORDER_BYTES 600u /* size of an upstream call without payload */
 /* After the timeout of a call, its answer is still received for this long.  */
-#define MM_CALL_LATE_MS 500
+#define MM_LATE_ANSWER_MS 500
 /* Late answers of two upstreams within this time have a common cause, such as
    the link or the processor of this instance.  */
 #define MM_RTO_COMMON_CAUSE_MS 1000
@@ -350,7 +350,7 @@
 #define MM_HTTP_CACHED_CONNECTIONS 400
 
 /* Kept jobs, which are stored before they are accepted and run to their end
-   whatever instance dies (mm_job_log, mm_kept, mm_kept_run).  */
+   whatever instance dies (mm_job_log, mm_kept, mm_kept_tasks).  */
 #define MM_JOBS_GROUP "jobs" /* assigns the partitions of kept jobs */
 /* Records that arrive during an append share the next append, which follows
    at once and takes some 5 ms.  While the store refuses calls, the pause
--- a/src/mm_entry_notify.c
+++ b/src/mm_entry_notify.c
@@ -11,14 +11,16 @@
 
 /* Sends a notification to all live peers.  */
 static void
-notify_all (mm_entry *e, mm_tell_kind kind, const uint8_t *payload, size_t len)
+notify_all (mm_entry *e, mm_notification_kind kind, const uint8_t *payload,
+            size_t len)
 {
   GHashTableIter it;
   gpointer name, addr;
   g_hash_table_iter_init (&it, e->peer_addrs);
   while (g_hash_table_iter_next (&it, &name, &addr))
     {
-      mm_peer_tell (e->peer_links, addr, kind, e->settings.name, payload, len);
+      mm_peer_notify (e->peer_links, addr, kind, e->settings.name, payload,
+                      len);
       mm_counters_add (e->counters, "news_sent", 1);
       mm_counters_add (e->counters, "news_bytes", (int64_t)len);
     }
@@ -32,7 +34,7 @@
 void
 mm_entry_notify_ejected (mm_entry *e, const char *upstream)
 {
-  notify_all (e, MM_TELL_EJECTED, (const uint8_t *)upstream,
+  notify_all (e, MM_NOTIFICATION_EJECTED, (const uint8_t *)upstream,
               strlen (upstream));
 }
 
@@ -53,7 +55,7 @@
   GByteArray *report = g_byte_array_new ();
   if (mm_quota_report (e->quota, g_hash_table_size (e->peer_addrs) + 1,
                        quota_of, e, report))
-    notify_all (e, MM_TELL_USAGE, report->data, report->len);
+    notify_all (e, MM_NOTIFICATION_USAGE, report->data, report->len);
   g_byte_array_free (report, TRUE);
 }
 
@@ -84,12 +86,12 @@
 
 /* Handles a notification from a peer.  Unknown kinds are ignored.  */
 static void
-on_notification (mm_tell_kind kind, const char *peer, const uint8_t *payload,
-                 size_t len, void *ctx)
+on_notification (mm_notification_kind kind, const char *peer,
+                 const uint8_t *payload, size_t len, void *ctx)
 {
-  if (kind == MM_TELL_USAGE)
+  if (kind == MM_NOTIFICATION_USAGE)
     apply_usage (ctx, peer, payload, len);
-  else if (kind == MM_TELL_EJECTED)
+  else if (kind == MM_NOTIFICATION_EJECTED)
     apply_ejected (ctx, payload, len);
 }
 
@@ -100,7 +102,7 @@
 void
 mm_entry_notify_start (mm_entry *e)
 {
-  mm_peer_set_tell (e->peer_links, on_notification, e);
+  mm_peer_set_notification_cb (e->peer_links, on_notification, e);
   ev_timer_init (&e->quota_report, quota_report_cb,
                  MM_QUOTA_REPORT_MS / 1000.0, MM_QUOTA_REPORT_MS / 1000.0);
   e->quota_report.data = e;
--- a/src/mm_entry_priv.h
+++ b/src/mm_entry_priv.h
@@ -174,7 +174,7 @@
 void mm_entry_shards_dump (const mm_entry *e, cJSON *out);
 mm_shard *mm_entry_shard_of (mm_entry *e, const char *job_id);
 const char *mm_entry_route (mm_entry *e, const char *job_id, uint32_t hops);
-void mm_entry_check_owner (mm_entry *e, const char *job_id);
+void mm_entry_check_shard_owner (mm_entry *e, const char *job_id);
 void mm_entry_suspect_peer (mm_entry *e, const char *peer);
 void mm_entry_record_contact (mm_entry *e, bool ok);
 void mm_entry_peers_changed (mm_entry *e, GHashTable *old_addrs);
--- a/src/mm_entry_route.c
+++ b/src/mm_entry_route.c
@@ -265,7 +265,7 @@
     }
   mm_waiter *w = g_new (mm_waiter, 1);
   *w = *routed->waiter;
-  mm_entry_check_owner (e, routed->job_id);
+  mm_entry_check_shard_owner (e, routed->job_id);
   if (!join_known_job (e, w, routed->job_id))
     {
       GError *err = NULL;
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -133,7 +133,8 @@
 }
 
 /**
- * mm_entry_check_owner() - check that the owner of a job's shard is live.
+ * mm_entry_check_shard_owner() - check that the owner of a job's shard is
+ * live.
  * @e: the entry instance.
  * @job_id: the job.
  *
@@ -142,7 +143,7 @@
  * so that a job that stays on this instance need not wait for it.
  */
 void
-mm_entry_check_owner (mm_entry *e, const char *job_id)
+mm_entry_check_shard_owner (mm_entry *e, const char *job_id)
 {
   mm_shard *s = mm_entry_shard_of (e, job_id);
   const char *shard_owner = mm_shard_owner (s);
@@ -375,7 +376,7 @@
    serve jobs without records in an outage and die in it, no instance that
    starts later knows of these jobs.  The shards of an owner that vanished are
    taken within seconds, so an instance that has been up for
-   MM_WITNESS_UPTIME_MS was up at the time of that owner.  */
+   MM_OBSERVER_UPTIME_MS was up at the time of that owner.  */
 static bool
 has_observer (void *ctx)
 {
@@ -383,7 +384,7 @@
   int64_t oldest = e->started_wall_ms;
   if (e->peers_started_wall_ms)
     oldest = MIN (oldest, e->peers_started_wall_ms);
-  return mm_clock_wall_ms () - oldest > MM_WITNESS_UPTIME_MS;
+  return mm_clock_wall_ms () - oldest > MM_OBSERVER_UPTIME_MS;
 }
 
 static bool
--- a/src/mm_exec.c
+++ b/src/mm_exec.c
@@ -393,7 +393,7 @@
 static mm_time_ms
 view_age_ms (const mm_exec *x)
 {
-  const mm_exec_view *v = &x->common->view;
+  const mm_exec_list_age *v = &x->common->view;
   mm_time_ms known_ms = v->list_current_ms ? v->list_current_ms (v->ctx) : 0;
   return known_ms ? mm_clock_now_ms () - known_ms : -1;
 }
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -154,14 +154,14 @@
      measured.  */
   mm_time_ms (*list_current_ms) (void *ctx);
   void *ctx;
-} mm_exec_view;
+} mm_exec_list_age;
 
 /* State that all sessions of an owner share.  */
 typedef struct
 {
   mm_rto_floor floor; /* lower bound of the timeouts */
   mm_uplink uplink;   /* the link that carries the orders */
-  mm_exec_view view;
+  mm_exec_list_age view;
 } mm_exec_common;
 
 mm_exec *mm_exec_create (const mm_upstream_info *u, uint64_t fence,
--- a/src/mm_exec_http.c
+++ b/src/mm_exec_http.c
@@ -129,7 +129,7 @@
                         .header = header_line,
                         .new_connection = new_connection,
                         .timeout_ms = timeout_ms,
-                        .keep_overdue_ms = MM_CALL_LATE_MS };
+                        .keep_overdue_ms = MM_LATE_ANSWER_MS };
   mm_http_client_send (x->client, &call, done, call_state);
   g_free (header_line);
   g_free (url);
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -19,7 +19,7 @@
   mm_suspects *suspects; /* NULL: crashes are not tracked */
 };
 
-struct mm_ticket
+struct mm_dispatched_task
 {
   mm_fleet *fleet;
   mm_work *work;          /* dispatched to this instance; else NULL */
@@ -55,7 +55,7 @@
 }
 
 mm_suspect_action
-mm_fleet_decide (const mm_fleet *f, const mm_task_id *task)
+mm_fleet_suspect_action (const mm_fleet *f, const mm_task_id *task)
 {
   return mm_suspects_decide (f->suspects, task);
 }
@@ -142,7 +142,7 @@
 static void
 on_done (void *ctx, const mm_work_result *r)
 {
-  mm_ticket *t = ctx;
+  mm_dispatched_task *t = ctx;
   /* Records the run time without the wait in the owner's queue.  With the
      wait, the estimated length of a queue would grow with the queue itself,
      and jobs that fit would be refused.  */
@@ -169,7 +169,7 @@
  * a connected peer reports any capacity for the service.  Capacity that is in
  * use counts too: the task then waits at its owner.
  */
-mm_ticket *
+mm_dispatched_task *
 mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
                  const char *returned_by, mm_work_done done, void *ctx)
 {
@@ -193,7 +193,7 @@
   int best = mm_dispatch_choose (choices, n);
   if (best < 0)
     return NULL;
-  mm_ticket *ticket = g_new0 (mm_ticket, 1);
+  mm_dispatched_task *ticket = g_new0 (mm_dispatched_task, 1);
   ticket->fleet = f;
   ticket->done = done;
   ticket->ctx = ctx;
@@ -212,7 +212,7 @@
 }
 
 void
-mm_fleet_cancel (mm_fleet *f, mm_ticket *t)
+mm_fleet_cancel (mm_fleet *f, mm_dispatched_task *t)
 {
   if (t->work)
     mm_owner_cancel (f->owner, t->work);
--- a/src/mm_fleet.h
+++ b/src/mm_fleet.h
@@ -10,7 +10,7 @@
 
 typedef struct mm_fleet mm_fleet;
 /* A dispatched task, until its @done is called or it is cancelled.  */
-typedef struct mm_ticket mm_ticket;
+typedef struct mm_dispatched_task mm_dispatched_task;
 
 /* @owner: the upstreams that this instance owns.  @datacentre: the data
    centre of this instance.  @owner and @mesh must outlive the returned object.
@@ -23,7 +23,8 @@
 void mm_fleet_set_suspects (mm_fleet *f, mm_suspects *s);
 /* Returns what to do with a task that may be a poison task: a task that
    crashes upstreams.  */
-mm_suspect_action mm_fleet_decide (const mm_fleet *f, const mm_task_id *task);
+mm_suspect_action mm_fleet_suspect_action (const mm_fleet *f,
+                                           const mm_task_id *task);
 /* Counts and logs a task that is given up as a poison task, which makes its
    job fail; the log lists the upstreams that crashed.  */
 void mm_fleet_record_given_up (const mm_fleet *f, const mm_task_id *task);
@@ -37,10 +38,10 @@
    called once, after this function has returned, unless the ticket is
    cancelled first.  Returns NULL when neither this instance nor a connected
    peer reports any capacity for the service, free or in use.  */
-mm_ticket *mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
-                            const char *returned_by, mm_work_done done,
-                            void *ctx);
+mm_dispatched_task *mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
+                                     const char *returned_by,
+                                     mm_work_done done, void *ctx);
 /* Cancels a dispatched task and frees its ticket; @done is not called.  */
-void mm_fleet_cancel (mm_fleet *f, mm_ticket *t);
+void mm_fleet_cancel (mm_fleet *f, mm_dispatched_task *t);
 
 #endif /* MM_FLEET_H */
--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -28,9 +28,9 @@
   mm_home *home;
   char id[MM_JOB_ID_MAX + 1];
   mm_job_record *rec;
-  mm_kept_run *run; /* NULL when the job has ended or is not accepted yet */
-  GList *waiters;   /* waiter, in the order of arrival */
-  bool stored;      /* the record has been stored at least once */
+  mm_kept_tasks *run; /* NULL when the job has ended or is not accepted yet */
+  GList *waiters;     /* waiter, in the order of arrival */
+  bool stored;        /* the record has been stored at least once */
   mm_job_phase reported_phase; /* the phase that callers are given, except
                                   that phase_of() adds "running" */
   mm_time_ms received_ms;      /* when the job arrived at this home */
@@ -106,7 +106,7 @@
 {
   job *j = p;
   answer_waiters (j, MM_KEPT_IN_DOUBT, G_MAXINT64);
-  mm_kept_run_destroy (j->run);
+  mm_kept_tasks_destroy (j->run);
   mm_job_record_destroy (j->rec);
   g_free (j);
 }
@@ -143,7 +143,7 @@
   pending_write *w = g_new0 (pending_write, 1);
   w->home = j->home;
   g_strlcpy (w->id, j->id, sizeof w->id);
-  w->acks = j->run ? mm_kept_run_take_acks (j->run) : NULL;
+  w->acks = j->run ? mm_kept_tasks_take_acks (j->run) : NULL;
   return w;
 }
 
@@ -175,7 +175,7 @@
 store_progress (job *j)
 {
   j->progress_due_ms = 0;
-  if (mm_kept_run_started (j->run))
+  if (mm_kept_tasks_started (j->run))
     j->rec->phase = MM_JOB_RUNNING;
   mm_job_log_put (j->home->log, j->id, mm_job_record_pack (j->rec),
                   on_progress_stored, pending_write_create (j));
@@ -209,7 +209,7 @@
 {
   mm_home *h = j->home;
   pending_write *w = pending_write_create (j);
-  mm_kept_run_destroy (g_steal_pointer (&j->run));
+  mm_kept_tasks_destroy (g_steal_pointer (&j->run));
   mm_job_record_set_outcome (j->rec, phase);
   j->progress_due_ms = 0;
   h->n_open_jobs--;
@@ -238,14 +238,14 @@
 static void
 start_run (job *j, bool taken_over)
 {
-  mm_kept_run_events ev
+  mm_kept_tasks_events ev
       = { .progress = on_progress, .finished = on_run_finished, .ctx = j };
-  j->run = mm_kept_run_create (j->home->fleet, j->rec, taken_over, &ev);
+  j->run = mm_kept_tasks_create (j->home->fleet, j->rec, taken_over, &ev);
   /* A job without tasks receives no end that would complete it.  */
-  if (mm_kept_run_all_done (j->run))
+  if (mm_kept_tasks_all_done (j->run))
     end_job (j, MM_JOB_COMPLETED);
   else
-    mm_kept_run_tick (j->run, j->home->may_start);
+    mm_kept_tasks_tick (j->run, j->home->may_start);
 }
 
 /* ---- opening ---------------------------------------------------------- */
@@ -440,7 +440,7 @@
 phase_of (const job *j)
 {
   if (j->reported_phase == MM_JOB_QUEUED && j->run
-      && mm_kept_run_started (j->run))
+      && mm_kept_tasks_started (j->run))
     return MM_JOB_RUNNING;
   return j->reported_phase;
 }
@@ -513,7 +513,7 @@
   while (g_hash_table_iter_next (&it, &v, NULL))
     {
       const job *j = v;
-      n += j->stored && j->run && !mm_kept_run_started (j->run)
+      n += j->stored && j->run && !mm_kept_tasks_started (j->run)
            && strcmp (j->rec->queue, queue) == 0;
     }
   return n;
@@ -545,7 +545,7 @@
   if (j->progress_due_ms && now >= j->progress_due_ms)
     store_progress (j);
   if (j->run)
-    mm_kept_run_tick (j->run, may_start);
+    mm_kept_tasks_tick (j->run, may_start);
 }
 
 void
@@ -574,7 +574,7 @@
   gpointer v;
   g_hash_table_iter_init (&it, h->unfinished);
   while (g_hash_table_iter_next (&it, &v, NULL))
-    if (((job *)v)->run && mm_kept_run_n_dispatched (((job *)v)->run))
+    if (((job *)v)->run && mm_kept_tasks_n_dispatched (((job *)v)->run))
       return false;
   return true;
 }
@@ -594,8 +594,8 @@
   gpointer v;
   g_hash_table_iter_init (&it, h->unfinished);
   while (g_hash_table_iter_next (&it, &v, NULL))
-    if (((job *)v)->run && mm_kept_run_n_in_doubt (((job *)v)->run))
-      mm_kept_run_in_doubt (((job *)v)->run, tasks);
+    if (((job *)v)->run && mm_kept_tasks_n_in_doubt (((job *)v)->run))
+      mm_kept_tasks_in_doubt (((job *)v)->run, tasks);
 }
 
 void
@@ -603,7 +603,7 @@
 {
   job *j = g_hash_table_lookup (h->jobs, e->task.job);
   if (j && j->run)
-    mm_kept_run_record_end (j->run, e, owner);
+    mm_kept_tasks_record_end (j->run, e, owner);
 }
 
 void
@@ -613,11 +613,11 @@
   for (GList *l = jobs; l; l = l->next)
     {
       job *j = l->data;
-      uint32_t n = j->run ? mm_kept_run_n_in_doubt (j->run) : 0;
+      uint32_t n = j->run ? mm_kept_tasks_n_in_doubt (j->run) : 0;
       if (!n)
         continue;
       mm_log_event (MM_EV_KEPT_FOUND, MM_TEXT (j->id), MM_INT (n));
-      mm_kept_run_clear_in_doubt (j->run, tasks);
+      mm_kept_tasks_clear_in_doubt (j->run, tasks);
     }
   g_list_free (jobs);
 }
--- a/src/mm_http_server.c
+++ b/src/mm_http_server.c
@@ -50,7 +50,7 @@
   char *answer;     /* JSON body of the answer */
   uint32_t retry_after_s;
   ev_io caller_socket_io; /* watches the caller's socket until the answer */
-  mm_http_left_cb left;   /* NULL: not set, called already, or answered */
+  mm_http_closed_cb left; /* NULL: not set, called already, or answered */
   void *left_ctx;         /* argument of @left */
 };
 
@@ -418,20 +418,21 @@
   ev_io_stop (loop, w);
   if (n > 0 || !r->left)
     return;
-  mm_http_left_cb left = r->left;
+  mm_http_closed_cb left = r->left;
   r->left = NULL;
   left (r->left_ctx);
 }
 
 /**
- * mm_http_request_on_left() - watch for the caller closing its connection.
+ * mm_http_request_on_close() - watch for the caller closing its connection.
  * @r: a request that is not answered yet.
  * @left: called at most once; the request must still be answered with
  *        mm_http_reply().
  * @ctx: context pointer for @left.
  */
 void
-mm_http_request_on_left (mm_http_request *r, mm_http_left_cb left, void *ctx)
+mm_http_request_on_close (mm_http_request *r, mm_http_closed_cb left,
+                          void *ctx)
 {
   const union MHD_ConnectionInfo *info
       = MHD_get_connection_info (r->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
--- a/src/mm_job_log.c
+++ b/src/mm_job_log.c
@@ -239,12 +239,12 @@
   GList *e = l->entries->head;
   for (guint i = 0; i < l->n_sending; i++, e = e->next)
     records[i] = ((entry *)e->data)->record;
-  mm_append a = { .partition = l->partition,
-                  .epoch = l->epoch,
-                  .seq = l->seq,
-                  .records = records,
-                  .n_records = l->n_sending,
-                  .timeout_ms = MM_STORE_TIMEOUT_MS };
+  mm_append_request a = { .partition = l->partition,
+                          .epoch = l->epoch,
+                          .seq = l->seq,
+                          .records = records,
+                          .n_records = l->n_sending,
+                          .timeout_ms = MM_STORE_TIMEOUT_MS };
   l->in_flight = true;
   l->refs++;
   l->port.append (l->port.ctx, &a, on_append, l);
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -21,7 +21,8 @@
 {
   job *job;
   mm_task_id id;
-  mm_ticket *ticket;   /* its dispatch to an owner, NULL: not dispatched */
+  mm_dispatched_task
+      *ticket;         /* its dispatch to an owner, NULL: not dispatched */
   uint32_t n_failures; /* runs that failed */
   mm_time_ms dispatched_ms; /* when last dispatched */
   char *avoid_upstream;     /* where the last unsuccessful run was; or NULL */
@@ -191,7 +192,7 @@
 dispatch (task *t)
 {
   job *b = t->job;
-  mm_suspect_action action = mm_fleet_decide (b->jobs->fleet, &t->id);
+  mm_suspect_action action = mm_fleet_suspect_action (b->jobs->fleet, &t->id);
   if (!mm_suspect_may_run (action, b->n_isolated))
     {
       defer (t);
@@ -294,7 +295,7 @@
     return t->n_failures + 1 < b->attempts ? "another attempt"
                                            : "job fails: no attempt left";
   if (how == MM_END_LOST
-      && mm_fleet_decide (b->jobs->fleet, &t->id) == MM_SUSPECT_WAIT)
+      && mm_fleet_suspect_action (b->jobs->fleet, &t->id) == MM_SUSPECT_WAIT)
     return "waits: upstreams were lost while running it";
   return now < latest_redispatch_ms (b, how) ? "dispatched again"
                                              : "job is given up: too late";
@@ -398,7 +399,7 @@
 {
   for (uint32_t i = 0; i < b->n_tasks; i++)
     if (!b->tasks[i].done
-        && mm_fleet_decide (b->jobs->fleet, &b->tasks[i].id)
+        && mm_fleet_suspect_action (b->jobs->fleet, &b->tasks[i].id)
                == MM_SUSPECT_GIVE_UP)
       return &b->tasks[i];
   return NULL;
--- a/src/mm_kept_run.c
+++ b/src/mm_kept_tasks.c
@@ -1,6 +1,6 @@
-/* mm_kept_run: dispatches the tasks of a kept job to owners, and tracks for
+/* mm_kept_tasks: dispatches the tasks of a kept job to owners, and tracks for
    each task whether it waits, is at an owner, is in doubt or is done.  */
-#include "mm_kept_run.h"
+#include "mm_kept_tasks.h"
 
 #include "config.h"
 #include "mm_event.h"
@@ -20,11 +20,11 @@
 
 typedef struct
 {
-  mm_kept_run *run;
+  mm_kept_tasks *run;
   mm_task_id id;
   task_state state;
   bool ready;                   /* its step may start */
-  mm_ticket *ticket;            /* TASK_DISPATCHED: the request to the owner */
+  mm_dispatched_task *ticket;   /* TASK_DISPATCHED: the request to the owner */
   mm_time_ms dispatched_ms;     /* when it was last dispatched */
   mm_time_ms in_doubt_since_ms; /* TASK_IN_DOUBT */
   char *avoid_upstream;         /* upstream of the last failure, or NULL */
@@ -33,11 +33,11 @@
   bool isolated;     /* at an owner as a task that may crash upstreams */
 } task;
 
-struct mm_kept_run
+struct mm_kept_tasks
 {
   mm_fleet *fleet;
   mm_job_record *rec;
-  mm_kept_run_events ev;
+  mm_kept_tasks_events ev;
   mm_steps *steps;
   task *tasks;
   uint32_t n_tasks;      /* number of all tasks of the job */
@@ -49,20 +49,20 @@
   bool finished;  /* the end of the job was reported */
   mm_time_ms latest_start_ms; /* latest start with which the job can end within
                                  its objective */
-  GArray *acks;               /* mm_end_ack, until mm_kept_run_take_acks() */
+  GArray *acks;               /* mm_end_ack, until mm_kept_tasks_take_acks() */
 };
 
 /* The step of task @number may start.  A task in doubt stays in doubt.  */
 static void
 set_task_ready (void *ctx, uint32_t number)
 {
-  task *t = &((mm_kept_run *)ctx)->tasks[number];
+  task *t = &((mm_kept_tasks *)ctx)->tasks[number];
   t->ready = true;
   if (t->state == TASK_BLOCKED)
     t->state = TASK_WAITING;
 }
 
-static bool dispatch_waiting (mm_kept_run *r);
+static bool dispatch_waiting (mm_kept_tasks *r);
 
 static void
 set_in_doubt (task *t)
@@ -72,11 +72,11 @@
   t->run->n_in_doubt++;
 }
 
-mm_kept_run *
-mm_kept_run_create (mm_fleet *fleet, mm_job_record *rec, bool taken_over,
-                    const mm_kept_run_events *ev)
+mm_kept_tasks *
+mm_kept_tasks_create (mm_fleet *fleet, mm_job_record *rec, bool taken_over,
+                      const mm_kept_tasks_events *ev)
 {
-  mm_kept_run *r = g_new0 (mm_kept_run, 1);
+  mm_kept_tasks *r = g_new0 (mm_kept_tasks, 1);
   r->fleet = fleet;
   r->rec = rec;
   r->ev = *ev;
@@ -107,7 +107,7 @@
 }
 
 void
-mm_kept_run_destroy (mm_kept_run *r)
+mm_kept_tasks_destroy (mm_kept_tasks *r)
 {
   if (!r)
     return;
@@ -126,7 +126,7 @@
 
 /* Reports the end of the job once.  @r may have been freed on return.  */
 static void
-finish (mm_kept_run *r, mm_job_phase phase)
+finish (mm_kept_tasks *r, mm_job_phase phase)
 {
   if (r->finished)
     return;
@@ -137,7 +137,7 @@
 /* Notes that the end of a run is to be acknowledged once it is stored.
    @owner: the peer that reported it, NULL for this instance.  */
 static void
-add_ack (mm_kept_run *r, const mm_task_id *id, uint32_t run_hash,
+add_ack (mm_kept_tasks *r, const mm_task_id *id, uint32_t run_hash,
          const char *owner)
 {
   mm_end_ack ack = { .task = *id, .run_hash = run_hash };
@@ -146,11 +146,11 @@
 }
 
 /* Records the task as done and starts what can start now.  Ends the job after
-   its last task; the mm_kept_run may have been freed on return.  */
+   its last task; the mm_kept_tasks may have been freed on return.  */
 static void
 on_task_succeeded (task *t)
 {
-  mm_kept_run *r = t->run;
+  mm_kept_tasks *r = t->run;
   uint32_t number = (uint32_t)(t - r->tasks);
   t->state = TASK_DONE;
   r->rec->progress[number].done = true;
@@ -173,11 +173,11 @@
 }
 
 /* Records a failed run of the task.  @next_state is the state of the task if
-   the job goes on.  The mm_kept_run may have been freed on return.  */
+   the job goes on.  The mm_kept_tasks may have been freed on return.  */
 static void
 on_task_failed (task *t, uint32_t run_hash, task_state next_state)
 {
-  mm_kept_run *r = t->run;
+  mm_kept_tasks *r = t->run;
   mm_task_progress *p = &r->rec->progress[t - r->tasks];
   mm_task_progress_add_failure (p, run_hash);
   t->state = next_state;
@@ -212,7 +212,7 @@
 static const char *
 next_action (const task *t, mm_end how)
 {
-  const mm_kept_run *r = t->run;
+  const mm_kept_tasks *r = t->run;
   if (how == MM_END_UNKNOWN)
     return "searching for it";
   if (runs_once (t))
@@ -242,7 +242,7 @@
 on_work_ended (void *ctx, const mm_work_result *w)
 {
   task *t = ctx;
-  mm_kept_run *r = t->run;
+  mm_kept_tasks *r = t->run;
   uint32_t run_hash = w->upstream ? mm_run_hash (w->upstream, w->run) : 0;
   t->ticket = NULL;
   r->n_dispatched--;
@@ -290,7 +290,7 @@
 static void
 dispatch (task *t, mm_suspect_action action, mm_time_ms now)
 {
-  mm_kept_run *r = t->run;
+  mm_kept_tasks *r = t->run;
   const mm_step *step = &r->rec->submission->steps[t->id.step];
   mm_task_request req
       = { .id = t->id,
@@ -322,7 +322,7 @@
 /* Dispatches the waiting tasks, unless a task of the job is in doubt.  Returns
    false when the job has failed and @r may have been freed.  */
 static bool
-dispatch_waiting (mm_kept_run *r)
+dispatch_waiting (mm_kept_tasks *r)
 {
   if (!r->may_start || r->finished || r->n_in_doubt)
     return true;
@@ -332,7 +332,7 @@
       task *t = &r->tasks[i];
       if (t->state != TASK_WAITING)
         continue;
-      mm_suspect_action action = mm_fleet_decide (r->fleet, &t->id);
+      mm_suspect_action action = mm_fleet_suspect_action (r->fleet, &t->id);
       if (action == MM_SUSPECT_GIVE_UP)
         {
           mm_fleet_record_given_up (r->fleet, &t->id);
@@ -346,32 +346,32 @@
 }
 
 void
-mm_kept_run_tick (mm_kept_run *r, bool may_start)
+mm_kept_tasks_tick (mm_kept_tasks *r, bool may_start)
 {
   r->may_start = may_start;
   dispatch_waiting (r);
 }
 
 bool
-mm_kept_run_all_done (const mm_kept_run *r)
+mm_kept_tasks_all_done (const mm_kept_tasks *r)
 {
   return mm_steps_all_done (r->steps);
 }
 
 bool
-mm_kept_run_started (const mm_kept_run *r)
+mm_kept_tasks_started (const mm_kept_tasks *r)
 {
   return r->started;
 }
 
 uint32_t
-mm_kept_run_n_dispatched (const mm_kept_run *r)
+mm_kept_tasks_n_dispatched (const mm_kept_tasks *r)
 {
   return r->n_dispatched;
 }
 
 uint32_t
-mm_kept_run_n_in_doubt (const mm_kept_run *r)
+mm_kept_tasks_n_in_doubt (const mm_kept_tasks *r)
 {
   return r->n_in_doubt;
 }
@@ -382,7 +382,7 @@
    it, but may still run tasks under its last lease.  So a task in doubt is
    searched for only after every such lease must have lapsed.  */
 void
-mm_kept_run_in_doubt (const mm_kept_run *r, GHashTable *tasks)
+mm_kept_tasks_in_doubt (const mm_kept_tasks *r, GHashTable *tasks)
 {
   mm_time_ms before = mm_clock_now_ms () - MM_KEPT_LEASE_LAPSE_MS;
   for (uint32_t i = 0; i < r->n_tasks; i++)
@@ -393,8 +393,8 @@
 }
 
 void
-mm_kept_run_record_end (mm_kept_run *r, const mm_found_end *e,
-                        const char *owner)
+mm_kept_tasks_record_end (mm_kept_tasks *r, const mm_found_end *e,
+                          const char *owner)
 {
   int64_t number = mm_steps_task_number (r->steps, &e->task);
   if (number < 0 || r->finished || r->tasks[number].state != TASK_IN_DOUBT)
@@ -415,7 +415,7 @@
 }
 
 void
-mm_kept_run_clear_in_doubt (mm_kept_run *r, GHashTable *tasks)
+mm_kept_tasks_clear_in_doubt (mm_kept_tasks *r, GHashTable *tasks)
 {
   for (uint32_t i = 0; i < r->n_tasks; i++)
     {
@@ -435,7 +435,7 @@
 }
 
 GArray *
-mm_kept_run_take_acks (mm_kept_run *r)
+mm_kept_tasks_take_acks (mm_kept_tasks *r)
 {
   GArray *acks = r->acks;
   r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_ack));
--- a/src/mm_kept_run.h
+++ b/src/mm_kept_tasks.h
@@ -1,4 +1,4 @@
-/* mm_kept_run: the tasks of one kept job that has not ended, at its home.
+/* mm_kept_tasks: the tasks of one kept job that has not ended, at its home.
 
    Unlike a job whose caller waits (mm_jobs), a kept job has no deadline: it
    goes on until every task is done or one has failed in every attempt.  A task
@@ -6,15 +6,15 @@
    started.  It is not started again before the owners of all upstreams have
    answered that it does not run there.
 
-   Comments call one start of a task a run.  A mm_kept_run holds all tasks of
+   Comments call one start of a task a run.  A mm_kept_tasks holds all tasks of
    the job.  */
-#ifndef MM_KEPT_RUN_H
-#define MM_KEPT_RUN_H
+#ifndef MM_KEPT_TASKS_H
+#define MM_KEPT_TASKS_H
 
 #include "mm_fleet.h"
 #include "mm_job_record.h"
 
-typedef struct mm_kept_run mm_kept_run;
+typedef struct mm_kept_tasks mm_kept_tasks;
 
 /* Callbacks to the home.  */
 typedef struct
@@ -23,10 +23,10 @@
      be stored.  */
   void (*progress) (void *ctx);
   /* The job has completed or failed; called once.  The callback may destroy
-     the mm_kept_run.  */
+     the mm_kept_tasks.  */
   void (*finished) (void *ctx, mm_job_phase phase);
   void *ctx;
-} mm_kept_run_events;
+} mm_kept_tasks_events;
 
 /* The end of a run that is to be acknowledged to the owner that reported it,
    once a record is stored that includes the end.  */
@@ -40,33 +40,33 @@
 /* @rec must outlive the returned object, which updates the progress there.
    @taken_over: the job was accepted by an earlier home, so every task that is
    not done is in doubt.  */
-mm_kept_run *mm_kept_run_create (mm_fleet *fleet, mm_job_record *rec,
-                                 bool taken_over,
-                                 const mm_kept_run_events *ev);
+mm_kept_tasks *mm_kept_tasks_create (mm_fleet *fleet, mm_job_record *rec,
+                                     bool taken_over,
+                                     const mm_kept_tasks_events *ev);
 /* Stops the tasks that run.  */
-void mm_kept_run_destroy (mm_kept_run *r);
+void mm_kept_tasks_destroy (mm_kept_tasks *r);
 /* Dispatches the waiting tasks if @may_start.  Call each MM_EXEC_TICK_MS.  */
-void mm_kept_run_tick (mm_kept_run *r, bool may_start);
+void mm_kept_tasks_tick (mm_kept_tasks *r, bool may_start);
 /* Whether every task is done according to the record.  */
-bool mm_kept_run_all_done (const mm_kept_run *r);
+bool mm_kept_tasks_all_done (const mm_kept_tasks *r);
 /* Whether any task is known to have been started.  */
-bool mm_kept_run_started (const mm_kept_run *r);
+bool mm_kept_tasks_started (const mm_kept_tasks *r);
 /* Number of tasks that are at owners, waiting or running.  */
-uint32_t mm_kept_run_n_dispatched (const mm_kept_run *r);
+uint32_t mm_kept_tasks_n_dispatched (const mm_kept_tasks *r);
 /* Adds copies of the tasks that have been in doubt for MM_KEPT_LEASE_LAPSE_MS
    to a mm_task_set.  */
-void mm_kept_run_in_doubt (const mm_kept_run *r, GHashTable *tasks);
+void mm_kept_tasks_in_doubt (const mm_kept_tasks *r, GHashTable *tasks);
 /* Number of tasks in doubt, however long they have been so.  */
-uint32_t mm_kept_run_n_in_doubt (const mm_kept_run *r);
+uint32_t mm_kept_tasks_n_in_doubt (const mm_kept_tasks *r);
 /* Records the end of a run of a task in doubt that a search has found.
    @owner: the peer that reported it, NULL for this instance.  */
-void mm_kept_run_record_end (mm_kept_run *r, const mm_found_end *e,
-                             const char *owner);
+void mm_kept_tasks_record_end (mm_kept_tasks *r, const mm_found_end *e,
+                               const char *owner);
 /* No run of @tasks is left anywhere: those of them that are in doubt may be
    started again.  A task that runs only once makes the job fail instead.  */
-void mm_kept_run_clear_in_doubt (mm_kept_run *r, GHashTable *tasks);
+void mm_kept_tasks_clear_in_doubt (mm_kept_tasks *r, GHashTable *tasks);
 /* Returns an array of mm_end_ack for the ends that were recorded since the
    last call; the caller frees it.  */
-GArray *mm_kept_run_take_acks (mm_kept_run *r);
+GArray *mm_kept_tasks_take_acks (mm_kept_tasks *r);
 
-#endif /* MM_KEPT_RUN_H */
+#endif /* MM_KEPT_TASKS_H */
--- a/src/mm_kept_wire.h
+++ b/src/mm_kept_wire.h
@@ -21,7 +21,7 @@
 #define MM_KEPT_WIRE_H
 
 #include "mm_job_record.h"
-#include "mm_kept_run.h"
+#include "mm_kept_tasks.h"
 
 #include <msgpack.h>
 
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -337,7 +337,7 @@
       if (c)
         {
           w->caller = c;
-          mm_http_request_on_left (req, on_caller_left, w);
+          mm_http_request_on_close (req, on_caller_left, w);
         }
     }
   mm_job_destroy (job);
--- a/src/mm_native_store.c
+++ b/src/mm_native_store.c
@@ -144,7 +144,7 @@
 }
 
 static void
-native_tail (void *ctx, const mm_tail *t, mm_stream_answered answered,
+native_tail (void *ctx, const mm_tail_request *t, mm_stream_answered answered,
              void *answered_ctx)
 {
   mm_store_call call = { .kind = t->kind,
@@ -268,8 +268,8 @@
 }
 
 static void
-native_append (void *ctx, const mm_append *a, mm_append_answered answered,
-               void *answered_ctx)
+native_append (void *ctx, const mm_append_request *a,
+               mm_append_answered answered, void *answered_ctx)
 {
   mm_store_call call = { .append_answered = answered, .ctx = answered_ctx };
   cJSON *request = cJSON_CreateObject ();
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -329,8 +329,8 @@
   n->list
       = mm_list_share_create (store, n->catalog, n->mesh, member, tick_now, n);
   n->upstreams = mm_list_share_stream (n->list);
-  mm_exec_view view = { .list_current_ms = list_known_ms, .ctx = n };
-  mm_owner_set_view (n->owner, &view);
+  mm_exec_list_age view = { .list_current_ms = list_known_ms, .ctx = n };
+  mm_owner_set_list_age (n->owner, &view);
   mm_datacentres_events ev
       = { .idle = handover_idle, .changed = tick_now, .ctx = n };
   n->owned_datacentres
@@ -377,7 +377,7 @@
   n->loop = loop;
   n->settings = *s;
   n->owner = mm_owner_create (exec);
-  mm_owner_set_link (n->owner, s->link_mbps);
+  mm_owner_set_uplink_mbps (n->owner, s->link_mbps);
   char *member = new_member_name (s);
   n->mesh = mm_mesh_create (loop, member, s->datacentre, s->address,
                             (uint16_t)s->mesh_port, n->owner, error);
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -214,7 +214,7 @@
 }
 
 void
-mm_owner_set_link (mm_owner *o, double mbps)
+mm_owner_set_uplink_mbps (mm_owner *o, double mbps)
 {
   o->common.uplink.bits_per_ms = mbps * 1000;
 }
@@ -226,7 +226,7 @@
 }
 
 void
-mm_owner_set_view (mm_owner *o, const mm_exec_view *v)
+mm_owner_set_list_age (mm_owner *o, const mm_exec_list_age *v)
 {
   o->common.view = *v;
 }
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -75,17 +75,17 @@
   /* A transferred task is cancelled; @transfer is from mm_owner_transfer(). */
   void (*cancel) (void *ctx, void *transfer);
   void *ctx;
-} mm_owner_links;
+} mm_owner_transfer_port;
 
 /* Creates an owner without upstreams.  @port: the calls that reach them.  */
 mm_owner *mm_owner_create (const mm_exec_port *port);
 /* Sets the bandwidth of the uplink on which orders are sent, in Mbit/s, 0: no
    limit.  */
-void mm_owner_set_link (mm_owner *o, double mbps);
+void mm_owner_set_uplink_mbps (mm_owner *o, double mbps);
 /* Records other data that was sent on the same uplink.  */
 void mm_owner_record_sent (mm_owner *o, size_t bytes);
 /* Sets how the age of the upstream list is read; @v is copied.  */
-void mm_owner_set_view (mm_owner *o, const mm_exec_view *v);
+void mm_owner_set_list_age (mm_owner *o, const mm_exec_list_age *v);
 /* Sets where lost upstreams and the tasks there are recorded; @s must outlive
    the owner.  */
 void mm_owner_set_suspects (mm_owner *o, mm_suspects *s);
@@ -131,7 +131,7 @@
    its outcome is stored.  */
 void mm_owner_forget_job (mm_owner *o, const char *job_id);
 /* Sets the callbacks that transfer runs; @l is copied.  */
-void mm_owner_set_links (mm_owner *o, const mm_owner_links *l);
+void mm_owner_set_transfer_port (mm_owner *o, const mm_owner_transfer_port *l);
 /* Claims a run that the upstream's next owner has found.  If its task was
    submitted here, fills @t with the request that the next owner take the run
    over, and returns the task for mm_owner_transfer().  Returns NULL if the
--- a/src/mm_owner_adopt.c
+++ b/src/mm_owner_adopt.c
@@ -16,7 +16,7 @@
 #include <string.h>
 
 void
-mm_owner_set_links (mm_owner *o, const mm_owner_links *l)
+mm_owner_set_transfer_port (mm_owner *o, const mm_owner_transfer_port *l)
 {
   o->links = *l;
 }
--- a/src/mm_owner_priv.h
+++ b/src/mm_owner_priv.h
@@ -50,17 +50,17 @@
   GHashTable *active;          /* mm_task_id -> mm_work that has a run here */
   GHashTable *orphans;         /* mm_task_id -> mm_work that run at an upstream
                                   that is no longer owned */
-  GHashTable *transferred;    /* set of mm_work that run under another owner */
-  GList *unadopted;           /* mm_work whose run could not be taken over */
-  mm_owner_links links;       /* callbacks that transfer runs */
-  mm_suspects *suspects;      /* NULL: suspected tasks are not recorded */
-  uint64_t last_arrival;      /* arrival number of the last task */
-  mm_time_ms handover_end_ms; /* all frozen upstreams are idle by then */
-  double average_run_ms;      /* average declared run time, for reports */
-  double average_cpu_milli;   /* average declared cpu of a task, for reports */
-  double average_place_ms;    /* average time for which a run used its place,
-                                 done or not */
-  double done_share;          /* share of the runs that ended as done, 0..1 */
+  GHashTable *transferred; /* set of mm_work that run under another owner */
+  GList *unadopted;        /* mm_work whose run could not be taken over */
+  mm_owner_transfer_port links; /* callbacks that transfer runs */
+  mm_suspects *suspects;        /* NULL: suspected tasks are not recorded */
+  uint64_t last_arrival;        /* arrival number of the last task */
+  mm_time_ms handover_end_ms;   /* all frozen upstreams are idle by then */
+  double average_run_ms;        /* average declared run time, for reports */
+  double average_cpu_milli; /* average declared cpu of a task, for reports */
+  double average_place_ms;  /* average time for which a run used its place,
+                               done or not */
+  double done_share;        /* share of the runs that ended as done, 0..1 */
   bool confirmed;   /* membership is confirmed: no other instance can own
                        the upstreams owned here */
   bool starting;    /* start_waiting() is running */
--- a/src/mm_peer.c
+++ b/src/mm_peer.c
@@ -48,7 +48,8 @@
   void *ctx;                     /* of on_request */
   mm_peer_contact_cb in_contact; /* returns a ping's status; NULL: 204 */
   void *contact_ctx;
-  mm_peer_tell_cb on_tell; /* receives notifications, or NULL */
+  mm_peer_notification_cb
+      notification_cb; /* receives notifications, or NULL */
   void *tell_ctx;
   GHashTable *links_by_id;      /* id -> peer_link */
   GHashTable *outgoing_by_addr; /* "host:port" -> peer_link (outgoing) */
@@ -190,10 +191,10 @@
            && f[4].type == MSGPACK_OBJECT_BIN)
     {
       char *name = g_strndup (f[3].via.str.ptr, f[3].via.str.size);
-      if (l->peer->on_tell)
-        l->peer->on_tell ((mm_tell_kind)kind, name,
-                          (const uint8_t *)f[4].via.bin.ptr, f[4].via.bin.size,
-                          l->peer->tell_ctx);
+      if (l->peer->notification_cb)
+        l->peer->notification_cb ((mm_notification_kind)kind, name,
+                                  (const uint8_t *)f[4].via.bin.ptr,
+                                  f[4].via.bin.size, l->peer->tell_ctx);
       g_free (name);
     }
   else if (ok && type == FRAME_ANSWER && fields == 5
@@ -549,20 +550,23 @@
 }
 
 /**
- * mm_peer_set_tell() - set the callback for notifications from peers.
+ * mm_peer_set_notification_cb() - set the callback for notifications from
+ * peers.
  * @p: the peer endpoint.
- * @on_tell: called for each notification, or NULL to ignore them.
- * @ctx: context pointer for @on_tell.
+ * @notification_cb: called for each notification, or NULL to ignore them.
+ * @ctx: context pointer for @notification_cb.
  */
 void
-mm_peer_set_tell (mm_peer *p, mm_peer_tell_cb on_tell, void *ctx)
+mm_peer_set_notification_cb (mm_peer *p,
+                             mm_peer_notification_cb notification_cb,
+                             void *ctx)
 {
-  p->on_tell = on_tell;
+  p->notification_cb = notification_cb;
   p->tell_ctx = ctx;
 }
 
 /**
- * mm_peer_tell() - send a notification to a peer; no answer is expected.
+ * mm_peer_notify() - send a notification to a peer; no answer is expected.
  * @p: the peer endpoint.
  * @addr: the peer's "host:peer_port".
  * @kind: what the payload holds.
@@ -574,8 +578,8 @@
  * arrival: notifications only save work.
  */
 void
-mm_peer_tell (mm_peer *p, const char *addr, mm_tell_kind kind,
-              const char *self, const uint8_t *payload, size_t len)
+mm_peer_notify (mm_peer *p, const char *addr, mm_notification_kind kind,
+                const char *self, const uint8_t *payload, size_t len)
 {
   peer_link *l = link_to (p, addr, NULL);
   if (!l)
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -173,7 +173,7 @@
 static void
 leave_unanswered (mm_http_request *req)
 {
-  mm_http_request_on_left (req, on_caller_left, req);
+  mm_http_request_on_close (req, on_caller_left, req);
 }
 
 /* Appends a line to the run log, if there is one.  */
@@ -327,7 +327,7 @@
     leave_unanswered (req);
   else if (v != MM_CALL_OK)
     reply_verdict (s, req, v);
-  else if (mm_run_table_unacked_ends (s->table) || h.wait_ms == 0)
+  else if (mm_run_table_unacked_end_count (s->table) || h.wait_ms == 0)
     reply_lists (s, req);
   else
     {
@@ -522,7 +522,7 @@
       s->poison.crash (s->poison.ctx);
       return;
     }
-  bool ended = mm_run_table_unacked_ends (s->table) > 0;
+  bool ended = mm_run_table_unacked_end_count (s->table) > 0;
   GList *next;
   for (GList *l = s->holds; l; l = next)
     {
@@ -540,9 +540,9 @@
 }
 
 size_t
-mm_run_server_running (const mm_run_server *s)
+mm_run_server_run_count (const mm_run_server *s)
 {
-  return mm_run_table_running (s->table);
+  return mm_run_table_run_count (s->table);
 }
 
 const char *
@@ -563,7 +563,7 @@
   mm_run_counts c = mm_run_table_counts (s->table);
   cJSON_AddStringToObject (out, "incarnation", s->name);
   cJSON_AddNumberToObject (out, "runs",
-                           (double)mm_run_table_running (s->table));
+                           (double)mm_run_table_run_count (s->table));
   cJSON_AddNumberToObject (out, "run_starts", c.starts);
   cJSON_AddNumberToObject (out, "over_capacity", c.over_capacity);
 }
--- a/src/mm_run_server.h
+++ b/src/mm_run_server.h
@@ -37,7 +37,7 @@
                                const mm_run_server_poison *p);
 /* Handles a request whose path is listed above; returns false for others.  */
 bool mm_run_server_handle (mm_run_server *s, mm_http_request *req);
-size_t mm_run_server_running (const mm_run_server *s); /* number of runs */
+size_t mm_run_server_run_count (const mm_run_server *s); /* number of runs */
 /* Returns the name of this incarnation of the upstream.  */
 const char *mm_run_server_name (const mm_run_server *s);
 /* Returns the capacity that the upstream reports to the upstream list.  */
--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -305,13 +305,13 @@
 }
 
 size_t
-mm_run_table_running (const mm_run_table *t)
+mm_run_table_run_count (const mm_run_table *t)
 {
   return t->runs->len;
 }
 
 size_t
-mm_run_table_unacked_ends (const mm_run_table *t)
+mm_run_table_unacked_end_count (const mm_run_table *t)
 {
   return t->unacked_ends->len;
 }
--- a/src/mm_run_table.h
+++ b/src/mm_run_table.h
@@ -62,9 +62,9 @@
 /* Simulates a crash: drops all runs and unacknowledged ends.  The fencing
    token, the lease and the run numbers that are refused remain.  */
 void mm_run_table_clear (mm_run_table *t);
-size_t mm_run_table_running (const mm_run_table *t); /* number of runs */
+size_t mm_run_table_run_count (const mm_run_table *t); /* number of runs */
 /* Returns the number of unacknowledged ends.  */
-size_t mm_run_table_unacked_ends (const mm_run_table *t);
+size_t mm_run_table_unacked_end_count (const mm_run_table *t);
 bool mm_run_table_is_running (const mm_run_table *t, const mm_task_id *task);
 /* Fills in the lists of runs and of unacknowledged ends.  The arrays belong to
    the table and are valid until the next call of one of its functions.  */
--- a/src/mm_store.h
+++ b/src/mm_store.h
@@ -106,7 +106,7 @@
   const mm_record *records;
   size_t n_records;
   mm_time_ms timeout_ms;
-} mm_append;
+} mm_append_request;
 
 /* Outcome of an append.  */
 typedef enum
@@ -139,7 +139,7 @@
   size_t max_bytes;   /* maximum size of the answer */
   mm_time_ms wait_ms; /* wait this long for a record when there is none */
   mm_time_ms timeout_ms;
-} mm_tail;
+} mm_tail_request;
 
 /* How the core reaches the store.  Each call has a timeout, after which
    @answered is called with a failure.  */
@@ -151,8 +151,8 @@
                   mm_time_ms timeout_ms, mm_stream_answered answered,
                   void *answered_ctx);
   /* Reads appended records.  @t is read only during the call.  */
-  void (*tail) (void *ctx, const mm_tail *t, mm_stream_answered answered,
-                void *answered_ctx);
+  void (*tail) (void *ctx, const mm_tail_request *t,
+                mm_stream_answered answered, void *answered_ctx);
   /* Joins a group, or renews the membership for @ttl_ms.  @generation: the
      last generation whose assignment the member has put into effect.  */
   void (*join) (void *ctx, const char *group, const char *member,
@@ -166,8 +166,8 @@
   void (*members) (void *ctx, const char *group, mm_time_ms timeout_ms,
                    mm_members_answered answered, void *answered_ctx);
   /* Appends records of kept jobs.  @a is read only during the call.  */
-  void (*append) (void *ctx, const mm_append *a, mm_append_answered answered,
-                  void *answered_ctx);
+  void (*append) (void *ctx, const mm_append_request *a,
+                  mm_append_answered answered, void *answered_ctx);
   /* Reads a page of the newest records of a partition of kept jobs.  The page
      starts after the key @after, NULL for the first page.  */
   void (*records) (void *ctx, uint32_t partition, const char *after,
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -251,11 +251,11 @@
                       on_result, s);
       return;
     }
-  mm_tail t = { .kind = s->kind,
-                .from_offset = s->next_offset,
-                .max_bytes = s->chunk_bytes,
-                .wait_ms = s->wait_ms,
-                .timeout_ms = timeout_ms (s) };
+  mm_tail_request t = { .kind = s->kind,
+                        .from_offset = s->next_offset,
+                        .max_bytes = s->chunk_bytes,
+                        .wait_ms = s->wait_ms,
+                        .timeout_ms = timeout_ms (s) };
   s->port.tail (s->port.ctx, &t, on_result, s);
 }
 
--- a/src/mm_upstream.c
+++ b/src/mm_upstream.c
@@ -567,14 +567,15 @@
 }
 
 /**
- * mm_upstream_on_crash() - sets the function that simulates a crash.
+ * mm_upstream_set_crash_handler() - sets the function that simulates a crash.
  * @u: the stand-in.
  * @crash: called when a poison task crashes the stand-in; not expected to
  *         return.
  * @ctx: context pointer for @crash.
  */
 void
-mm_upstream_on_crash (mm_upstream *u, void (*crash) (void *), void *ctx)
+mm_upstream_set_crash_handler (mm_upstream *u, void (*crash) (void *),
+                               void *ctx)
 {
   mm_run_server_poison p = { .job_prefix = u->settings.poison_jobs,
                              .crash_delay_ms = u->settings.poison_ms,
@@ -591,7 +592,7 @@
 drain_check_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
   mm_upstream *u = w->data;
-  if (u->running || mm_run_server_running (u->runs)
+  if (u->running || mm_run_server_run_count (u->runs)
       || mm_http_server_in_flight (u->http))
     return;
   ev_timer_stop (loop, w);
--- a/tests/fake_upstreams.c
+++ b/tests/fake_upstreams.c
@@ -157,7 +157,7 @@
 size_t
 fake_unacked_ends (const fake *x)
 {
-  return mm_run_table_unacked_ends (x->table);
+  return mm_run_table_unacked_end_count (x->table);
 }
 
 void
@@ -189,7 +189,7 @@
 size_t
 fake_running (const fake *x)
 {
-  return mm_run_table_running (x->table);
+  return mm_run_table_run_count (x->table);
 }
 
 mm_time_ms
@@ -444,7 +444,7 @@
 }
 
 /* Reports a timeout.  The first one tells the caller that the answer is
-   overdue; the second one, MM_CALL_LATE_MS later, that there is none.  */
+   overdue; the second one, MM_LATE_ANSWER_MS later, that there is none.  */
 static void
 deliver_timeout (fake_call *c)
 {
@@ -462,7 +462,7 @@
   c->result.was_overdue = true;
   c->overdue = true;
   c->answered = false;
-  c->timeout_ms += MM_CALL_LATE_MS;
+  c->timeout_ms += MM_LATE_ANSWER_MS;
 }
 
 static void
@@ -483,7 +483,7 @@
   if (c->kind != CALL_HOLD || c->arrives_ms >= 0 || c->answer_ms >= 0
       || c->lost || c->result.verdict != MM_CALL_OK || c->result.clock_ms == 0)
     return;
-  if (mm_run_table_unacked_ends (c->upstream->table)
+  if (mm_run_table_unacked_end_count (c->upstream->table)
       || c->upstream->fakes->now_ms >= c->wait_until_ms)
     c->answer_ms = c->upstream->fakes->now_ms + LINK_MS;
 }
--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -523,10 +523,10 @@
       fx->instances[i].owner = mm_owner_create (&port);
       fx->instances[i].to_peer
           = link_create (&fx->instances[i], &fx->instances[1 - i]);
-      mm_owner_links l = { .found = on_found,
-                           .cancel = on_cancel,
-                           .ctx = &fx->instances[i] };
-      mm_owner_set_links (fx->instances[i].owner, &l);
+      mm_owner_transfer_port l = { .found = on_found,
+                                   .cancel = on_cancel,
+                                   .ctx = &fx->instances[i] };
+      mm_owner_set_transfer_port (fx->instances[i].owner, &l);
     }
   for (int i = 0; i < UPSTREAMS; i++)
     {
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -370,7 +370,7 @@
 } slow_store;
 
 static void
-slow_append (void *ctx, const mm_append *a, mm_append_answered done,
+slow_append (void *ctx, const mm_append_request *a, mm_append_answered done,
              void *done_ctx)
 {
   slow_store *s = ctx;
--- a/tests/test_list_share.c
+++ b/tests/test_list_share.c
@@ -150,7 +150,7 @@
 }
 
 static void
-store_tail (void *ctx, const mm_tail *t, mm_stream_answered done,
+store_tail (void *ctx, const mm_tail_request *t, mm_stream_answered done,
             void *done_ctx)
 {
   caller *c = ctx;
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -76,7 +76,7 @@
       = mm_group_table_join (g, c->member, c->generation, c->ttl_ms, now_ms);
   for (uint32_t i = 0; i < PARTITIONS; i++)
     {
-      const char *owner = mm_group_table_holder (g, i);
+      const char *owner = mm_group_table_owner (g, i);
       if (owner && strcmp (owner, c->member) == 0)
         c->partitions[c->result.n_partitions++] = i;
     }
@@ -585,7 +585,8 @@
 
 /* Reads no record, or fails when the history from the offset on is gone.  */
 static void
-key_tail (void *ctx, const mm_tail *t, mm_stream_answered done, void *done_ctx)
+key_tail (void *ctx, const mm_tail_request *t, mm_stream_answered done,
+          void *done_ctx)
 {
   key_store *k = ctx;
   k->tail_calls++;
@@ -777,7 +778,7 @@
 
 /* Reads as many records as an answer of max_bytes holds.  */
 static void
-slow_link_tail (void *ctx, const mm_tail *t, mm_stream_answered done,
+slow_link_tail (void *ctx, const mm_tail_request *t, mm_stream_answered done,
                 void *done_ctx)
 {
   slow_link_store *k = ctx;
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -1016,7 +1016,7 @@
 START_TEST (orders_in_the_uplink_queue_are_waited_for)
 {
   fixture fx = fixture_create ();
-  mm_owner_set_link (fx.owner, 2);
+  mm_owner_set_uplink_mbps (fx.owner, 2);
   fake *x = fixture_add (&fx, "a");
   fixture_run (&fx, 50);
   for (int i = 0; i < 20; i++)
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -61,10 +61,10 @@
   s->disconnected = disconnected;
   mm_exec_port port = fakes_port (s->fx.upstreams);
   s->next = mm_owner_create (&port);
-  mm_owner_links l
+  mm_owner_transfer_port l
       = { .found = on_found, .cancel = on_cancel_transferred, .ctx = s };
-  mm_owner_set_links (s->fx.owner, &l);
-  mm_owner_set_links (s->next, &l);
+  mm_owner_set_transfer_port (s->fx.owner, &l);
+  mm_owner_set_transfer_port (s->next, &l);
 }
 
 /* Advances the clock and ticks both owners.  */
@@ -135,10 +135,10 @@
   submit (&s.fx, &r, "leased", 0, 700);
   succession_run (&s, 100);
   mm_owner_add_upstream (s.next, fake_info (a), 6);
-  mm_owner_links l = { .found = on_found_later,
-                       .cancel = on_cancel_transferred,
-                       .ctx = &s };
-  mm_owner_set_links (s.next, &l);
+  mm_owner_transfer_port l = { .found = on_found_later,
+                               .cancel = on_cancel_transferred,
+                               .ctx = &s };
+  mm_owner_set_transfer_port (s.next, &l);
   /* The hold that finds the run is in flight; the one after it is lost.  */
   fake_mode_of (a)->lose_holds = 1;
   succession_run (&s, 400);
@@ -202,8 +202,8 @@
 {
   succession s;
   succession_init (&s, false);
-  mm_owner_links l = { .found = on_found_by_first, .ctx = &s };
-  mm_owner_set_links (s.fx.owner, &l);
+  mm_owner_transfer_port l = { .found = on_found_by_first, .ctx = &s };
+  mm_owner_set_transfer_port (s.fx.owner, &l);
   fake *a = fixture_add (&s.fx, "a");
   succession_run (&s, 10);
   outcome before, newer;
