--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -1,7 +1,8 @@
-/* Tests kept jobs: stored before their callers are told that they are
-   accepted, and run once, whatever instance dies.  The first tests run real
-   processes against the stand-ins of the platform; the later ones run single
-   modules in memory, on a clock that the test sets.  */
+/* Tests kept jobs.  A kept job is stored before its caller is told that the
+   job is accepted, and is run to its end whatever instance dies, without
+   running a task twice.  The first tests run real processes against stand-ins
+   of the platform and of upstreams; the later tests run single modules in
+   memory, on a clock that the test sets.  */
 #include "config.h"
 #include "fake_upstreams.h"
 #include "harness.h"
@@ -20,7 +21,7 @@
 
 /* ---- real processes --------------------------------------------------- */
 
-/* Submits a kept job.  Return: the HTTP status.  */
+/* Submits a kept job.  Returns the HTTP status.  */
 static long
 submit_kept (int node, const char *id, int tasks, int run_ms, bool idempotent)
 {
@@ -63,8 +64,8 @@
   return false;
 }
 
-/* Cancels a kept job up to eight times, as a caller would, until this is
-   confirmed.  Returns whether the job is cancelled.  */
+/* Sends the cancellation of a kept job up to eight times, as a caller would,
+   until an instance confirms it.  Returns whether the job is cancelled.  */
 static bool
 cancel_until_confirmed (int node, const char *id)
 {
@@ -78,6 +79,8 @@
   return false;
 }
 
+/* Waits until the state of a job is @want.  Returns false if that does not
+   happen within @timeout_ms.  */
 static bool
 wait_state (int node, const char *id, const char *want, int timeout_ms)
 {
@@ -92,7 +95,7 @@
   return false;
 }
 
-/* Runs of one job's tasks; @job: prefix of their names.  */
+/* Returns the runs (h_run) of the tasks whose names begin with @job.  */
 static GArray *
 runs_of_job (int n_upstreams, const char *job)
 {
@@ -103,8 +106,9 @@
   return runs;
 }
 
-/* Checks that each task succeeded exactly once, that no two runs of a task
-   overlap, and that none starts after the one that succeeded.  */
+/* Asserts that each of the @tasks tasks of a job succeeded exactly once, that
+   no two runs of a task overlapped, and that no run of a task started after
+   the run that succeeded.  */
 static void
 assert_done_once (int n_upstreams, const char *job, guint tasks)
 {
@@ -130,8 +134,8 @@
 }
 
 /* Callers may query a kept job at any instance, not only at its home.  Each
-   must answer with the job's state, and with 410 for a job that does not
-   exist.  */
+   instance must answer with the job's state, or with the status 410 if the job
+   does not exist.  */
 START_TEST (every_instance_answers_the_state_of_a_kept_job)
 {
   h_start_nodes (3, 4, 3);
@@ -141,7 +145,7 @@
   for (int i = 0; i < 30 && status == 503; i++)
     {
       status = call_job (0, "GET", "nobodys", state);
-      sleep_ms (100); /* the home may not be known yet */
+      sleep_ms (100); /* the home of this id may not be known yet */
     }
   ck_assert_int_eq (status, 410);
   for (int i = 0; i < 3; i++)
@@ -151,6 +155,7 @@
 }
 END_TEST
 
+/* Sets whether the tasks that start on an upstream hang.  */
 static void
 set_hang (int upstream, bool on)
 {
@@ -158,8 +163,9 @@
                         on ? "{\"hangs\":true}" : "{\"hangs\":false}", NULL));
 }
 
-/* A failed run makes the next one avoid its upstream.  When that is the only
-   upstream, the task must run there again all the same.  */
+/* After a run of a task has failed, the next run avoids the upstream of the
+   failed one.  If there is no other upstream, the task must run there again
+   all the same.  */
 START_TEST (hung_task_ends_once_its_only_upstream_recovers)
 {
   h_start_nodes (1, 4, 1);
@@ -172,9 +178,9 @@
 }
 END_TEST
 
-/* Tasks that failed on one upstream avoid it and must be dispatched to an
-   owner with other upstreams, instead of being returned forever by the owner
-   that has only the upstream to avoid.  */
+/* A task that failed on an upstream avoids that upstream.  The task must be
+   dispatched to an owner with other upstreams, or an owner that has only the
+   upstream to avoid would return the task again and again.  */
 START_TEST (task_that_must_avoid_a_local_upstream_runs_at_another_owner)
 {
   enum
@@ -198,9 +204,9 @@
 }
 END_TEST
 
-/* A caller does not receive the answer that its job was accepted, and sends
-   the job to other instances again: while it runs, and after it has completed.
-   Each task must still run exactly once.  */
+/* A caller does not receive the answer that its job was accepted.  It sends
+   the job again to other instances, while the job runs and after the job has
+   completed.  Each task must still run exactly once.  */
 START_TEST (job_resubmitted_elsewhere_starts_no_task_twice)
 {
   h_start_nodes (3, 4, 3);
@@ -217,8 +223,9 @@
 }
 END_TEST
 
-/* Homes are reassigned while callers submit, query and cancel jobs at
-   instances that do not know the new homes yet.  */
+/* The store reassigns the homes of jobs three times while callers submit,
+   query and cancel jobs.  Instances that do not know the new homes yet must
+   find them, so that each request is answered with success.  */
 START_TEST (kept_jobs_are_served_while_their_homes_move)
 {
   enum
@@ -244,9 +251,10 @@
 }
 END_TEST
 
-/* Two instances are killed one after the other while ten jobs run: they are
-   the homes of some jobs and own upstreams that run tasks of others.  All
-   accepted jobs must complete, each task succeeding once.  */
+/* Two instances are killed one after the other while ten jobs run.  The killed
+   instances are the homes of some jobs and own upstreams that run tasks of
+   other jobs.  All accepted jobs must complete, and each task must succeed
+   exactly once.  */
 START_TEST (killed_instances_lose_no_accepted_job_and_repeat_no_task)
 {
   h_start_nodes (4, 4, 3);
@@ -299,8 +307,8 @@
 END_TEST
 
 /* While the store is unreachable no job can be accepted, and callers must be
-   refused at once instead of waiting.  Jobs accepted before must complete once
-   the store is back.  */
+   refused soon instead of being kept waiting.  Jobs that were accepted before
+   must complete once the store is reachable again.  */
 START_TEST (unreachable_store_refuses_jobs_at_once_and_loses_none)
 {
   h_start_nodes (3, 4, 2);
@@ -324,8 +332,8 @@
 }
 END_TEST
 
-/* A cancelled job must not start any more tasks, also when its home dies and
-   another instance becomes the home.  */
+/* The home of a cancelled job dies and another instance becomes the home.  The
+   job must stay cancelled and start no more tasks.  */
 START_TEST (cancelled_job_stays_cancelled_when_its_home_dies)
 {
   h_start_nodes (1, 2, 2);
@@ -348,7 +356,7 @@
 
 /* ---- the log of a partition, with a store that the test simulates ------ */
 
-static mm_time_ms now_ms;
+static mm_time_ms now_ms; /* the time that test_clock() returns */
 
 static mm_time_ms
 test_clock (void *ctx)
@@ -359,13 +367,13 @@
 /* A store that holds the last call until the test answers it.  */
 typedef struct
 {
-  mm_append_answered append_answered;
-  mm_records_answered records_answered;
-  void *ctx;
-  uint32_t appends;
-  uint64_t seq;            /* of the last append */
+  mm_append_answered append_answered;   /* callback of the pending append */
+  mm_records_answered records_answered; /* callback of the pending read */
+  void *ctx;                            /* argument of the callback */
+  uint32_t appends;                     /* number of appends so far */
+  uint64_t seq;            /* sequence number of the last append */
   size_t records;          /* number of records in the last append */
-  const mm_record *stored; /* what a read returns */
+  const mm_record *stored; /* records that a read returns */
   size_t n_stored;
 } slow_store;
 
@@ -390,6 +398,8 @@
   s->ctx = done_ctx;
 }
 
+/* Answers the pending append.  @expected: with MM_APPEND_OUT_OF_SEQ, the
+   sequence number that the store expects.  */
 static void
 answer_append (slow_store *s, mm_append_verdict v, uint64_t expected)
 {
@@ -401,6 +411,7 @@
   done (&r, s->ctx);
 }
 
+/* Answers the pending read with the stored records.  */
 static void
 answer_records (slow_store *s)
 {
@@ -412,12 +423,13 @@
   done (&r, s->ctx);
 }
 
+/* Counts of the callbacks of a log.  */
 typedef struct
 {
-  int opened;
-  int fenced;
-  int stored;
-  int in_doubt;
+  int opened;   /* all stored records were read */
+  int fenced;   /* another home has the partition */
+  int stored;   /* writes that are stored */
+  int in_doubt; /* writes of which it is not known whether they are stored */
 } log_counts;
 
 static void
@@ -445,6 +457,7 @@
   l->in_doubt += !ok;
 }
 
+/* Returns the calls to a slow store, and starts the clock of the test.  */
 static mm_store_port
 slow_port (slow_store *s)
 {
@@ -455,6 +468,7 @@
                           .ctx = s };
 }
 
+/* Opens the log of partition 3 with epoch 7 on a store without records.  */
 static mm_job_log *
 open_log (slow_store *s, log_counts *counts)
 {
@@ -465,17 +479,17 @@
                            .ctx = counts };
   mm_job_log *l = mm_job_log_open (&port, 3, 7, &ev);
   mm_job_log_tick (l);
-  ck_assert_uint_eq (s->records, 0); /* the first append only announces the
-                                        epoch */
+  /* The first append has no records: it announces the epoch.  */
+  ck_assert_uint_eq (s->records, 0);
   answer_append (s, MM_APPEND_OK, 0);
   answer_records (s);
   ck_assert_int_eq (counts->opened, 1);
   return l;
 }
 
-/* The store stores a batch, but its answer is lost.  If the batch were resent
-   with another sequence number, it would be stored twice and could overwrite
-   later records.  */
+/* The store stores the records of an append, but its answer is lost.  If the
+   append were sent again with another sequence number, the records would be
+   stored twice, and later records of the same keys would be lost.  */
 START_TEST (unanswered_append_is_resent_with_the_same_seq)
 {
   slow_store s = { 0 };
@@ -489,8 +503,8 @@
   mm_job_log_tick (l);
   ck_assert_uint_eq (s.seq, seq);
   ck_assert_uint_eq (s.records, 1);
-  /* The store answers that it has executed this number and expects the next
-     one.  */
+  /* The store answers that it has executed the append with this number and
+     expects the next number.  */
   answer_append (&s, MM_APPEND_OUT_OF_SEQ, seq + 1);
   ck_assert_int_eq (counts.stored, 1);
   now_ms += MM_JOB_LOG_RETRY_MS;
@@ -503,8 +517,8 @@
 }
 END_TEST
 
-/* A writer that the store fences must report every unanswered write as not
-   confirmed, and must not append any more.  */
+/* When the store fences the writer of a log, the log must report each write
+   that has no answer as in doubt, and must not append any more.  */
 START_TEST (fenced_writer_reports_its_writes_as_in_doubt)
 {
   slow_store s = { 0 };
@@ -558,6 +572,8 @@
   .name = "q", .service = "svc", .attempts = 3, .stretch = 3, .slo_ms = 500
 };
 
+/* Returns a job of two steps with two tasks each; the second step depends on
+   the first.  */
 static mm_submission *
 two_steps (const char *id)
 {
@@ -576,12 +592,13 @@
   return s;
 }
 
+/* Counts of the answers that callers get, by status.  */
 typedef struct
 {
   int ok;
-  int in_doubt;
-  int no_job;
-  int moving;
+  int in_doubt; /* it is not known whether the request is stored */
+  int no_job;   /* there is no such job */
+  int moving;   /* the job has another home, or will have */
 } caller_counts;
 
 static void
@@ -599,7 +616,7 @@
 {
 }
 
-static int jobs_ended; /* jobs whose ends may be acknowledged */
+static int jobs_ended; /* number of calls of on_job_ended() */
 
 static void
 on_job_ended (void *ctx, const char *job_id)
@@ -612,6 +629,7 @@
 {
 }
 
+/* Opens the home of partition 3 with epoch 7 and the records of the store.  */
 static mm_home *
 open_home (slow_store *s, mm_fleet *fleet)
 {
@@ -626,7 +644,8 @@
   return h;
 }
 
-/* An instance without upstreams: tasks that are dispatched to it wait.  */
+/* An instance without upstreams: tasks that are dispatched to this instance
+   wait.  */
 typedef struct
 {
   struct ev_loop *loop;
@@ -658,8 +677,10 @@
   mm_clock_set_source (NULL, NULL);
 }
 
-/* A superseded home does not know the jobs that its successor has accepted,
-   and must not answer that such a job does not exist.  */
+/* A home that another instance has replaced does not know the jobs that the
+   new home has accepted, and must not answer that such a job does not exist.
+   So the store must confirm first that the home is still current; one record
+   serves for many requests.  */
 START_TEST (only_the_current_home_answers_no_such_job)
 {
   enum
@@ -676,8 +697,8 @@
     mm_home_confirm_state (h, "nobodys", on_answered, &c);
   ck_assert_int_eq (c.no_job, 0);
   answer_append (&s, MM_APPEND_OK, 0);
-  ck_assert_int_eq (c.no_job, 1); /* the other requests came after the
-                                    record was sent */
+  /* Only the first request came before the record was sent.  */
+  ck_assert_int_eq (c.no_job, 1);
   now_ms += MM_READ_BARRIER_PAUSE_MS;
   mm_home_tick (h, true);
   answer_append (&s, MM_APPEND_OK, 0);
@@ -693,9 +714,9 @@
 }
 END_TEST
 
-/* A caller cancels its job while the store does not answer, and cancels again.
-   If the caller were answered before the cancellation is stored, the job could
-   still continue at the next home.  */
+/* A caller cancels its job while the store does not answer, and sends the
+   cancellation again.  If the home confirmed the cancellation before it is
+   stored, the job could still go on at the next home.  */
 START_TEST (cancel_is_answered_only_once_stored)
 {
   home_fixture fx = home_fixture_create ();
@@ -725,10 +746,11 @@
 }
 END_TEST
 
-/* The previous home finished the first step, started the second, and died
-   before it had stored the ends of the first.  If its successor started the
-   second step as soon as it found these ends at the upstreams, the second step
-   would run twice.  */
+/* The previous home of a job finished the first step, started the second step,
+   and died before it had stored the ends of the first.  If the next home
+   started the second step as soon as it found these ends at the upstreams, the
+   second step would run twice.  So the tasks of the second step must stay in
+   doubt.  */
 START_TEST (later_steps_are_in_doubt_too_after_a_takeover)
 {
   home_fixture fx = home_fixture_create ();
@@ -761,9 +783,9 @@
 }
 END_TEST
 
-/* Non-idempotent tasks were at an instance that died.  No run of them is
-   found, and whether they ran is not known: the job must fail, and only
-   once.  */
+/* Tasks that may run at most once were dispatched by a home that died.  The
+   next home finds no run of them and cannot know whether they ran.  It must
+   not start the tasks again: the job must fail, and only once.  */
 START_TEST (non_idempotent_task_is_not_restarted_by_the_next_home)
 {
   home_fixture fx = home_fixture_create ();
@@ -791,8 +813,8 @@
 }
 END_TEST
 
-/* A job without tasks was stored and its home died.  No end of a task will
-   complete the job, so the next home must end it by itself.  */
+/* A job without tasks was stored and its home died.  The job is not completed
+   by the end of a task, so the next home must end the job by itself.  */
 START_TEST (job_without_tasks_is_ended_by_the_next_home)
 {
   home_fixture fx = home_fixture_create ();
@@ -815,9 +837,10 @@
 }
 END_TEST
 
-/* An upstream that has left the list has no owner that answers for it, but the
-   upstream may run tasks under its last lease.  These tasks must not be
-   searched for, and so not be started again, before that lease has lapsed.  */
+/* An upstream that has left the list has no owner that could report its runs,
+   but tasks may still run there under the last lease.  These tasks must not be
+   searched for before that lease has lapsed: the search would find no run, and
+   the tasks would be started again.  */
 START_TEST (task_is_not_searched_for_before_its_lease_lapses)
 {
   home_fixture fx = home_fixture_create ();
