--- a/tests/owner_fixture.h
+++ b/tests/owner_fixture.h
@@ -26,7 +26,7 @@
 } fixture;
 
 fixture fixture_create (void); /* an owner without upstreams */
-/* Adds an upstream, which the owner holds with the fencing token 5.  */
+/* Adds an upstream, which the owner gets with the fencing token 5.  */
 fake *fixture_add (fixture *fx, const char *name);
 /* Advances the clock and ticks the owner.  */
 void fixture_run (fixture *fx, mm_time_ms ms);
--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -105,7 +105,7 @@
 struct fixture
 {
   fakes *fake_upstreams;
-  GRand *rand;
+  GRand *rng;
   instance instances[OWNERS];
   fake *upstreams[UPSTREAMS];
   int owner_of[UPSTREAMS]; /* index of the instance */
@@ -120,7 +120,7 @@
 static int
 random_below (fixture *fx, int below)
 {
-  return g_rand_int_range (fx->rand, 0, below);
+  return g_rand_int_range (fx->rng, 0, below);
 }
 
 /* ---- links ------------------------------------------------------------ */
@@ -514,7 +514,7 @@
 {
   memset (fx, 0, sizeof *fx);
   fx->fake_upstreams = fakes_create ();
-  fx->rand = g_rand_new_with_seed (seed);
+  fx->rng = g_rand_new_with_seed (seed);
   fx->fence = 1;
   mm_exec_port port = fakes_port (fx->fake_upstreams);
   for (int i = 0; i < OWNERS; i++)
@@ -552,7 +552,7 @@
     mm_owner_destroy (fx->instances[i].owner);
   for (int i = 0; i < OWNERS; i++)
     link_free (fx->instances[i].to_peer);
-  g_rand_free (fx->rand);
+  g_rand_free (fx->rng);
   fakes_destroy (fx->fake_upstreams);
 }
 
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -52,7 +52,8 @@
   mm_owner_cancel (((succession *)ctx)->next, transfer);
 }
 
-/* @disconnected: the owners cannot transfer runs.  */
+/* Creates both owners without upstreams.  @disconnected: the owners cannot
+   transfer runs.  */
 static void
 succession_init (succession *s, bool disconnected)
 {
--- a/tests/test_suspects.c
+++ b/tests/test_suspects.c
@@ -380,14 +380,14 @@
   start_task (&fx, "first", false, &how[0]);
   start_task (&fx, "suspect", true, &how[1]);
   fakes_run (fx.upstreams, fx.owner, 10);
-  size_t most = 0;
+  size_t max_running = 0;
   for (int i = 0; i < 3; i++)
-    most = MAX (most, fake_running (x[i]));
-  ck_assert_uint_eq (most, 1);
+    max_running = MAX (max_running, fake_running (x[i]));
+  ck_assert_uint_eq (max_running, 1);
   start_task (&fx, "another", true, &how[2]);
   start_task (&fx, "second", false, &how[3]);
   fakes_run (fx.upstreams, fx.owner, 10);
-  uint32_t alone = 0;
+  uint32_t alone = 0; /* upstreams with a single run */
   for (int i = 0; i < 3; i++)
     alone += fake_running (x[i]) == 1;
   ck_assert_uint_eq (alone, 2); /* the two suspect tasks */
