--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -721,7 +721,6 @@
   tcase_add_test (c, job_is_answered_completely_though_an_owner_dies);
   tcase_add_test (c, frozen_instance_starts_no_queued_task);
   tcase_add_test (c, late_starts_do_not_exceed_capacity);
-  tcase_add_test (c, graceful_stop_interrupts_no_job);
   tcase_add_test (c,
                   job_longer_than_the_grace_time_is_not_answered_as_not_run);
   tcase_add_test (c, data_centre_without_instances_gets_a_standby);
@@ -751,5 +750,9 @@
   tcase_set_timeout (c, 60);
   tcase_add_test (c, jobs_at_all_instances_are_answered_whole);
   suite_add_tcase (s, c);
+  c = tcase_create ("graceful");
+  tcase_set_timeout (c, 60);
+  tcase_add_test (c, graceful_stop_interrupts_no_job);
+  suite_add_tcase (s, c);
   return h_run_suite (s);
 }
