--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -28,9 +28,10 @@
   mm_home *home;
   char id[MM_JOB_ID_MAX + 1];
   mm_job_record *rec;
-  mm_kept_tasks *run; /* NULL when the job has ended or is not accepted yet */
-  GList *waiters;     /* waiter, in the order of arrival */
-  bool stored;        /* the record has been stored at least once */
+  mm_kept_tasks *kept_tasks;   /* NULL before the job is accepted, and once it
+                                  has ended */
+  GList *waiters;              /* waiter, in the order of arrival */
+  bool stored;                 /* the record has been stored at least once */
   mm_job_phase reported_phase; /* the phase that callers are given, except
                                   that phase_of() adds "running" */
   mm_time_ms received_ms;      /* when the job arrived at this home */
@@ -106,7 +107,7 @@
 {
   job *j = p;
   answer_waiters (j, MM_KEPT_IN_DOUBT, G_MAXINT64);
-  mm_kept_tasks_destroy (j->run);
+  mm_kept_tasks_destroy (j->kept_tasks);
   mm_job_record_destroy (j->rec);
   g_free (j);
 }
@@ -143,7 +144,7 @@
   pending_write *w = g_new0 (pending_write, 1);
   w->home = j->home;
   g_strlcpy (w->id, j->id, sizeof w->id);
-  w->acks = j->run ? mm_kept_tasks_take_acks (j->run) : NULL;
+  w->acks = j->kept_tasks ? mm_kept_tasks_take_acks (j->kept_tasks) : NULL;
   return w;
 }
 
@@ -175,7 +176,7 @@
 store_progress (job *j)
 {
   j->progress_due_ms = 0;
-  if (mm_kept_tasks_started (j->run))
+  if (mm_kept_tasks_started (j->kept_tasks))
     j->rec->phase = MM_JOB_RUNNING;
   mm_job_log_put (j->home->log, j->id, mm_job_record_pack (j->rec),
                   on_progress_stored, pending_write_create (j));
@@ -209,7 +210,7 @@
 {
   mm_home *h = j->home;
   pending_write *w = pending_write_create (j);
-  mm_kept_tasks_destroy (g_steal_pointer (&j->run));
+  mm_kept_tasks_destroy (g_steal_pointer (&j->kept_tasks));
   mm_job_record_set_outcome (j->rec, phase);
   j->progress_due_ms = 0;
   h->n_open_jobs--;
@@ -228,7 +229,7 @@
 }
 
 static void
-on_run_finished (void *ctx, mm_job_phase phase)
+on_tasks_finished (void *ctx, mm_job_phase phase)
 {
   end_job (ctx, phase);
 }
@@ -236,16 +237,17 @@
 /* Starts or continues an accepted job.  @taken_over: an earlier home accepted
    the job, and its tasks may be running.  */
 static void
-start_run (job *j, bool taken_over)
+start_tasks (job *j, bool taken_over)
 {
   mm_kept_tasks_events ev
-      = { .progress = on_progress, .finished = on_run_finished, .ctx = j };
-  j->run = mm_kept_tasks_create (j->home->fleet, j->rec, taken_over, &ev);
+      = { .progress = on_progress, .finished = on_tasks_finished, .ctx = j };
+  j->kept_tasks
+      = mm_kept_tasks_create (j->home->fleet, j->rec, taken_over, &ev);
   /* A job without tasks receives no end that would complete it.  */
-  if (mm_kept_tasks_all_done (j->run))
+  if (mm_kept_tasks_all_done (j->kept_tasks))
     end_job (j, MM_JOB_COMPLETED);
   else
-    mm_kept_tasks_tick (j->run, j->home->may_start);
+    mm_kept_tasks_tick (j->kept_tasks, j->home->may_start);
 }
 
 /* ---- opening ---------------------------------------------------------- */
@@ -275,7 +277,7 @@
   if (mm_job_phase_ended (rec->phase))
     set_ended (j);
   else
-    start_run (j, true);
+    start_tasks (j, true);
 }
 
 static void
@@ -359,7 +361,7 @@
   answer_waiters (j, MM_KEPT_OK, G_MAXINT64);
   if (mm_job_phase_ended (j->rec->phase))
     return; /* cancelled while the record was being stored */
-  start_run (j, false);
+  start_tasks (j, false);
 }
 
 /* Refuses a new job; @why is for the log.  */
@@ -388,18 +390,6 @@
       mm_admission_limit_of_objective_ms (rec->objective_ms, chain_ms));
 }
 
-/**
- * mm_home_submit() - accept a job.
- * @h: the job's home.
- * @rec: the job; ownership is taken.
- * @answered: called once the job is stored, or at once if it is refused or
- * already stored.
- * @ctx: for @answered.
- *
- * A job that is submitted again under the same id is not run again.  While the
- * store does not answer, no job can be accepted, and @answered is called with
- * MM_KEPT_BUSY at once.
- */
 void
 mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_answered answered,
                 void *ctx)
@@ -439,8 +429,8 @@
 static mm_job_phase
 phase_of (const job *j)
 {
-  if (j->reported_phase == MM_JOB_QUEUED && j->run
-      && mm_kept_tasks_started (j->run))
+  if (j->reported_phase == MM_JOB_QUEUED && j->kept_tasks
+      && mm_kept_tasks_started (j->kept_tasks))
     return MM_JOB_RUNNING;
   return j->reported_phase;
 }
@@ -513,7 +503,7 @@
   while (g_hash_table_iter_next (&it, &v, NULL))
     {
       const job *j = v;
-      n += j->stored && j->run && !mm_kept_tasks_started (j->run)
+      n += j->stored && j->kept_tasks && !mm_kept_tasks_started (j->kept_tasks)
            && strcmp (j->rec->queue, queue) == 0;
     }
   return n;
@@ -544,8 +534,8 @@
   answer_waiters (j, MM_KEPT_IN_DOUBT, now);
   if (j->progress_due_ms && now >= j->progress_due_ms)
     store_progress (j);
-  if (j->run)
-    mm_kept_tasks_tick (j->run, may_start);
+  if (j->kept_tasks)
+    mm_kept_tasks_tick (j->kept_tasks, may_start);
 }
 
 void
@@ -574,7 +564,8 @@
   gpointer v;
   g_hash_table_iter_init (&it, h->unfinished);
   while (g_hash_table_iter_next (&it, &v, NULL))
-    if (((job *)v)->run && mm_kept_tasks_n_dispatched (((job *)v)->run))
+    if (((job *)v)->kept_tasks
+        && mm_kept_tasks_n_dispatched (((job *)v)->kept_tasks))
       return false;
   return true;
 }
@@ -594,16 +585,17 @@
   gpointer v;
   g_hash_table_iter_init (&it, h->unfinished);
   while (g_hash_table_iter_next (&it, &v, NULL))
-    if (((job *)v)->run && mm_kept_tasks_n_in_doubt (((job *)v)->run))
-      mm_kept_tasks_in_doubt (((job *)v)->run, tasks);
+    if (((job *)v)->kept_tasks
+        && mm_kept_tasks_n_in_doubt (((job *)v)->kept_tasks))
+      mm_kept_tasks_in_doubt (((job *)v)->kept_tasks, tasks);
 }
 
 void
 mm_home_record_end (mm_home *h, const mm_found_end *e, const char *owner)
 {
   job *j = g_hash_table_lookup (h->jobs, e->task.job);
-  if (j && j->run)
-    mm_kept_tasks_record_end (j->run, e, owner);
+  if (j && j->kept_tasks)
+    mm_kept_tasks_record_end (j->kept_tasks, e, owner);
 }
 
 void
@@ -613,11 +605,12 @@
   for (GList *l = jobs; l; l = l->next)
     {
       job *j = l->data;
-      uint32_t n = j->run ? mm_kept_tasks_n_in_doubt (j->run) : 0;
+      uint32_t n
+          = j->kept_tasks ? mm_kept_tasks_n_in_doubt (j->kept_tasks) : 0;
       if (!n)
         continue;
       mm_log_event (MM_EV_KEPT_FOUND, MM_TEXT (j->id), MM_INT (n));
-      mm_kept_tasks_clear_in_doubt (j->run, tasks);
+      mm_kept_tasks_clear_in_doubt (j->kept_tasks, tasks);
     }
   g_list_free (jobs);
 }
--- a/src/mm_kept_tasks.c
+++ b/src/mm_kept_tasks.c
@@ -20,7 +20,7 @@
 
 typedef struct
 {
-  mm_kept_tasks *run;
+  mm_kept_tasks *kept_tasks;
   mm_task_id id;
   task_state state;
   bool ready;                   /* its step may start */
@@ -62,87 +62,87 @@
     t->state = TASK_WAITING;
 }
 
-static bool dispatch_waiting (mm_kept_tasks *r);
+static bool dispatch_waiting (mm_kept_tasks *k);
 
 static void
 set_in_doubt (task *t)
 {
   t->state = TASK_IN_DOUBT;
   t->in_doubt_since_ms = mm_clock_now_ms ();
-  t->run->n_in_doubt++;
+  t->kept_tasks->n_in_doubt++;
 }
 
 mm_kept_tasks *
 mm_kept_tasks_create (mm_fleet *fleet, mm_job_record *rec, bool taken_over,
                       const mm_kept_tasks_events *ev)
 {
-  mm_kept_tasks *r = g_new0 (mm_kept_tasks, 1);
-  r->fleet = fleet;
-  r->rec = rec;
-  r->ev = *ev;
-  r->steps = mm_steps_create (rec->submission);
-  r->n_tasks = mm_submission_tasks (rec->submission);
-  r->tasks = g_new0 (task, (size_t)r->n_tasks + 1);
-  r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_ack));
-  r->latest_start_ms = mm_clock_now_ms () + rec->objective_ms
+  mm_kept_tasks *k = g_new0 (mm_kept_tasks, 1);
+  k->fleet = fleet;
+  k->rec = rec;
+  k->ev = *ev;
+  k->steps = mm_steps_create (rec->submission);
+  k->n_tasks = mm_submission_tasks (rec->submission);
+  k->tasks = g_new0 (task, (size_t)k->n_tasks + 1);
+  k->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_ack));
+  k->latest_start_ms = mm_clock_now_ms () + rec->objective_ms
                        - mm_submission_chain_ms (rec->submission);
-  r->started = taken_over && rec->phase == MM_JOB_RUNNING;
-  for (uint32_t i = 0; i < r->n_tasks; i++)
+  k->started = taken_over && rec->phase == MM_JOB_RUNNING;
+  for (uint32_t i = 0; i < k->n_tasks; i++)
     {
-      task *t = &r->tasks[i];
-      t->run = r;
-      t->id = mm_steps_task_id (r->steps, i);
+      task *t = &k->tasks[i];
+      t->kept_tasks = k;
+      t->id = mm_steps_task_id (k->steps, i);
       if (!rec->progress[i].done)
         continue;
       t->state = TASK_DONE;
-      mm_steps_task_done (r->steps, i);
+      mm_steps_task_done (k->steps, i);
     }
-  mm_steps_start_ready (r->steps, set_task_ready, r);
+  mm_steps_start_ready (k->steps, set_task_ready, k);
   /* Tasks of steps that are not ready are in doubt too: the earlier home may
      have started them after ends that it had not stored when it died.  */
-  for (uint32_t i = 0; taken_over && i < r->n_tasks; i++)
-    if (r->tasks[i].state != TASK_DONE)
-      set_in_doubt (&r->tasks[i]);
-  return r;
+  for (uint32_t i = 0; taken_over && i < k->n_tasks; i++)
+    if (k->tasks[i].state != TASK_DONE)
+      set_in_doubt (&k->tasks[i]);
+  return k;
 }
 
 void
-mm_kept_tasks_destroy (mm_kept_tasks *r)
+mm_kept_tasks_destroy (mm_kept_tasks *k)
 {
-  if (!r)
+  if (!k)
     return;
-  for (uint32_t i = 0; i < r->n_tasks; i++)
+  for (uint32_t i = 0; i < k->n_tasks; i++)
     {
-      if (r->tasks[i].ticket)
-        mm_fleet_cancel (r->fleet, r->tasks[i].ticket);
-      g_free (r->tasks[i].avoid_upstream);
-      g_free (r->tasks[i].returned_by);
+      if (k->tasks[i].ticket)
+        mm_fleet_cancel (k->fleet, k->tasks[i].ticket);
+      g_free (k->tasks[i].avoid_upstream);
+      g_free (k->tasks[i].returned_by);
     }
-  mm_steps_destroy (r->steps);
-  g_array_free (r->acks, TRUE);
-  g_free (r->tasks);
-  g_free (r);
+  mm_steps_destroy (k->steps);
+  g_array_free (k->acks, TRUE);
+  g_free (k->tasks);
+  g_free (k);
 }
 
-/* Reports the end of the job once.  @r may have been freed on return.  */
+/* Reports the end of the job once.  @k may have been freed on return.  */
 static void
-finish (mm_kept_tasks *r, mm_job_phase phase)
+finish (mm_kept_tasks *k, mm_job_phase phase)
 {
-  if (r->finished)
+  if (k->finished)
     return;
-  r->finished = true;
-  r->ev.finished (r->ev.ctx, phase);
+  k->finished = true;
+  k->ev.finished (k->ev.ctx, phase);
 }
 
 /* Notes that the end of a run is to be acknowledged once it is stored.
    @owner: the peer that reported it, NULL for this instance.  */
 static void
-add_ack (mm_kept_tasks *r, const mm_task_id *id, uint32_t run_hash,
+add_ack (mm_kept_tasks *k, const mm_task_id *id, uint32_t run_hash,
          const char *owner)
 {
   mm_end_ack ack = { .task = *id, .run_hash = run_hash };
   g_strlcpy (ack.owner, owner ? owner : "", sizeof ack.owner);
-  g_array_append_val (r->acks, ack);
+  g_array_append_val (k->acks, ack);
 }
 
 /* Records the task as done and starts what can start now.  Ends the job after
@@ -150,26 +150,26 @@
 static void
 on_task_succeeded (task *t)
 {
-  mm_kept_tasks *r = t->run;
-  uint32_t number = (uint32_t)(t - r->tasks);
+  mm_kept_tasks *k = t->kept_tasks;
+  uint32_t number = (uint32_t)(t - k->tasks);
   t->state = TASK_DONE;
-  r->rec->progress[number].done = true;
-  mm_steps_task_done (r->steps, number);
-  if (mm_steps_all_done (r->steps))
+  k->rec->progress[number].done = true;
+  mm_steps_task_done (k->steps, number);
+  if (mm_steps_all_done (k->steps))
     {
-      finish (r, MM_JOB_COMPLETED);
+      finish (k, MM_JOB_COMPLETED);
       return;
     }
-  mm_steps_start_ready (r->steps, set_task_ready, r);
-  if (dispatch_waiting (r))
-    r->ev.progress (r->ev.ctx);
+  mm_steps_start_ready (k->steps, set_task_ready, k);
+  if (dispatch_waiting (k))
+    k->ev.progress (k->ev.ctx);
 }
 
 /* Whether the task must not be started again once it may have run.  */
 static bool
 runs_once (const task *t)
 {
-  return t->run->rec->submission->steps[t->id.step].once;
+  return t->kept_tasks->rec->submission->steps[t->id.step].once;
 }
 
 /* Records a failed run of the task.  @next_state is the state of the task if
@@ -177,14 +177,14 @@
 static void
 on_task_failed (task *t, uint32_t run_hash, task_state next_state)
 {
-  mm_kept_tasks *r = t->run;
-  mm_task_progress *p = &r->rec->progress[t - r->tasks];
+  mm_kept_tasks *k = t->kept_tasks;
+  mm_task_progress *p = &k->rec->progress[t - k->tasks];
   mm_task_progress_add_failure (p, run_hash);
   t->state = next_state;
-  if (p->n_failures >= r->rec->attempts || runs_once (t))
-    finish (r, MM_JOB_FAILED);
+  if (p->n_failures >= k->rec->attempts || runs_once (t))
+    finish (k, MM_JOB_FAILED);
   else
-    r->ev.progress (r->ev.ctx);
+    k->ev.progress (k->ev.ctx);
 }
 
 static void
@@ -212,13 +212,13 @@
 static const char *
 next_action (const task *t, mm_end how)
 {
-  const mm_kept_tasks *r = t->run;
+  const mm_kept_tasks *k = t->kept_tasks;
   if (how == MM_END_UNKNOWN)
     return "searching for it";
   if (runs_once (t))
     return "job fails: a task runs only once";
   if (how == MM_END_FAILED
-      && r->rec->progress[t - r->tasks].n_failures + 1 >= r->rec->attempts)
+      && k->rec->progress[t - k->tasks].n_failures + 1 >= k->rec->attempts)
     return "job fails: no attempt left";
   return "dispatched again";
 }
@@ -242,19 +242,19 @@
 on_work_ended (void *ctx, const mm_work_result *w)
 {
   task *t = ctx;
-  mm_kept_tasks *r = t->run;
+  mm_kept_tasks *k = t->kept_tasks;
   uint32_t run_hash = w->upstream ? mm_run_hash (w->upstream, w->run) : 0;
   t->ticket = NULL;
-  r->n_dispatched--;
-  r->n_isolated -= t->isolated;
+  k->n_dispatched--;
+  k->n_isolated -= t->isolated;
   t->isolated = false;
   log_end (t, w);
   if (w->how != MM_END_NOT_RUN)
     g_clear_pointer (&t->returned_by, g_free);
   if (w->how != MM_END_NOT_RUN && w->how != MM_END_UNKNOWN)
     {
-      r->started = true;
-      add_ack (r, &t->id, run_hash, w->owner);
+      k->started = true;
+      add_ack (k, &t->id, run_hash, w->owner);
     }
   switch (w->how)
     {
@@ -270,9 +270,9 @@
       set_avoid_upstream (t, w->upstream);
       t->state = TASK_WAITING;
       if (runs_once (t))
-        finish (r, MM_JOB_FAILED);
+        finish (k, MM_JOB_FAILED);
       else
-        r->ev.progress (r->ev.ctx);
+        k->ev.progress (k->ev.ctx);
       break;
     case MM_END_NOT_RUN:
       on_returned (t, w->owner ? w->owner : "");
@@ -290,90 +290,92 @@
 static void
 dispatch (task *t, mm_suspect_action action, mm_time_ms now)
 {
-  mm_kept_tasks *r = t->run;
-  const mm_step *step = &r->rec->submission->steps[t->id.step];
+  mm_kept_tasks *k = t->kept_tasks;
+  const mm_step *step = &k->rec->submission->steps[t->id.step];
   mm_task_request req
       = { .id = t->id,
-          .service = r->rec->service,
+          .service = k->rec->service,
           .payload
-          = step->payload ? step->payload : r->rec->submission->payload,
+          = step->payload ? step->payload : k->rec->submission->payload,
           .label = step->label,
           .data_label = step->data_label,
           .avoid_upstream = t->avoid_upstream,
           .resources = step->resources,
           .kept = true,
           .isolated = action == MM_SUSPECT_ISOLATE,
-          .attempt = r->rec->progress[t - r->tasks].n_failures,
-          .priority = r->rec->priority,
+          .attempt = k->rec->progress[t - k->tasks].n_failures,
+          .priority = k->rec->priority,
           .estimate_ms = step->estimate_ms,
-          .due_within_ms = MAX (r->latest_start_ms - now, 0),
+          .due_within_ms = MAX (k->latest_start_ms - now, 0),
           .start_within_ms = MM_KEPT_START_WITHIN_MS };
   t->dispatched_ms = now;
   t->ticket
-      = mm_fleet_submit (r->fleet, &req, t->returned_by, on_work_ended, t);
+      = mm_fleet_submit (k->fleet, &req, t->returned_by, on_work_ended, t);
   if (!t->ticket)
-    return; /* no owner is reachable: retried at the next tick */
+    /* Neither this instance nor a connected peer reports any capacity for the
+       service, free or in use: retried at the next tick.  */
+    return;
   t->state = TASK_DISPATCHED;
-  r->n_dispatched++;
+  k->n_dispatched++;
   t->isolated = req.isolated;
-  r->n_isolated += t->isolated;
+  k->n_isolated += t->isolated;
 }
 
 /* Dispatches the waiting tasks, unless a task of the job is in doubt.  Returns
-   false when the job has failed and @r may have been freed.  */
+   false when the job has failed and @k may have been freed.  */
 static bool
-dispatch_waiting (mm_kept_tasks *r)
+dispatch_waiting (mm_kept_tasks *k)
 {
-  if (!r->may_start || r->finished || r->n_in_doubt)
+  if (!k->may_start || k->finished || k->n_in_doubt)
     return true;
   mm_time_ms now = mm_clock_now_ms ();
-  for (uint32_t i = 0; i < r->n_tasks; i++)
+  for (uint32_t i = 0; i < k->n_tasks; i++)
     {
-      task *t = &r->tasks[i];
+      task *t = &k->tasks[i];
       if (t->state != TASK_WAITING)
         continue;
-      mm_suspect_action action = mm_fleet_suspect_action (r->fleet, &t->id);
+      mm_suspect_action action = mm_fleet_suspect_action (k->fleet, &t->id);
       if (action == MM_SUSPECT_GIVE_UP)
         {
-          mm_fleet_record_given_up (r->fleet, &t->id);
-          finish (r, MM_JOB_FAILED);
+          mm_fleet_record_given_up (k->fleet, &t->id);
+          finish (k, MM_JOB_FAILED);
           return false;
         }
-      if (mm_suspect_may_run (action, r->n_isolated))
+      if (mm_suspect_may_run (action, k->n_isolated))
         dispatch (t, action, now);
     }
   return true;
 }
 
 void
-mm_kept_tasks_tick (mm_kept_tasks *r, bool may_start)
+mm_kept_tasks_tick (mm_kept_tasks *k, bool may_start)
 {
-  r->may_start = may_start;
-  dispatch_waiting (r);
+  k->may_start = may_start;
+  dispatch_waiting (k);
 }
 
 bool
-mm_kept_tasks_all_done (const mm_kept_tasks *r)
+mm_kept_tasks_all_done (const mm_kept_tasks *k)
 {
-  return mm_steps_all_done (r->steps);
+  return mm_steps_all_done (k->steps);
 }
 
 bool
-mm_kept_tasks_started (const mm_kept_tasks *r)
+mm_kept_tasks_started (const mm_kept_tasks *k)
 {
-  return r->started;
+  return k->started;
 }
 
 uint32_t
-mm_kept_tasks_n_dispatched (const mm_kept_tasks *r)
+mm_kept_tasks_n_dispatched (const mm_kept_tasks *k)
 {
-  return r->n_dispatched;
+  return k->n_dispatched;
 }
 
 uint32_t
-mm_kept_tasks_n_in_doubt (const mm_kept_tasks *r)
+mm_kept_tasks_n_in_doubt (const mm_kept_tasks *k)
 {
-  return r->n_in_doubt;
+  return k->n_in_doubt;
 }
 
 /* Adds the tasks in doubt that can be searched for now to @tasks.
@@ -382,62 +384,62 @@
    it, but may still run tasks under its last lease.  So a task in doubt is
    searched for only after every such lease must have lapsed.  */
 void
-mm_kept_tasks_in_doubt (const mm_kept_tasks *r, GHashTable *tasks)
+mm_kept_tasks_in_doubt (const mm_kept_tasks *k, GHashTable *tasks)
 {
   mm_time_ms before = mm_clock_now_ms () - MM_KEPT_LEASE_LAPSE_MS;
-  for (uint32_t i = 0; i < r->n_tasks; i++)
-    if (r->tasks[i].state == TASK_IN_DOUBT
-        && r->tasks[i].in_doubt_since_ms <= before)
+  for (uint32_t i = 0; i < k->n_tasks; i++)
+    if (k->tasks[i].state == TASK_IN_DOUBT
+        && k->tasks[i].in_doubt_since_ms <= before)
       g_hash_table_add (tasks,
-                        g_memdup2 (&r->tasks[i].id, sizeof r->tasks[i].id));
+                        g_memdup2 (&k->tasks[i].id, sizeof k->tasks[i].id));
 }
 
 void
-mm_kept_tasks_record_end (mm_kept_tasks *r, const mm_found_end *e,
+mm_kept_tasks_record_end (mm_kept_tasks *k, const mm_found_end *e,
                           const char *owner)
 {
-  int64_t number = mm_steps_task_number (r->steps, &e->task);
-  if (number < 0 || r->finished || r->tasks[number].state != TASK_IN_DOUBT)
+  int64_t number = mm_steps_task_number (k->steps, &e->task);
+  if (number < 0 || k->finished || k->tasks[number].state != TASK_IN_DOUBT)
     return;
-  task *t = &r->tasks[number];
-  r->started = true;
-  add_ack (r, &t->id, e->run_hash, owner);
+  task *t = &k->tasks[number];
+  k->started = true;
+  add_ack (k, &t->id, e->run_hash, owner);
   if (e->how == MM_END_DONE)
     {
-      r->n_in_doubt--;
+      k->n_in_doubt--;
       on_task_succeeded (t);
     }
   else if (e->how == MM_END_FAILED)
     /* Another run of the task may be left, so it stays in doubt.  */
     on_task_failed (t, e->run_hash, TASK_IN_DOUBT);
   else
-    r->ev.progress (r->ev.ctx);
+    k->ev.progress (k->ev.ctx);
 }
 
 void
-mm_kept_tasks_clear_in_doubt (mm_kept_tasks *r, GHashTable *tasks)
+mm_kept_tasks_clear_in_doubt (mm_kept_tasks *k, GHashTable *tasks)
 {
-  for (uint32_t i = 0; i < r->n_tasks; i++)
+  for (uint32_t i = 0; i < k->n_tasks; i++)
     {
-      task *t = &r->tasks[i];
+      task *t = &k->tasks[i];
       if (t->state != TASK_IN_DOUBT || !g_hash_table_contains (tasks, &t->id))
         continue;
       t->state = t->ready ? TASK_WAITING : TASK_BLOCKED;
-      r->n_in_doubt--;
+      k->n_in_doubt--;
       /* The task may have run and been stopped: this cannot be determined, so
          a task that runs only once must not run again.  */
       if (runs_once (t))
         {
-          finish (r, MM_JOB_FAILED); /* @r may have been freed */
+          finish (k, MM_JOB_FAILED); /* @k may have been freed */
           return;
         }
     }
 }
 
 GArray *
-mm_kept_tasks_take_acks (mm_kept_tasks *r)
+mm_kept_tasks_take_acks (mm_kept_tasks *k)
 {
-  GArray *acks = r->acks;
-  r->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_ack));
+  GArray *acks = k->acks;
+  k->acks = g_array_new (FALSE, FALSE, sizeof (mm_end_ack));
   return acks;
 }
--- a/src/mm_kept_tasks.h
+++ b/src/mm_kept_tasks.h
@@ -6,8 +6,7 @@
    started.  It is not started again before the owners of all upstreams have
    answered that it does not run there.
 
-   Comments call one start of a task a run.  A mm_kept_tasks holds all tasks of
-   the job.  */
+   A run is one start of a task.  */
 #ifndef MM_KEPT_TASKS_H
 #define MM_KEPT_TASKS_H
 
@@ -43,30 +42,30 @@
 mm_kept_tasks *mm_kept_tasks_create (mm_fleet *fleet, mm_job_record *rec,
                                      bool taken_over,
                                      const mm_kept_tasks_events *ev);
-/* Stops the tasks that run.  */
-void mm_kept_tasks_destroy (mm_kept_tasks *r);
+/* Stops the tasks that run, and frees the object.  */
+void mm_kept_tasks_destroy (mm_kept_tasks *k);
 /* Dispatches the waiting tasks if @may_start.  Call each MM_EXEC_TICK_MS.  */
-void mm_kept_tasks_tick (mm_kept_tasks *r, bool may_start);
+void mm_kept_tasks_tick (mm_kept_tasks *k, bool may_start);
 /* Whether every task is done according to the record.  */
-bool mm_kept_tasks_all_done (const mm_kept_tasks *r);
+bool mm_kept_tasks_all_done (const mm_kept_tasks *k);
 /* Whether any task is known to have been started.  */
-bool mm_kept_tasks_started (const mm_kept_tasks *r);
+bool mm_kept_tasks_started (const mm_kept_tasks *k);
 /* Number of tasks that are at owners, waiting or running.  */
-uint32_t mm_kept_tasks_n_dispatched (const mm_kept_tasks *r);
+uint32_t mm_kept_tasks_n_dispatched (const mm_kept_tasks *k);
 /* Adds copies of the tasks that have been in doubt for MM_KEPT_LEASE_LAPSE_MS
    to a mm_task_set.  */
-void mm_kept_tasks_in_doubt (const mm_kept_tasks *r, GHashTable *tasks);
+void mm_kept_tasks_in_doubt (const mm_kept_tasks *k, GHashTable *tasks);
 /* Number of tasks in doubt, however long they have been so.  */
-uint32_t mm_kept_tasks_n_in_doubt (const mm_kept_tasks *r);
+uint32_t mm_kept_tasks_n_in_doubt (const mm_kept_tasks *k);
 /* Records the end of a run of a task in doubt that a search has found.
    @owner: the peer that reported it, NULL for this instance.  */
-void mm_kept_tasks_record_end (mm_kept_tasks *r, const mm_found_end *e,
+void mm_kept_tasks_record_end (mm_kept_tasks *k, const mm_found_end *e,
                                const char *owner);
 /* No run of @tasks is left anywhere: those of them that are in doubt may be
    started again.  A task that runs only once makes the job fail instead.  */
-void mm_kept_tasks_clear_in_doubt (mm_kept_tasks *r, GHashTable *tasks);
+void mm_kept_tasks_clear_in_doubt (mm_kept_tasks *k, GHashTable *tasks);
 /* Returns an array of mm_end_ack for the ends that were recorded since the
    last call; the caller frees it.  */
-GArray *mm_kept_tasks_take_acks (mm_kept_tasks *r);
+GArray *mm_kept_tasks_take_acks (mm_kept_tasks *k);
 
 #endif /* MM_KEPT_TASKS_H */
