--- a/daemons/ctl.h
+++ b/daemons/ctl.h
@@ -30,15 +30,27 @@
 
 /* ---- commands; each returns the exit status ---- */
 
-/* Publishes a configuration and waits up to @wait_ms until it is in force.
+/* Publishes a configuration as an edit of the newest record that a live entry
+   instance reports, and waits up to @wait_ms until it is in force everywhere.
    @argv: BASE [SITE=OVERLAY]...  */
 int ctl_config_publish (int argc, char **argv, int64_t wait_ms);
+/* Prints the configuration in force: the record at the newest offset that a
+   live entry instance reports.  */
 int ctl_config_show (void);
-int ctl_status (bool json);              /* @json: print JSON, not a table */
-int ctl_queues_set (const char *file);   /* @file: JSON */
-int ctl_explain (int argc, char **argv); /* @argv: ID [FILE...] */
-int ctl_top (int argc, char **argv);     /* @argv: HOST:PORT... */
-int ctl_events (void);                   /* prints the table of docs/LOGS.md */
-int ctl_bench (int argc, char **argv);   /* @argv: "bench" and its options */
+/* Prints the member list, one line for each member, or as JSON if @json.  The
+   list lags behind the members' actual state.  */
+int ctl_status (bool json);
+/* Replaces the queues at the platform by those in @file, which is JSON.  */
+int ctl_queues_set (const char *file);
+/* Explains a job from logs.  @argv: ID [FILE...], where ID is the job's.  */
+int ctl_explain (int argc, char **argv);
+/* Prints a row for each instance in @argv: HOST:PORT...  The exit status is 1
+   when the metrics of any of them cannot be read.  */
+int ctl_top (int argc, char **argv);
+/* Prints the table of events in docs/LOGS.md, as Markdown.  */
+int ctl_events (void);
+/* Runs the load and prints the results as one JSON object.  Counters are shown
+   by how much they grew during the run.  @argv: "bench" and its options.  */
+int ctl_bench (int argc, char **argv);
 
 #endif /* CTL_H */
--- a/daemons/ctl_bench.c
+++ b/daemons/ctl_bench.c
@@ -38,8 +38,6 @@
 static const char *const waste_counters[]
     = { "retries", "answers_unused", "resends_not_run", NULL };
 
-/* Runs the load and prints the results as one JSON object.  Counters are shown
-   by how much they grew during the run.  */
 int
 ctl_bench (int argc, char **argv)
 {
--- a/daemons/ctl_config.c
+++ b/daemons/ctl_config.c
@@ -204,9 +204,6 @@
   return false;
 }
 
-/* Publishes a configuration as an edit of the newest record that a live entry
-   instance reports, and waits up to @wait_ms until it is in force everywhere.
-   @argv: BASE [SITE=OVERLAY]...  */
 int
 ctl_config_publish (int argc, char **argv, int64_t wait_ms)
 {
@@ -230,8 +227,6 @@
   return wait_in_force (offset, wait_ms, &err) ? 0 : ctl_print_error (err);
 }
 
-/* Prints the configuration in force: the record at the newest offset that a
-   live entry instance reports.  */
 int
 ctl_config_show (void)
 {
--- a/daemons/ctl_explain.c
+++ b/daemons/ctl_explain.c
@@ -42,7 +42,6 @@
   return 0;
 }
 
-/* Explains the job @argv[0] from the logs in the other arguments.  */
 int
 ctl_explain (int argc, char **argv)
 {
@@ -61,7 +60,6 @@
   return exit_status;
 }
 
-/* Prints the table of events as Markdown.  */
 int
 ctl_events (void)
 {
--- a/daemons/ctl_queues.c
+++ b/daemons/ctl_queues.c
@@ -30,7 +30,6 @@
   return ok;
 }
 
-/* Replaces the queues at the platform by those in @file.  */
 int
 ctl_queues_set (const char *file)
 {
--- a/daemons/ctl_status.c
+++ b/daemons/ctl_status.c
@@ -4,8 +4,6 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Prints the member list, one line for each member.  The list lags behind the
-   members' actual state.  */
 int
 ctl_status (bool json)
 {
--- a/daemons/ctl_top.c
+++ b/daemons/ctl_top.c
@@ -67,8 +67,6 @@
   return true;
 }
 
-/* Prints a row for each instance in @argv.  The exit status is 1 when the
-   metrics of any of them cannot be read.  */
 int
 ctl_top (int argc, char **argv)
 {
--- a/src/mm_explain.h
+++ b/src/mm_explain.h
@@ -10,11 +10,12 @@
 /* Creates an empty report on a job.  */
 mm_explain *mm_explain_create (const char *job_id);
 void mm_explain_destroy (mm_explain *x);
-/* Adds a line of the log named @source.  Lines that are not JSON, or that say
-   nothing about the job, are ignored.  */
+/* Adds a line of the log named @source; each instance has one log.  Anything
+   before the first '{' of the line is ignored, and so is a line that is not
+   JSON or says nothing about the job.  */
 void mm_explain_add (mm_explain *x, const char *source, const char *line);
-/* Returns the lines in order of time, then the causes; free with g_free().
-   NULL when no line has the id of the job.  */
+/* Returns the lines in order of time, then the causes of the job's answers;
+   free with g_free().  NULL when no line has the id of the job.  */
 char *mm_explain_report (mm_explain *x);
 
 #endif /* MM_EXPLAIN_H */
--- a/src/mm_job_log.h
+++ b/src/mm_job_log.h
@@ -24,6 +24,8 @@
 /* @ok: the record is stored; false: whether it is stored is not known.  */
 typedef void (*mm_job_log_done) (void *ctx, bool ok);
 
+/* Becomes the writer of a partition.  @epoch: higher than the epoch of any
+   earlier writer.  @port and @ev are copied.  */
 mm_job_log *mm_job_log_open (const mm_store_port *port, uint32_t partition,
                              uint64_t epoch, const mm_job_log_events *ev);
 /* Calls the outstanding @done callbacks with false.  */
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -28,7 +28,9 @@
   char *avoid_upstream;     /* where the last unsuccessful run was; or NULL */
   char *returned_by;        /* owner that returned the task unstarted, "": this
                                instance; or NULL */
-  bool undispatched; /* no owner could be reached at the last dispatch */
+  bool undispatched; /* at the last dispatch, neither this instance nor a
+                        connected peer reported any capacity for the service,
+                        free or in use */
   bool deferred;     /* a suspect task that is not dispatched for now */
   bool isolated;     /* dispatched as a suspect task that runs isolated */
   mm_time_ms redispatch_ms; /* next dispatch of a task in doubt, else 0 */
@@ -186,8 +188,9 @@
 }
 
 /* Dispatches a task to an owner, or defers it while it is suspect and may not
-   run yet.  When no owner can be reached, the dispatch is repeated at each
-   tick, since owners are back within a second or two.  */
+   run yet.  When neither this instance nor a connected peer reports any
+   capacity for the service, the dispatch is repeated at each tick, since
+   owners are back within a second or two.  */
 static void
 dispatch (task *t)
 {
@@ -480,21 +483,6 @@
   return c;
 }
 
-/**
- * mm_jobs_submit() - accept a job, or refuse it at once.
- * @j: the jobs of this instance.
- * @s: the job; ownership is taken.
- * @route: the job's queue.
- * @caller_timeout_ms: how long its caller waits.
- * @answered: called once, unless the caller leaves before.
- * @ctx: for @answered.
- *
- * A job whose id runs here already is not run twice: the caller gets the
- * answer of the running one.
- *
- * Return: the caller's handle, or NULL when @answered has been called
- * already.
- */
 mm_caller *
 mm_jobs_submit (mm_jobs *j, mm_submission *s, const mm_route *route,
                 mm_time_ms caller_timeout_ms, mm_job_answered answered,
@@ -604,25 +592,14 @@
   g_list_free (jobs);
 }
 
-/**
- * mm_jobs_abandon() - end all jobs at once, with their outcome unknown.
- * @j: the jobs of this instance.
- * @why: reason given to the callers.
- *
- * Called when the process has stalled for longer than leases last, and when
- * the process is about to exit: callers may have sent their jobs to another
- * instance, or will do so, and therefore no task of them may start here any
- * more.  Tasks may have run, so no caller is answered that its job was
- * refused.
- */
 void
 mm_jobs_abandon (mm_jobs *j, const char *why)
 {
   answer_all (j, MM_ANSWER_UNKNOWN, why, G_MAXINT64);
 }
 
-/* Dispatches the tasks for which no owner could be reached, or gives up the
-   job when it is too late for them to start.  */
+/* Dispatches again the tasks for whose service no capacity was reported, or
+   gives up the job when it is too late for them to start.  */
 static void
 retry_undispatched (job *b, mm_time_ms now)
 {
--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -233,12 +233,6 @@
   g_free (k);
 }
 
-/**
- * mm_kept_create() - accept and run kept jobs at this instance.
- * @p: modules and settings that kept jobs need; the struct is copied.
- *
- * Return: the new object; free with mm_kept_destroy().
- */
 mm_kept *
 mm_kept_create (const mm_kept_deps *p)
 {
--- a/src/mm_kept.h
+++ b/src/mm_kept.h
@@ -34,7 +34,7 @@
   uint32_t n_partitions; /* number of partitions of kept jobs */
 } mm_kept_deps;
 
-mm_kept *mm_kept_create (const mm_kept_deps *p);
+mm_kept *mm_kept_create (const mm_kept_deps *p); /* @p is copied */
 /* Answers the requests that wait for their home, and closes all homes.  */
 void mm_kept_destroy (mm_kept *k);
 
--- a/src/mm_kept_foreign.c
+++ b/src/mm_kept_foreign.c
@@ -70,9 +70,6 @@
                    on_home_answered, req);
 }
 
-/* Sets @out to the job's state, or to BUSY unless this instance is confirmed
-   as the home: a superseded home does not know the jobs that its successor has
-   accepted.  */
 void
 mm_kept_answer_foreign (const mm_kept *k, const char *job_id,
                         mm_kept_answer *out)
@@ -85,8 +82,6 @@
     mm_home_state (h, job_id, out);
 }
 
-/* Checks the jobs of all foreign runs whose ends are held here.  The ends that
-   no home needs are dropped; a home at another instance is asked first.  */
 void
 mm_kept_resolve_foreign (mm_kept *k, mm_time_ms now)
 {
--- a/src/mm_kept_priv.h
+++ b/src/mm_kept_priv.h
@@ -42,11 +42,13 @@
    instance's membership of the group within MM_GROUP_CONFIRMED_MS.  */
 bool mm_kept_home_confirmed (const mm_kept *k, uint32_t partition);
 
-/* mm_kept_foreign.c: drops the ends of foreign runs that no home needs, and
-   asks the homes of other jobs.  Does so each MM_KEPT_FOREIGN_PAUSE_MS.  */
+/* mm_kept_foreign.c: checks the jobs of all foreign runs whose ends are held
+   here, each MM_KEPT_FOREIGN_PAUSE_MS.  Drops the ends that no home needs; a
+   home at another instance is asked first.  */
 void mm_kept_resolve_foreign (mm_kept *k, mm_time_ms now);
-/* mm_kept_foreign.c: sets @out to the state of a job whose home is this
-   instance, MM_KEPT_BUSY when that is not certain.  */
+/* mm_kept_foreign.c: sets @out to the state of a job, or to MM_KEPT_BUSY
+   unless this instance is confirmed as the job's home: a superseded home does
+   not know the jobs that its successor has accepted.  */
 void mm_kept_answer_foreign (const mm_kept *k, const char *job_id,
                              mm_kept_answer *out);
 
--- a/src/mm_link.c
+++ b/src/mm_link.c
@@ -132,14 +132,6 @@
   flush (w->data);
 }
 
-/**
- * mm_link_adopt() - create a link on a connected or connecting socket.
- * @loop: event loop that drives the link.
- * @fd: non-blocking socket; the link takes ownership of it.
- * @ev: callbacks; copied.
- *
- * Return: the link, which frees itself when it closes.
- */
 mm_link *
 mm_link_adopt (struct ev_loop *loop, int fd, const mm_link_events *ev)
 {
--- a/src/mm_link.h
+++ b/src/mm_link.h
@@ -20,12 +20,14 @@
   void *ctx;
 } mm_link_events;
 
-/* Creates a link on a connected or connecting socket, which the link owns from
-   now on.  */
+/* Creates a link on a connected or connecting socket, which must be
+   non-blocking and which the link owns from now on.  @ev is copied.  The link
+   frees itself when it closes.  */
 mm_link *mm_link_adopt (struct ev_loop *loop, int fd,
                         const mm_link_events *ev);
-/* Creates a link to "ip:port" and begins to connect.  Returns NULL, with
-   MM_ERROR_IO, when that fails at once; a later failure closes the link.  */
+/* Creates a link to "ip:port" and begins to connect; @ev is copied.  Returns
+   NULL, with MM_ERROR_IO, when that fails at once; a later failure closes the
+   link.  */
 mm_link *mm_link_connect (struct ev_loop *loop, const char *addr,
                           const mm_link_events *ev, GError **error);
 /* Closes and frees the link, and calls its closed event before it returns.  */
--- a/src/mm_log_sink.c
+++ b/src/mm_log_sink.c
@@ -18,7 +18,6 @@
 static GByteArray *buffer; /* lines that are not written yet */
 static uint64_t dropped;   /* lines dropped because the buffer was full */
 
-/* Sets @fd non-blocking and writes all further lines to it.  */
 void
 mm_log_sink_open (int fd)
 {
@@ -30,7 +29,6 @@
     buffer = g_byte_array_sized_new (MM_LOG_FLUSH_BYTES * 2);
 }
 
-/* Writes the buffer until it is empty or the output accepts no more now.  */
 void
 mm_log_sink_flush (void)
 {
@@ -55,8 +53,6 @@
     g_byte_array_remove_range (buffer, 0, written);
 }
 
-/* Buffers a line and a newline; flushes the buffer from MM_LOG_FLUSH_BYTES on.
-   Returns false when the line is dropped because the buffer is full.  */
 bool
 mm_log_sink_put (const char *line, size_t len)
 {
--- a/src/mm_log_sink.h
+++ b/src/mm_log_sink.h
@@ -8,8 +8,9 @@
 
 /* Sets @fd non-blocking and writes all further lines to it.  */
 void mm_log_sink_open (int fd);
-/* Buffers a line of @len bytes, which has no newline, and appends one.
-   Returns false when the line is dropped because the buffer is full.  */
+/* Buffers a line of @len bytes, which has no newline, and appends one; flushes
+   the buffer once it holds MM_LOG_FLUSH_BYTES.  Returns false when the line is
+   dropped because the buffer is full.  */
 bool mm_log_sink_put (const char *line, size_t len);
 /* Writes as many buffered bytes as the output accepts without blocking.  */
 void mm_log_sink_flush (void);
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -218,7 +218,7 @@
 {
   mm_remote_task *r = g_hash_table_lookup (p->remote_tasks, &msg->number);
   if (!r)
-    return; /* was cancelled */
+    return; /* the task was cancelled */
   g_hash_table_steal (p->remote_tasks, &msg->number);
   mm_work_result result = msg->result;
   result.owner = p->info.name;
@@ -409,18 +409,6 @@
 
 /* ---- both directions -------------------------------------------------- */
 
-/**
- * mm_mesh_create() - create the mesh and listen for other instances.
- * @loop: event loop.
- * @self: member name of this instance.
- * @datacentre: data centre of this instance.
- * @host: IP address to listen on.
- * @port: port to listen on.
- * @owner: runs the tasks that peers dispatch to this instance.
- * @error: MM_ERROR_IO when the port cannot be bound.
- *
- * Return: the mesh, or NULL; free with mm_mesh_destroy().
- */
 mm_mesh *
 mm_mesh_create (struct ev_loop *loop, const char *self, const char *datacentre,
                 const char *host, uint16_t port, mm_owner *owner,
@@ -462,12 +450,6 @@
   g_free (m);
 }
 
-/**
- * mm_mesh_on_hello() - set the callback for links opened by other instances.
- * @m: the mesh.
- * @hello: called with the name of each instance that opens a link.
- * @ctx: for @hello.
- */
 void
 mm_mesh_on_hello (mm_mesh *m, mm_mesh_hello hello, void *ctx)
 {
@@ -493,15 +475,6 @@
       mm_link_send (((mm_mesh_peer *)v)->link, b);
 }
 
-/**
- * mm_mesh_notify_released() - notify the peers of released partitions.
- * @m: the mesh.
- * @group: group of the partitions.
- *
- * Without the notification, the next owner learns of its partitions with its
- * next call to the store, and these calls are 300 ms apart.  With the
- * notification, it calls the store at once.
- */
 void
 mm_mesh_notify_released (mm_mesh *m, const char *group)
 {
@@ -563,17 +536,6 @@
   return n;
 }
 
-/**
- * mm_mesh_submit() - dispatch a task to a peer.
- * @m: the mesh.
- * @peer_name: name of a connected peer.
- * @t: the task.
- * @done: called once, after the return, unless the task is cancelled before.
- * @ctx: for @done.
- *
- * Return: a handle valid until @done is called or the task is cancelled, or
- * NULL when the peer is not connected.
- */
 mm_remote_task *
 mm_mesh_submit (mm_mesh *m, const char *peer_name, const mm_task_request *t,
                 mm_work_done done, void *ctx)
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -34,6 +34,10 @@
   mm_time_ms age_ms; /* age of the report */
 } mm_mesh_peer_capacity;
 
+/* Creates the mesh and listens for other instances on @host, an IP address,
+   and @port.  @self: member name of this instance.  @owner runs the tasks that
+   peers dispatch to this instance, and must outlive the mesh.  Returns NULL,
+   with MM_ERROR_IO, when the port cannot be bound.  */
 mm_mesh *mm_mesh_create (struct ev_loop *loop, const char *self,
                          const char *datacentre, const char *host,
                          uint16_t port, mm_owner *owner, GError **error);
@@ -44,22 +48,29 @@
 /* The instance that owned partitions of a group has released them.  */
 typedef void (*mm_mesh_released) (void *ctx, const char *group);
 void mm_mesh_on_released (mm_mesh *m, mm_mesh_released released, void *ctx);
-/* Notifies all peers that this instance has released partitions of @group.  */
+/* Notifies all peers that this instance has released partitions of @group.
+   Without the notification, the next owner learns of its partitions with its
+   next call to the store, and these calls are 300 ms apart.  With the
+   notification, it calls the store at once.  */
 void mm_mesh_notify_released (mm_mesh *m, const char *group);
-/* Exchanges lost upstreams with the peers; @s must outlive the mesh.  */
+/* Exchanges reports of lost upstreams with the peers, and records them in @s,
+   which must outlive the mesh.  */
 void mm_mesh_set_suspects (mm_mesh *m, mm_suspects *s);
 void mm_mesh_set_leaving (mm_mesh *m); /* reports the shutdown to peers */
 /* Adds an instance, or records that it is a standby; @p is copied.  */
 void mm_mesh_add_peer (mm_mesh *m, const mm_mesh_peer_info *p);
-/* Sets the list of the other instances.  One that is not listed any more is
-   kept while it is connected.  */
+/* Sets the list of the other instances; @peers is copied.  One that is not
+   listed any more is kept while it is connected: the list lags, and the tasks
+   dispatched to that peer go on running.  */
 void mm_mesh_set_peers (mm_mesh *m, const mm_mesh_peer_info *peers, size_t n);
 /* Fills @out, an array of @cap entries, with the capacity of each connected
    peer for a service.  Returns the number of entries filled.  */
 size_t mm_mesh_peer_capacities (const mm_mesh *m, const char *service,
                                 mm_mesh_peer_capacity *out, size_t cap);
-/* Dispatches a task to a peer.  Returns NULL when the peer is not
-   connected.  */
+/* Dispatches a task to a peer.  @done is called once, after this function has
+   returned, unless the task is cancelled before.  Returns a handle that is
+   valid until @done is called or the task is cancelled, or NULL when the peer
+   is not connected.  */
 mm_remote_task *mm_mesh_submit (mm_mesh *m, const char *peer,
                                 const mm_task_request *t, mm_work_done done,
                                 void *ctx);
@@ -133,7 +144,8 @@
 uint32_t mm_mesh_connected (const mm_mesh *m); /* number of connected peers */
 /* Number of links from other instances.  */
 uint32_t mm_mesh_inbound (const mm_mesh *m);
-/* Least time between reports on each of so many inbound links.  */
+/* Least time between two reports on the same inbound link, while there are
+   @links inbound links.  */
 mm_time_ms mm_mesh_report_pause_ms (uint32_t links);
 void mm_mesh_close_links (mm_mesh *m); /* closes all links, after a stall */
 void mm_mesh_tick (mm_mesh *m);        /* call each MM_EXEC_TICK_MS */
--- a/src/mm_mesh_msg.h
+++ b/src/mm_mesh_msg.h
@@ -126,8 +126,10 @@
   size_t len;
 } mm_mesh_msg;
 
+/* Returns false when @o is not a valid message.  Clear @out with
+   mm_mesh_msg_clear(), also after a failure.  */
 bool mm_mesh_msg_read (const msgpack_object *o, mm_mesh_msg *out);
-/* Frees what the message owns; mm_mesh_msg_read() allocated it.  */
+/* Frees what mm_mesh_msg_read() allocated for the message.  */
 void mm_mesh_msg_clear (mm_mesh_msg *m);
 /* Each mm_mesh_pack_ function appends one message to @b.  */
 void mm_mesh_pack_run (msgpack_sbuffer *b, uint64_t number,
--- a/src/mm_msgpack.c
+++ b/src/mm_msgpack.c
@@ -51,8 +51,7 @@
   return true;
 }
 
-/* Reads an integer of either msgpack type: numbers from 0 on have the unsigned
-   one.  */
+/* msgpack has two integer types: numbers from 0 on have the unsigned one.  */
 bool
 mm_mp_read_i64 (const msgpack_object *o, int64_t *v)
 {
@@ -68,7 +67,7 @@
   return true;
 }
 
-/* Reads a float; msgpack-c stores floats of both sizes as double.  */
+/* msgpack-c stores floats of both sizes as double.  */
 bool
 mm_mp_read_double (const msgpack_object *o, double *v)
 {
@@ -87,8 +86,6 @@
   return true;
 }
 
-/* Copies a string; free with g_free().  Nil gives NULL, which is an error
-   without @nil_ok.  */
 bool
 mm_mp_read_text (const msgpack_object *o, bool nil_ok, char **v)
 {
@@ -101,8 +98,6 @@
   return true;
 }
 
-/* Copies a string and a NUL into a buffer of @cap bytes; returns false when
-   they do not fit.  */
 bool
 mm_mp_read_fixed (const msgpack_object *o, char *out, size_t cap)
 {
@@ -113,15 +108,12 @@
   return true;
 }
 
-/* Returns whether a value is an array of @n values, or of any number of values
-   when @n is 0.  */
 bool
 mm_mp_is_array (const msgpack_object *o, uint32_t n)
 {
   return o->type == MSGPACK_OBJECT_ARRAY && (n == 0 || o->via.array.size == n);
 }
 
-/* Packs three values: job, step, index.  */
 void
 mm_mp_pack_task (msgpack_packer *pk, const mm_task_id *id)
 {
--- a/src/mm_submission.c
+++ b/src/mm_submission.c
@@ -61,8 +61,7 @@
   return NULL;
 }
 
-/* Returns the declared run time of the longest chain of dependent steps.
-   Steps depend only on earlier steps, so one pass in order is enough.  */
+/* Steps depend only on earlier steps, so one pass in order is enough.  */
 mm_time_ms
 mm_submission_chain_ms (const mm_submission *s)
 {
