--- a/daemons/ctl_explain.c
+++ b/daemons/ctl_explain.c
@@ -1,5 +1,5 @@
 /* masticctl explain ID [FILE...]: explains from logs why a job ended as it
-   did. masticctl events: lists the events that instances log.  */
+   did.  masticctl events: lists the events that instances log.  */
 #include "ctl.h"
 
 #include "mm_event.h"
--- a/src/mm_explain.c
+++ b/src/mm_explain.c
@@ -275,10 +275,10 @@
       number_of (l, "wait_ms"), number_of (l, "slack_ms"));
 }
 
-/* Appends why the outcome of the job is unknown.  Possible
-   causes, in the order in which they are tried: the owner of the task in doubt
-   was lost, the instance of the caller was stalled, another instance took an
-   upstream over, the reason that was logged with the task.  */
+/* Appends why the outcome of the job is unknown.  Possible causes, in the
+   order in which they are tried: the owner of the task in doubt was lost, the
+   instance of the caller was stalled, another instance took an upstream over,
+   the reason that was logged with the task.  */
 static void
 cause_of_unknown_outcome (const mm_explain *x, const scope *s, guint end_line,
                           GString *out)
--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -252,8 +252,9 @@
 
 /* ---- opening ---------------------------------------------------------- */
 
-/* Takes over a job that an earlier home has stored.  An invalid record is
-   logged and skipped.  */
+/* Takes over a job that an earlier home has stored.  A record is skipped when
+   it is invalid, which is logged, or when its key is too long for a job's id
+   or the job has been read already.  */
 static void
 on_record (void *ctx, const mm_record *r)
 {
--- a/src/mm_job_log.c
+++ b/src/mm_job_log.c
@@ -228,8 +228,8 @@
     }
 }
 
-/* Sends the batch again that has no answer yet, or else a new one.  While the
-   epoch is being announced, the append holds no records.  */
+/* Resends the batch that has no answer yet, or else sends a new one.  While
+   the epoch is being announced, the append holds no records.  */
 static void
 send_append (mm_job_log *l)
 {
--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -120,7 +120,8 @@
 }
 
 /* Releases partitions once their homes are idle.  A leaving instance leaves
-   the group after MM_HANDOVER_MS also when its homes are not idle.  */
+   the group once all its homes are idle, or after MM_HANDOVER_MS even if they
+   are not.  */
 static void
 release_partitions (mm_kept *k, mm_time_ms now)
 {
--- a/src/mm_kept_priv.h
+++ b/src/mm_kept_priv.h
@@ -1,4 +1,4 @@
-/* mm_kept_priv: declarations shared by the mm_kept_*.c files.  Internal.  */
+/* mm_kept_priv: declarations shared by the sources of mm_kept.  */
 #ifndef MM_KEPT_PRIV_H
 #define MM_KEPT_PRIV_H
 
--- a/src/mm_kept_tasks.c
+++ b/src/mm_kept_tasks.c
@@ -378,9 +378,7 @@
   return k->n_in_doubt;
 }
 
-/* Adds the tasks in doubt that can be searched for now to @tasks.
-
-   An upstream that has left the upstream list has no owner that answers for
+/* An upstream that has left the upstream list has no owner that answers for
    it, but may still run tasks under its last lease.  So a task in doubt is
    searched for only after every such lease must have lapsed.  */
 void
--- a/src/mm_metrics.c
+++ b/src/mm_metrics.c
@@ -1,6 +1,6 @@
 /* mm_metrics: the tables of metric series and their text format.
 
-   This module implements its own counters, as the house style requires.
+   The counters are this module's own, as the project's coding rules require.
    Debian 12 has no C library for histograms, and prometheus-cpp would add a
    C++ runtime and an HTTP server for what is one array here.  */
 #include "mm_metrics.h"
--- a/src/mm_native_exec.c
+++ b/src/mm_native_exec.c
@@ -1,4 +1,5 @@
-/* mm_native_exec: orders to upstreams in the native protocol.  */
+/* mm_native_exec: encodes the calls to upstreams in the native protocol, and
+   decodes their answers.  */
 #include "mm_native.h"
 #include "mm_run_json.h"
 
--- a/src/mm_submission_codec.c
+++ b/src/mm_submission_codec.c
@@ -1,7 +1,7 @@
 /* mm_submission_codec: a job is encoded as [id, payload, [step, ...]], and a
    step as [count, cpu_milli, mem_mb, gpus, estimate_ms, payload, once, label,
-   data_label, [after, ...]], where each "after" is the index of a step that
-   must be done first.
+   data_label, [depends_on, ...]], where each depends_on is the index of a step
+   that must be done first.
 
    Fields that only unsupported kinds of jobs have are left out, as a job that
    mm_submission_unsupported_reason() rejects is not encoded.  */
