--- a/src/mm_explain.h
+++ b/src/mm_explain.h
@@ -14,8 +14,9 @@
    before the first '{' of the line is ignored, and so is a line that is not
    JSON or says nothing about the job.  */
 void mm_explain_add (mm_explain *x, const char *source, const char *line);
-/* Returns the lines in order of time, then the causes of the job's answers;
-   free with g_free().  NULL when no line has the id of the job.  */
+/* Call once all lines are added.  Returns the lines in order of time, then the
+   causes of the job's answers; free with g_free().  NULL when no line has the
+   id of the job.  */
 char *mm_explain_report (mm_explain *x);
 
 #endif /* MM_EXPLAIN_H */
--- a/src/mm_jobs.h
+++ b/src/mm_jobs.h
@@ -35,11 +35,11 @@
 
 mm_jobs *mm_jobs_create (mm_fleet *fleet); /* @fleet must outlive it */
 void mm_jobs_destroy (mm_jobs *j);
-/* Accepts or refuses a job; takes ownership of @s.  @caller_timeout_ms: how
-   long the caller waits.  @answered is called once, unless the caller leaves
-   before.  A job whose id runs here already is not run twice: the caller gets
-   the answer of the running one.  Returns NULL when @answered has been called
-   already.  */
+/* Accepts or refuses a job; takes ownership of @s.  @route: the job's queue.
+   @caller_timeout_ms: how long the caller waits.  @answered is called once,
+   unless the caller leaves before.  A job whose id runs here already is not
+   run twice: the caller gets the answer of the running one.  Returns the
+   caller's handle, or NULL when @answered has been called already.  */
 mm_caller *mm_jobs_submit (mm_jobs *j, mm_submission *s, const mm_route *route,
                            mm_time_ms caller_timeout_ms,
                            mm_job_answered answered, void *ctx);
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -373,9 +373,9 @@
 }
 
 /* Returns whether the link to a peer is not wanted any more and can be closed.
-   Such a link is kept until all wanted links are connected, as the link that
-   replaces it may lead to an instance that is gone, and until the tasks on it
-   have ended.  */
+   Such a link is kept until all wanted links are connected, as the instance to
+   which the link that replaces it leads may no longer run, and until the tasks
+   on it have ended.  */
 static bool
 can_close (const mm_mesh_peer *p)
 {
--- a/src/mm_task_search.h
+++ b/src/mm_task_search.h
@@ -17,8 +17,8 @@
   /* The end of a run was found; @owner: the peer that reported it, NULL for
      this instance.  */
   void (*end) (void *ctx, const mm_found_end *e, const char *owner);
-  /* None of @tasks runs anywhere, and no order to start one of them is under
-     way.  */
+  /* None of @tasks runs anywhere, and no call to start one of them is in
+     progress.  */
   void (*none_left) (void *ctx, GHashTable *tasks);
   void *ctx;
 } mm_task_search_events;
