--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -120,7 +120,8 @@
 }
 
 /* Releases partitions once their homes are idle.  A leaving instance leaves
-   the group after MM_HANDOVER_MS also when its homes are not idle.  */
+   the group once all its homes are idle, or after MM_HANDOVER_MS even if they
+   are not.  */
 static void
 release_partitions (mm_kept *k, mm_time_ms now)
 {
@@ -233,12 +234,6 @@
   g_free (k);
 }
 
-/**
- * mm_kept_create() - accept and run kept jobs at this instance.
- * @p: modules and settings that kept jobs need; the struct is copied.
- *
- * Return: the new object; free with mm_kept_destroy().
- */
 mm_kept *
 mm_kept_create (const mm_kept_deps *p)
 {
--- a/src/mm_kept.h
+++ b/src/mm_kept.h
@@ -1,5 +1,5 @@
 /* mm_kept: durable jobs, stored before their callers are told that they are
-   accepted, and run to their end whatever instance dies.
+   accepted, and run to their end even if instances die.
 
    A job belongs to the partition that its id is hashed to.  The instance that
    owns the partition in the group MM_JOBS_GROUP is the job's home.  Any
@@ -34,7 +34,7 @@
   uint32_t n_partitions; /* number of partitions of kept jobs */
 } mm_kept_deps;
 
-mm_kept *mm_kept_create (const mm_kept_deps *p);
+mm_kept *mm_kept_create (const mm_kept_deps *p); /* @p is copied */
 /* Answers the requests that wait for their home, and closes all homes.  */
 void mm_kept_destroy (mm_kept *k);
 
