--- a/examples/job_codec.c
+++ b/examples/job_codec.c
@@ -13,6 +13,7 @@
         "{\"id\":\"seat-1\",\"run_ms\":60,\"deadline_ms\":1500},"
         "{\"id\":\"seat-2\",\"run_ms\":60,\"idempotent\":true}]}";
   GError *error = NULL;
+  /* Jobs with more than 290 tasks are refused.  */
   mm_job *job = mm_job_parse_json (body, strlen (body), 290, &error);
   GByteArray *packed = g_byte_array_new ();
   mm_job_pack (job, packed);
--- a/fuzz/fuzz_decoders.c
+++ b/fuzz/fuzz_decoders.c
@@ -17,7 +17,8 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/* Feeds one input to every decoder.  */
+/* Feeds one input to every decoder.  Jobs with more than 290 tasks are
+   refused.  */
 int
 LLVMFuzzerTestOneInput (const uint8_t *data, size_t size)
 {
@@ -73,8 +74,8 @@
   mm_peer_reply (p, conn_id, req_id, 200, 0, "{}");
 }
 
-/* Sends complete frames with mutated bodies to a real peer link: the link must
-   close or answer, never crash.  The frames are a forwarded job, an answer, a
+/* Sends complete frames, a length and a mutated body, to a real peer link: the
+   link must close or answer, never crash.  The frames are a forwarded job, an answer, a
    ping and a notification in msgpack; the type is the second byte.  */
 static void
 fuzz_peer_frames (GRand *r, long rounds)
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -154,7 +154,7 @@
         self.capacity_changes = {}  # upstream -> [ms] of each change of its capacity
         self.counts_lost_ms = []    # ms when an instance started while no other knew the crash counts
         self.node_start_ms = {}     # instance -> ms of its last start
-        self.node_down_ms = {}      # instance -> [ms] when it was killed, stopped or frozen
+        self.node_down_ms = {}      # instance -> [ms] when it was killed, stopped or stalled
         self.link_faults = {}       # proxy port -> [(from, to)] ms of the faults of its link
         self.drain_since_ms = {}    # draining upstream -> ms when its drain mode was set
         self.drain_periods = {}     # upstream -> [(ms when its drain mode was set, ms when it was restarted)]
--- a/src/mm_platform.c
+++ b/src/mm_platform.c
@@ -67,7 +67,7 @@
   mm_counters *counters;
   GHashTable *streams;     /* name -> log_stream */
   GHashTable *members;     /* name -> member */
-  int64_t members_version; /* incremented when the shown list changes */
+  int64_t members_version; /* incremented when the member list changes */
   bool down;               /* fault: requests are answered with 503 */
   int64_t slow_ms;         /* fault: added delay of answers */
   int64_t lose_answers;    /* fault: number of next writes without answer */
@@ -366,9 +366,9 @@
   g_free (m);
 }
 
-/* Updates the shown list, which lags: a change appears member_lag_ms after it
-   was made, and a member without heartbeats is dropped member_lag_ms after
-   its TTL.  */
+/* Updates the member list that readers get.  The list lags: a change appears
+   member_lag_ms after it was made, and a member without heartbeats is dropped
+   member_lag_ms after its TTL.  */
 static void
 members_refresh (mm_platform *p, mm_time_ms now)
 {
@@ -396,7 +396,7 @@
     }
 }
 
-/* Handles GET /v1/members[?datacentre=DC][&since=V]: the shown list,
+/* Handles GET /v1/members[?datacentre=DC][&since=V]: the member list,
    restricted to the members of DC if given.  When nothing has changed since
    version V, the answer is only {"version":V,"unchanged":true}, so that
    polling costs a few bytes.  */
--- a/src/mm_run_json.h
+++ b/src/mm_run_json.h
@@ -12,7 +12,7 @@
 typedef struct
 {
   mm_resources resources;
-  mm_time_ms run_ms; /* run time */
+  mm_time_ms run_ms;
 } mm_run_work;
 
 /* Encode an order or a hold as a JSON object, which the caller frees.  */
--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -10,8 +10,9 @@
    mute: calls are carried out, but not answered.
 
    Capacity (POST /v1/capacity): cpu_milli and mem_mb, in the upstream list
-   from the next heartbeat on.  A start counts as over capacity only if it
-   exceeds every capacity that was listed in the last grace_ms.  */
+   from the next heartbeat on; grace_ms: time for which dispatchers may still
+   assume the previous capacity.  A start counts as over capacity only if it
+   exceeds the current capacity and each one that may still be assumed.  */
 #include "mm_run_server.h"
 
 #include "config.h"
@@ -78,18 +79,6 @@
 
 static void tick_cb (struct ev_loop *loop, ev_timer *w, int revents);
 
-/**
- * mm_run_server_create() - creates the run server of an upstream stand-in.
- * @loop: the event loop.
- * @name: name of the upstream; the name of the incarnation is made of it and
- *        of the start time.
- * @capacity: the upstream's total capacity.
- * @log_file: takes a JSON line for each start and end as it happens, so that
- *            the lines up to then survive when the stand-in is killed; "" for
- *            none.
- *
- * Return: the run server; free with mm_run_server_destroy().
- */
 mm_run_server *
 mm_run_server_create (struct ev_loop *loop, const char *name,
                       const mm_resources *capacity, const char *log_file)
--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -193,18 +193,6 @@
   return true;
 }
 
-/**
- * mm_run_table_start() - carries out an order to start a run.
- * @t: the table.
- * @o: the order.
- * @required: the resources that the task uses.
- * @run_ms: the run time of the task.
- * @now_ms: the time on the upstream's clock.
- *
- * Return: MM_CALL_OK if the run was started now or is running already,
- * otherwise the reason why it was not started.  MM_CALL_OLD_RUN is also
- * returned while another run of the task is running.
- */
 mm_call_verdict
 mm_run_table_start (mm_run_table *t, const mm_order *o,
                     const mm_resources *required, mm_time_ms run_ms,
@@ -230,18 +218,6 @@
   return MM_CALL_OK;
 }
 
-/**
- * mm_run_table_stop() - carries out an order to stop a run.
- * @t: the table.
- * @o: the order.
- * @now_ms: the time on the upstream's clock.
- *
- * A run with the number of the order or a lower one ends as stopped after
- * MM_RUN_TABLE_STOP_MS at the latest.  A start of such a run that arrives
- * after the stop is refused.
- *
- * Return: MM_CALL_OK, or MM_CALL_FENCED if nothing was done.
- */
 mm_call_verdict
 mm_run_table_stop (mm_run_table *t, const mm_order *o, mm_time_ms now_ms)
 {
@@ -258,15 +234,6 @@
   return MM_CALL_OK;
 }
 
-/**
- * mm_run_table_hold() - carries out a hold.
- * @t: the table.
- * @h: the hold; its deadline extends the lease of all runs, and the ends that
- *     it acknowledges are no longer listed.
- * @now_ms: the time on the upstream's clock.
- *
- * Return: MM_CALL_OK, or MM_CALL_FENCED if nothing was done.
- */
 mm_call_verdict
 mm_run_table_hold (mm_run_table *t, const mm_hold *h, mm_time_ms now_ms)
 {
--- a/src/mm_run_table.h
+++ b/src/mm_run_table.h
@@ -3,7 +3,8 @@
 
    The table starts tasks whether they fit or not (unless it enforces its
    capacity), enforces leases, keeps the highest fencing token, and lists ends
-   until they are acknowledged.  The caller passes the time in.  */
+   until they are acknowledged.  The caller passes the time in: now_ms is the
+   time on the upstream's clock.  */
 #ifndef MM_RUN_TABLE_H
 #define MM_RUN_TABLE_H
 
@@ -45,16 +46,27 @@
                                    bool enforce_capacity,
                                    mm_time_ms max_lease_ms);
 void mm_run_table_destroy (mm_run_table *t);
+/* Sets how later starts are treated; runs in progress are not affected.  */
 void mm_run_table_set_mode (mm_run_table *t, mm_run_mode mode);
 /* Runs go on, also when they exceed a smaller capacity.  */
 void mm_run_table_set_capacity (mm_run_table *t, const mm_resources *capacity);
-/* Carry out a start order, a stop order or a hold.  Return: the verdict that
-   the upstream answers.  */
+/* Carries out an order to start a run of a task that uses @required and takes
+   @run_ms.  Return: the verdict that the upstream answers: MM_CALL_OK if the
+   run was started now or is running already, otherwise the reason why it was
+   not started.  MM_CALL_OLD_RUN is also returned while another run of the task
+   is running.  */
 mm_call_verdict mm_run_table_start (mm_run_table *t, const mm_order *o,
                                     const mm_resources *required,
                                     mm_time_ms run_ms, mm_time_ms now_ms);
+/* Carries out an order to stop a run.  A run with the number of the order or a
+   lower one ends as stopped after MM_RUN_TABLE_STOP_MS at the latest.  A start
+   of such a run that arrives after the stop is refused.  Return: MM_CALL_OK,
+   or MM_CALL_FENCED if nothing was done.  */
 mm_call_verdict mm_run_table_stop (mm_run_table *t, const mm_order *o,
                                    mm_time_ms now_ms);
+/* Carries out a hold: its deadline extends the lease of all runs, and the ends
+   that it acknowledges are no longer listed.  Return: MM_CALL_OK, or
+   MM_CALL_FENCED if nothing was done.  */
 mm_call_verdict mm_run_table_hold (mm_run_table *t, const mm_hold *h,
                                    mm_time_ms now_ms);
 /* Ends the runs that are due or whose lease has expired.  */
--- a/tests/harness.c
+++ b/tests/harness.c
@@ -119,8 +119,6 @@
   return pid;
 }
 
-/* Continues a process that may be stopped, sends @sig and waits for its end;
-   kills it after 5 s.  */
 void
 h_stop (pid_t pid, int sig)
 {
@@ -191,8 +189,6 @@
   return g_string_free (out, FALSE);
 }
 
-/* Returns how many tasks of a job have started on one upstream.  Raises
-   @max_count, if not NULL, to the most starts of one of these tasks.  */
 int
 h_count_upstream_starts (int upstream_port, const char *job_id, int *max_count)
 {
@@ -213,7 +209,6 @@
   return n;
 }
 
-/* Returns the sum of h_count_upstream_starts() over all upstreams.  */
 int
 h_count_starts (const char *job_id, int *max_count)
 {
@@ -229,8 +224,8 @@
                            job is complete */
 };
 
-/* Submits a job from a child process, whose exit code is the status class of
-   the answer, plus SUBMIT_COMPLETE when the job is complete.  */
+/* The exit code of the child process is the status class of the answer, plus
+   SUBMIT_COMPLETE when the job is complete.  */
 pid_t
 h_submit (int instance, const char *job)
 {
@@ -287,8 +282,6 @@
   return failed ? 1 : 0;
 }
 
-/* Waits until GET @path answers with a JSON object whose field @key is @want;
-   returns false after @timeout_ms.  */
 bool
 h_wait_json (int port, const char *path, const char *key, double want,
              mm_time_ms timeout_ms)
@@ -306,7 +299,6 @@
   return false;
 }
 
-/* Starts entry instance @i of the cluster on its own ports.  */
 void
 h_start_entry (int i)
 {
@@ -325,7 +317,6 @@
   n_started_instances = MAX (n_started_instances, i + 1);
 }
 
-/* Starts instance @i of the dispatcher on its own ports.  */
 void
 h_start_node (int i)
 {
@@ -374,8 +365,6 @@
   return owned;
 }
 
-/* Waits until the instances are linked to each other and own all upstreams;
-   returns false after @timeout_ms.  */
 bool
 h_wait_nodes (int n_nodes, int n_upstreams, mm_time_ms timeout_ms)
 {
@@ -428,8 +417,6 @@
   return count_occurrences ("masticmill-upstream", h_upstreams[i], text);
 }
 
-/* Returns the wall-clock time of the first line in the log of an instance that
-   contains both texts; -1: there is none.  */
 mm_time_ms
 h_log_time_ms (pid_t pid, const char *text, const char *second_text)
 {
@@ -468,8 +455,6 @@
   n_started_upstreams = MAX (n_started_upstreams, i + 1);
 }
 
-/* Starts a platform with a queue "q", upstreams and instances of the
-   dispatcher, and waits until these own all upstreams.  */
 void
 h_start_nodes (int n_upstreams, int slots, int n_nodes)
 {
@@ -494,8 +479,6 @@
   ck_assert (h_wait_nodes (n_nodes, n_upstreams, 10000));
 }
 
-/* Starts a platform, upstreams and entry instances on ports of the block, and
-   waits until the entry instances know the upstreams.  */
 void
 h_start_cluster (int n_upstreams, int n_entries, int member_lag_ms)
 {
@@ -558,8 +541,6 @@
   n_started_instances = n_started_upstreams = 0;
 }
 
-/* Returns the ended runs on the first @n_upstreams upstreams, and adds to
-   @over_capacity, if not NULL, the starts beyond an upstream's capacity.  */
 GArray *
 h_read_runs (int n_upstreams, int *over_capacity)
 {
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -35,9 +35,9 @@
 pid_t h_submit (int instance, const char *job);
 bool h_submit_completed (pid_t submit);
 int h_submit_status_class (pid_t submit);
-/* Return: for how many tasks of a job an upstream has counted starts, added up
-   over all upstreams.  @max_count, if not NULL, is raised to the most starts
-   of one task at one upstream.  */
+/* Return: the sum of h_count_upstream_starts() over all upstreams.
+   @max_count, if not NULL, is raised to the most starts of one task at one
+   upstream.  */
 int h_count_starts (const char *job_id, int *max_count);
 void h_set_platform_faults (const char *json); /* body of POST /v1/faults */
 int h_run_suite (Suite *s);                    /* exit status for main() */
@@ -50,7 +50,7 @@
   int upstream;   /* index of the upstream */
   bool done;      /* ran to its end */
 } h_run;
-/* Return: the runs on the first @n_upstreams upstreams, h_run, free with
+/* Return: the ended runs on the first @n_upstreams upstreams, h_run, free with
    g_array_free().  @over_capacity, if not NULL, is raised by the number of
    starts that exceeded an upstream's capacity.  */
 GArray *h_read_runs (int n_upstreams, int *over_capacity);
@@ -68,9 +68,9 @@
 /* Kills all processes that h_start_cluster() or h_start_nodes() started.  */
 void h_stop_cluster (void);
 void h_start_entry (int i); /* one more entry instance, or instance @i again */
-/* Starts a platform, upstreams with @slots slots each, and instances of
-   masticmill-node, and waits for them with h_wait_nodes().  The instances have
-   their pids in h_instances and their ports for callers in
+/* Starts a platform with a queue "q", upstreams with @slots slots each, and
+   instances of masticmill-node, and waits for them with h_wait_nodes().  The
+   instances have their pids in h_instances and their ports for callers in
    h_instance_ports.  */
 void h_start_nodes (int n_upstreams, int slots, int n_nodes);
 void h_start_node (int i); /* one more instance, or instance @i again */
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -24,8 +24,9 @@
 }
 END_TEST
 
-/* A burst of jobs fills all places.  A job that would finish too late is
-   refused on arrival, with a time to retry; a job with enough slack waits.  */
+/* A burst of jobs uses all 100 places, each of which is capacity for one task.
+   A job that would finish too late is refused on arrival, with a time to
+   retry; a job with enough slack waits.  */
 START_TEST (job_that_would_finish_too_late_is_refused_at_once)
 {
   mm_load load
@@ -53,8 +54,10 @@
 }
 END_TEST
 
-/* With a stretch of 1.6, 60 ms more and a chain of 100 ms the objective is
-   220 ms.  An answer is of use for three times as long.  */
+/* For a chain of 100 ms, a stretch of 1.6 and an slo_ms of 60, the objective
+   is 1.6 * 100 + 60 = 220 ms.  An answer is of use for three times as long.
+   Slack and limit are what the chain and MM_OVERHEAD_MS leave of these
+   times.  */
 START_TEST (slack_and_limit_follow_the_objective)
 {
   ck_assert_int_eq (mm_admission_slack_ms (1.6, 60, 100),
@@ -172,9 +175,9 @@
 }
 END_TEST
 
-/* The callers of a queue wait for 1.5 s after the time when an answer is of
-   use to them.  A caller that waits for only 0.2 s after that has sent its job
-   before and is too late.  No caller counts as too late in a queue where all
+/* The callers of a queue wait 1.5 s longer than an answer is of use to them.
+   A caller that waits only 0.2 s longer has sent its job before and is too
+   late.  No caller counts as too late in a queue where all
    callers have little time to spare, nor in a queue where an answer is of use
    for longer than a caller takes to send its job again (MM_RESEND_MS).  */
 START_TEST (remaining_timeout_shows_that_a_job_was_sent_before)
@@ -250,8 +253,8 @@
 }
 END_TEST
 
-/* The shortest queue is the one with the fewest waiting tasks per place.  An
-   owner without places gets no task.  */
+/* The shortest queue is the one with the fewest waiting tasks per place (the
+   capacity for one task).  An owner without places gets no task.  */
 START_TEST (task_goes_to_the_shortest_queue_when_all_owners_are_full)
 {
   mm_dispatch_candidate c[]
@@ -354,7 +357,7 @@
 }
 END_TEST
 
-/* Steps 0, 1 and 2 depend on each other and take 100 + 50 + 10 ms; step 3 runs
+/* Step 1 waits for step 0, and step 2 for both: 100 + 50 + 10 ms.  Step 3 runs
    beside them for 120 ms.  */
 START_TEST (chain_is_the_longest_path_through_the_steps)
 {
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -75,6 +75,7 @@
                           "{\"mode\":\"drain\"}", NULL));
 }
 
+/* Waits until @text occurs in the log of an instance; fails after 3 s.  */
 static void
 wait_for_line (int node, const char *text)
 {
@@ -137,7 +138,8 @@
 }
 
 /* Tells all upstreams to drain while the first instance hands them over: it is
-   shut down, or else another instance joins.  */
+   shut down, or else another instance joins.  In the second case, "leaving":8
+   in the log of the first instance shows that the handover has begun.  */
 static void
 drain_during_handover (bool shutdown)
 {
--- a/tests/test_logs.c
+++ b/tests/test_logs.c
@@ -78,6 +78,8 @@
 }
 END_TEST
 
+/* Guards against a logging call with more or fewer values than its event has
+   fields in the event table: its line would lack fields or values.  */
 START_TEST (call_that_does_not_match_the_table_is_counted)
 {
   int lines = 0;
@@ -107,6 +109,8 @@
 }
 END_TEST
 
+/* Guards against a metrics text that a scraper rejects: a metric must have
+   exactly one TYPE line, also when it has several series.  */
 START_TEST (metrics_text_has_every_series_with_its_type)
 {
   mm_metrics_count (MM_CT_JOBS_COMPLETED);
--- a/tests/test_node.c
+++ b/tests/test_node.c
@@ -1,6 +1,6 @@
 /* Tests instances of masticmill-node, run as processes with a stand-in
-   platform and stand-in upstreams.  The tests kill and freeze processes, leave
-   start calls unanswered and stop the store.  */
+   platform and stand-in upstreams.  The tests kill and stall processes, leave
+   start orders unanswered and stop the store.  */
 #include "harness.h"
 
 #include <signal.h>
@@ -50,6 +50,8 @@
   g_array_free (runs, TRUE);
 }
 
+/* Submits a job to an instance.  Returns its caller, a process that waits for
+   the answer.  */
 static pid_t
 submit (int node, const char *id, int tasks, int run_ms, bool idempotent)
 {
@@ -83,6 +85,7 @@
   return false;
 }
 
+/* Returns the number of runs of all jobs whose ids begin with @job.  */
 static int
 count_runs (int n_upstreams, const char *job)
 {
@@ -169,7 +172,7 @@
 /* An instance stalls for two seconds, the connection of its caller times out
    and the caller sends the job to another instance.  After the stalled
    instance has resumed, it must not start the tasks that it had queued.  */
-START_TEST (frozen_instance_starts_no_queued_task)
+START_TEST (stalled_instance_starts_no_queued_task)
 {
   h_start_nodes (2, 2, 2);
   pid_t callers[3];
@@ -194,9 +197,9 @@
 }
 END_TEST
 
-/* Start calls get no answer and take effect two seconds late, while more tasks
-   are submitted than there is capacity for.  No upstream may run more than its
-   capacity.  */
+/* Start orders get no answer and take effect two seconds late, while more
+   tasks are submitted than there is capacity for.  No upstream may run more
+   than its capacity.  */
 START_TEST (late_starts_do_not_exceed_capacity)
 {
   h_start_nodes (3, 2, 2);
@@ -456,7 +459,7 @@
 }
 END_TEST
 
-/* Start calls of an instance get no answer and would take effect 1.5 s late.
+/* Start orders of an instance get no answer and would take effect 1.5 s late.
    The instance is killed, and its next incarnation owns the upstreams at once.
    The upstreams must refuse the late starts: no instance waits for these
    tasks, and their capacity is given to others.  */
@@ -480,6 +483,7 @@
 }
 END_TEST
 
+/* The restart of an instance by SIGTERM.  */
 typedef struct
 {
   mm_time_ms term_ms; /* when the instance was sent SIGTERM, 0: not yet */
@@ -568,8 +572,8 @@
 }
 END_TEST
 
-/* Sets the queue so that its jobs have a slack of 0.3 s: 0.315 s less the
-   network time.  */
+/* Configures the queue so that its jobs have a slack of 0.3 s: an objective of
+   0.315 s beyond the run time, less the network time.  */
 static void
 set_slack_300_ms (void)
 {
@@ -719,7 +723,7 @@
   tcase_set_timeout (c, 60);
   tcase_add_test (c, killed_instance_leaves_no_task_running_twice);
   tcase_add_test (c, job_is_answered_completely_though_an_owner_dies);
-  tcase_add_test (c, frozen_instance_starts_no_queued_task);
+  tcase_add_test (c, stalled_instance_starts_no_queued_task);
   tcase_add_test (c, late_starts_do_not_exceed_capacity);
   tcase_add_test (c, graceful_stop_interrupts_no_job);
   tcase_add_test (c,
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -10,7 +10,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Five tasks are submitted to an upstream where two fit at a time.  */
+/* Five tasks are submitted to an upstream where two fit at a time.  The others
+   must wait until capacity is free, and the end of each task must be reported
+   exactly once.  */
 START_TEST (tasks_wait_for_free_capacity_and_all_end)
 {
   fixture fx = fixture_create ();
@@ -32,9 +34,9 @@
 
 /* An upstream accepts a start order without an answer and carries the order
    out 2.5 s later.  If other tasks have got the capacity meanwhile, the
-   upstream runs three tasks where two fit, and bookings on its machine fail.
-   The capacity must stay reserved until the order is certain to have expired,
-   and the task must run elsewhere at once, and only once.  */
+   upstream runs three tasks where two fit, and customers' bookings on that
+   machine fail.  The capacity must stay reserved until the order is certain to
+   have expired, and the task must run elsewhere at once, and only once.  */
 START_TEST (late_order_finds_its_capacity_free)
 {
   fixture fx = fixture_create ();
@@ -162,10 +164,11 @@
 }
 END_TEST
 
-/* Every other start order gets no answer.  A queue of tasks of 60 ms then
-   takes longer than their run times, because orders that start nothing use
-   places too.  If the capacity report stated 60 ms per task, admission would
-   accept jobs that are all late.  */
+/* Every other start order gets no answer.  Waiting tasks of 60 ms then take
+   longer than the sum of their run times, because an order that starts nothing
+   also uses a place (capacity for one task) until it is given up.  If the
+   capacity report stated 60 ms per task, admission would accept jobs that are
+   all late.  */
 START_TEST (average_place_time_counts_runs_that_were_not_done)
 {
   enum
@@ -696,8 +699,8 @@
 END_TEST
 
 /* A kept job's task has ended, and its home has not stored the end yet.  If
-   the upstream forgot the end now and all instances died, the next instances
-   would start the task again.  */
+   the upstream forgot the end now and all instances died, the restarted
+   instances would start the task again.  */
 START_TEST (end_of_a_kept_task_stays_listed_until_acknowledged)
 {
   fixture fx = fixture_create ();
@@ -722,11 +725,11 @@
 }
 END_TEST
 
-/* A home stops a job's tasks that are just done, and its record that the job
-   has ended never reaches the store.  The next home goes on with the job and
-   must find the ends of the tasks, so the ends stay listed until the outcome
-   is stored.  The end of a task that is still being stopped at that time does
-   not stay listed.  */
+/* The home of a kept job stops tasks that are just done, and its record that
+   the job has ended never reaches the store.  The next home goes on with the
+   job and must find the ends of the tasks, so the ends stay listed until the
+   outcome is stored (mm_owner_forget_job()).  The end of a task that is still
+   being stopped at that time does not stay listed.  */
 START_TEST (ends_of_a_stopped_job_stay_listed_until_its_outcome_is_stored)
 {
   fixture fx = fixture_create ();
@@ -1040,8 +1043,8 @@
 END_TEST
 
 /* Late answers of one upstream must not delay the detection of a lost order to
-   another one.  The minimum timeout of all upstreams rises only when two
-   upstreams answer late, and for MM_RTO_FLOOR_TTL_MS.  */
+   another one.  So the minimum timeout, which is common to all upstreams,
+   rises only when two upstreams answer late, and for MM_RTO_FLOOR_TTL_MS.  */
 START_TEST (slow_answers_of_one_upstream_delay_no_other)
 {
   mm_rto_floor rto_floor = { 0 };
