--- a/fuzz/fuzz_decoders.c
+++ b/fuzz/fuzz_decoders.c
@@ -75,8 +75,9 @@
 }
 
 /* Sends complete frames, a length and a mutated body, to a real peer link: the
-   link must close or answer, never crash.  The frames are a forwarded job, an answer, a
-   ping and a notification in msgpack; the type is the second byte.  */
+   link must close or answer, never crash.  The frames are a forwarded job, an
+   answer, a ping and a notification in msgpack; the type is the second
+   byte.  */
 static void
 fuzz_peer_frames (GRand *r, long rounds)
 {
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -737,6 +737,7 @@
     for block in range(args.jobs):
         port_blocks.put_nowait(block)
 
+    # Runs one seed, once a block of ports is free.
     async def one(seed):
         port_block = await port_blocks.get()
         try:
--- a/src/mm_upstream.c
+++ b/src/mm_upstream.c
@@ -16,7 +16,9 @@
    start here under an older epoch.
 
    Runs under leases (/v1/runs, /v1/hold and related paths) are handled by
-   mm_run_server.  */
+   mm_run_server.  The mode does not change how they are treated; "drain" only
+   reports the upstream as draining to the upstream list, so that tests can
+   detect a dispatcher that still starts runs.  */
 #include "config.h"
 #include "masticmill.h"
 #include "mm_run_server.h"
