--- a/tests/fake_upstreams.c
+++ b/tests/fake_upstreams.c
@@ -465,6 +465,8 @@
   c->timeout_ms += MM_LATE_ANSWER_MS;
 }
 
+/* Ends the runs that are due, and applies the faults that the test has set to
+   the starts that follow.  */
 static void
 step_upstream (fake *x)
 {
@@ -505,7 +507,8 @@
     deliver_timeout (c);
 }
 
-/* Advances the clock by 1 ms.  */
+/* Advances the clock by 1 ms, ends the runs that are due, and executes or
+   answers the calls that are due.  */
 static void
 step (fakes *f)
 {
--- a/tests/owner_fixture.h
+++ b/tests/owner_fixture.h
@@ -31,7 +31,7 @@
 /* Advances the clock and ticks the owner.  */
 void fixture_run (fixture *fx, mm_time_ms ms);
 void fixture_destroy (fixture *fx);
-/* Stores the end of a task in @ctx, its outcome.  */
+/* Callback for the end of a task.  Stores the end in @ctx, an outcome.  */
 void on_done (void *ctx, const mm_work_result *res);
 /* Submits a task that takes TASK_CPU_MILLI and @run_ms.  @r is filled in when
    the task ends, and must exist until then.  */
--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -365,8 +365,8 @@
 
 /* ---- tasks ------------------------------------------------------------ */
 
-/* A task that is not done is submitted again: at once, or after RESEND_MS
-   when it may still run.  */
+/* Records the end of a task.  A task that is not done is submitted again: at
+   once, or after RESEND_MS when it may still run.  */
 static void
 on_task_done (void *ctx, const mm_work_result *r)
 {
@@ -483,7 +483,9 @@
     cancel_task (&fx->tasks[random_below (fx, TASKS)]);
 }
 
-/* Advances the clock by 1 ms.  */
+/* Advances the clock by 1 ms: delivers messages, ticks the owners, causes
+   faults and submits the tasks that are due.  @elapsed_ms: time since the
+   start of the test.  */
 static void
 step (fixture *fx, mm_time_ms elapsed_ms)
 {
--- a/tests/test_decisions.c
+++ b/tests/test_decisions.c
@@ -15,6 +15,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* There is free capacity for all eight tasks of a job, so the job must be
+   accepted although it has no slack.  */
 START_TEST (job_that_fits_is_accepted_without_a_wait)
 {
   mm_load load = { .places = 100, .free = 8, .mean_task_ms = 200 };
--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -167,12 +167,16 @@
   h_stop_cluster ();
 }
 
+/* Guards against tasks started on a draining upstream while its owner hands it
+   over to an instance that joins.  */
 START_TEST (upstream_that_drains_during_a_handover_gets_no_more_starts)
 {
   drain_during_handover (false);
 }
 END_TEST
 
+/* Guards against tasks started on a draining upstream while its owner shuts
+   down and hands it over to another instance.  */
 START_TEST (upstream_that_drains_during_a_shutdown_gets_no_more_starts)
 {
   drain_during_handover (true);
--- a/tests/test_logs.c
+++ b/tests/test_logs.c
@@ -18,6 +18,8 @@
 #include <string.h>
 #include <unistd.h>
 
+/* A log line must be valid JSON, with each value under the name that the event
+   table gives it, and with quotes and newlines escaped.  */
 START_TEST (event_line_names_its_fields_and_escapes_text)
 {
   mm_task_id id = { .job = "0123456789abcdef", .step = 1, .index = 17 };
@@ -39,6 +41,8 @@
 }
 END_TEST
 
+/* Guards against a page of log events that differs from the event table of the
+   code.  */
 START_TEST (logs_page_matches_the_event_table)
 {
   char *page = NULL;
--- a/tests/test_mesh.c
+++ b/tests/test_mesh.c
@@ -206,6 +206,8 @@
   return count;
 }
 
+/* With fewer instances than the limits on neighbours, an instance must link to
+   all of them.  */
 START_TEST (few_instances_are_all_linked_to)
 {
   mm_neighbour candidates[6];
--- a/tests/test_ownership_changes.c
+++ b/tests/test_ownership_changes.c
@@ -245,7 +245,7 @@
 END_TEST
 
 /* Guards against tasks started on a draining upstream while the upstream list
-   was not read again since partitions were assigned.  */
+   has not been read since partitions were assigned.  */
 START_TEST (draining_is_in_force_while_the_list_is_not_fresh)
 {
   fixture *fx = fixture_create ();
@@ -309,7 +309,7 @@
 END_TEST
 
 /* Guards against a session that goes on after its upstream has left the list,
-   because the list was not read again since partitions were assigned.  */
+   because the list has not been read since partitions were assigned.  */
 START_TEST (
     upstream_that_is_gone_loses_its_session_while_the_list_is_not_fresh)
 {
--- a/tests/test_thin_link.c
+++ b/tests/test_thin_link.c
@@ -156,18 +156,29 @@
   h_stop_cluster ();
 }
 
+/* Guards against instances that start no more tasks after an outage of the
+   store of ten seconds: on a link of 2 Mbit/s, the changes that 120 upstreams
+   made meanwhile take longer than the timeout of a call, so that each read of
+   the list could time out.  */
 START_TEST (recovers_on_2_mbit_with_120_upstreams)
 {
   check_outage (2000, 120, NULL);
 }
 END_TEST
 
+/* Guards against instances that start no more tasks after an outage of the
+   store of ten seconds: the changes that 1,100 upstreams made meanwhile take
+   long even on a link of 25 Mbit/s, so that each read of the list could time
+   out.  */
 START_TEST (recovers_on_25_mbit_with_1100_upstreams)
 {
   check_outage (25000, 1100, NULL);
 }
 END_TEST
 
+/* Guards against instances that start no more tasks after an outage in which
+   the store dropped the history of the list: they must read all of the list
+   on a link of 2 Mbit/s.  */
 START_TEST (recovers_after_the_history_was_dropped)
 {
   check_outage (2000, 120, "{\"drop_history\":true}");
