--- a/tests/test_drain.c
+++ b/tests/test_drain.c
@@ -75,6 +75,7 @@
                           "{\"mode\":\"drain\"}", NULL));
 }
 
+/* Waits until @text occurs in the log of an instance; fails after 3 s.  */
 static void
 wait_for_line (int node, const char *text)
 {
@@ -137,7 +138,8 @@
 }
 
 /* Tells all upstreams to drain while the first instance hands them over: it is
-   shut down, or else another instance joins.  */
+   shut down, or else another instance joins.  In the second case, "leaving":8
+   in the log of the first instance shows that the handover has begun.  */
 static void
 drain_during_handover (bool shutdown)
 {
@@ -165,12 +167,16 @@
   h_stop_cluster ();
 }
 
+/* Guards against tasks started on a draining upstream while its owner hands it
+   over to an instance that joins.  */
 START_TEST (upstream_that_drains_during_a_handover_gets_no_more_starts)
 {
   drain_during_handover (false);
 }
 END_TEST
 
+/* Guards against tasks started on a draining upstream while its owner shuts
+   down and hands it over to another instance.  */
 START_TEST (upstream_that_drains_during_a_shutdown_gets_no_more_starts)
 {
   drain_during_handover (true);
--- a/tests/test_logs.c
+++ b/tests/test_logs.c
@@ -18,6 +18,8 @@
 #include <string.h>
 #include <unistd.h>
 
+/* A log line must be valid JSON, with each value under the name that the event
+   table gives it, and with quotes and newlines escaped.  */
 START_TEST (event_line_names_its_fields_and_escapes_text)
 {
   mm_task_id id = { .job = "0123456789abcdef", .step = 1, .index = 17 };
@@ -39,6 +41,8 @@
 }
 END_TEST
 
+/* Guards against a page of log events that differs from the event table of the
+   code.  */
 START_TEST (logs_page_matches_the_event_table)
 {
   char *page = NULL;
@@ -78,6 +82,8 @@
 }
 END_TEST
 
+/* Guards against a logging call with more or fewer values than its event has
+   fields in the event table: its line would lack fields or values.  */
 START_TEST (call_that_does_not_match_the_table_is_counted)
 {
   int lines = 0;
@@ -107,6 +113,8 @@
 }
 END_TEST
 
+/* Guards against a metrics text that a scraper rejects: a metric must have
+   exactly one TYPE line, also when it has several series.  */
 START_TEST (metrics_text_has_every_series_with_its_type)
 {
   mm_metrics_count (MM_CT_JOBS_COMPLETED);
