--- a/include/masticmill.h
+++ b/include/masticmill.h
@@ -5,7 +5,9 @@
    with _destroy.  Every failure is reported through a GError in the
    MM_ERROR domain.  Names of times end in _ms, names of sizes in _bytes.
    A char * that a function returns belongs to the caller, who frees it
-   with free(), or with g_free() where the comment says so.  */
+   with free(), or with g_free() where the comment says so.  A const pointer
+   that a function returns is constant or belongs to the object it comes
+   from.  */
 #ifndef MASTICMILL_H
 #define MASTICMILL_H
 
@@ -43,9 +45,10 @@
     MM_ERROR_OVERLOADED,         /* admission refused: retry later */
     MM_ERROR_PLATFORM,           /* the platform's service failed */
     MM_ERROR_UPSTREAM,           /* an upstream failed */
-    MM_ERROR_CONFIG_REJECTED, /* a published config does not follow the head */
-    MM_ERROR_TIMEOUT,         /* no answer in time */
-    MM_ERROR_DECODE           /* a frame of a peer could not be decoded */
+    /* A published config is an edit of another one than that in force.  */
+    MM_ERROR_CONFIG_REJECTED,
+    MM_ERROR_TIMEOUT, /* no answer in time */
+    MM_ERROR_DECODE   /* a frame of a peer could not be decoded */
   } mm_error_code;
   GQuark mm_error_quark (void);              /* the MM_ERROR domain */
   const char *mm_error_code_name (int code); /* stable name of a code */
@@ -156,8 +159,10 @@
                                          size_t max_body_bytes,
                                          mm_http_handler handler, void *ctx,
                                          GError **error); /* "ip:port" */
-  void mm_http_server_destroy (mm_http_server *s);        /* close all */
-  void mm_http_server_quiesce (mm_http_server *s);        /* stop accepting */
+  /* Answers the requests that still wait with status 500, closes all
+     connections and frees the server.  */
+  void mm_http_server_destroy (mm_http_server *s);
+  void mm_http_server_quiesce (mm_http_server *s); /* stop accepting */
   uint32_t
   mm_http_server_in_flight (const mm_http_server *s);     /* open requests */
   uint16_t mm_http_server_port (const mm_http_server *s); /* listening port */
@@ -170,8 +175,11 @@
                          const char *key); /* value of ?key=, or NULL */
   const char *mm_http_request_header (const mm_http_request *r,
                                       const char *name); /* value, or NULL */
+  /* Answers a request with a JSON body, which is copied.  The request is freed
+     when the answer has been sent; a second reply before then is ignored.
+     @retry_after_s: Retry-After in seconds, 0 for none.  */
   void mm_http_reply (mm_http_request *r, unsigned status, const char *body,
-                      uint32_t retry_after_s); /* JSON reply, frees r later */
+                      uint32_t retry_after_s);
   /* Called when the caller closes the connection before the answer.  */
   typedef void (*mm_http_closed_cb) (void *ctx);
   void mm_http_request_on_close (mm_http_request *r, mm_http_closed_cb left,
@@ -210,10 +218,13 @@
        at once.  */
     mm_time_ms keep_overdue_ms;
   } mm_http_call;
-  mm_http_client *
-  mm_http_client_create (struct ev_loop *loop,
-                         uint32_t max_host_connections); /* without calls */
-  void mm_http_client_destroy (mm_http_client *c);       /* abort all calls */
+  /* @max_host_connections: most connections to one host at a time.  */
+  mm_http_client *mm_http_client_create (struct ev_loop *loop,
+                                         uint32_t max_host_connections);
+  /* Closes the connections and frees the client.  Calls that are still open
+     end without a result: their @done is not called.  Unless all calls with
+     keep_overdue_ms have ended, the loop must not run any more.  */
+  void mm_http_client_destroy (mm_http_client *c);
   void mm_http_client_set_member (
       mm_http_client *c, const char *name); /* sent as X-Masticmill-Member */
   void mm_http_client_call (mm_http_client *c, const char *method,
@@ -298,9 +309,9 @@
   } mm_peer_answer;
   /* Called for each job that a peer forwards.  @job: @len bytes from
      mm_job_pack().  @hops: how often the job was forwarded, this time
-     included.  @conn_id and @req_id identify the request to
+     included.  @link_id and @req_id identify the request to
      mm_peer_reply().  */
-  typedef void (*mm_peer_request_cb) (mm_peer *p, uint64_t conn_id,
+  typedef void (*mm_peer_request_cb) (mm_peer *p, uint64_t link_id,
                                       uint64_t req_id, uint32_t hops,
                                       const uint8_t *job, size_t len,
                                       void *ctx);
@@ -314,16 +325,18 @@
                         const uint8_t *job, size_t len, mm_time_ms timeout_ms,
                         mm_peer_answer_cb done,
                         void *ctx); /* send a job to its owner */
-  void mm_peer_reply (mm_peer *p, uint64_t conn_id, uint64_t req_id,
+  void mm_peer_reply (mm_peer *p, uint64_t link_id, uint64_t req_id,
                       unsigned status, uint32_t retry_after_s,
                       const char *body); /* answer a forwarded job */
   /* Returns the HTTP status that answers a ping: 200 when this instance
      reaches the platform, 503 when it does not, 204 when it cannot tell.  */
-  typedef unsigned (*mm_peer_contact_cb) (void *ctx);
-  void mm_peer_set_contact (mm_peer *p, mm_peer_contact_cb in_contact,
-                            void *ctx); /* answers pings from peers */
+  typedef unsigned (*mm_peer_ping_status_cb) (void *ctx);
+  /* Sets the callback for pings from peers; without one, they get 204.  */
+  void mm_peer_set_ping_status_cb (mm_peer *p,
+                                   mm_peer_ping_status_cb ping_status,
+                                   void *ctx);
   /* Asks a peer whether it reaches the platform; @done gets the status that
-     mm_peer_contact_cb returns at the peer.  */
+     mm_peer_ping_status_cb returns at the peer.  */
   void mm_peer_ping (mm_peer *p, const char *addr, mm_time_ms timeout_ms,
                      mm_peer_answer_cb done, void *ctx);
   typedef enum
--- a/src/mm_entry.c
+++ b/src/mm_entry.c
@@ -135,10 +135,10 @@
 }
 
 static void
-on_peer_job (mm_peer *p, uint64_t conn_id, uint64_t req_id, uint32_t hops,
+on_peer_job (mm_peer *p, uint64_t link_id, uint64_t req_id, uint32_t hops,
              const uint8_t *job, size_t len, void *ctx)
 {
-  mm_entry_submit_forwarded (ctx, conn_id, req_id, hops, job, len);
+  mm_entry_submit_forwarded (ctx, link_id, req_id, hops, job, len);
 }
 
 /* Completes the shutdown once no job, request or call to an upstream is open
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -491,7 +491,7 @@
       mm_entry_recover (ej, true, a->fingerprint);
       break;
     case MM_ACCEPT_MOVED:
-      mm_entry_job_moved (ej, a->holder);
+      mm_entry_job_moved (ej, a->shard_owner);
       break;
     }
 }
--- a/src/mm_entry_priv.h
+++ b/src/mm_entry_priv.h
@@ -16,7 +16,7 @@
 typedef struct
 {
   mm_http_request *http; /* the caller's request, NULL for a peer */
-  uint64_t conn_id;      /* id of the link to the peer */
+  uint64_t link_id;      /* id of the link to the peer */
   uint64_t req_id;       /* id of the peer's request on that link */
   uint32_t hops;         /* how often the job was forwarded */
 } mm_waiter;
@@ -113,7 +113,7 @@
 
 /* mm_entry_route.c: routes each request to the owner of its job */
 void mm_entry_submit (mm_entry *e, mm_http_request *req);
-void mm_entry_submit_forwarded (mm_entry *e, uint64_t conn_id, uint64_t req_id,
+void mm_entry_submit_forwarded (mm_entry *e, uint64_t link_id, uint64_t req_id,
                                 uint32_t hops, const uint8_t *data,
                                 size_t len);
 void mm_entry_waiter_reply (mm_entry *e, const mm_waiter *w, unsigned status,
--- a/src/mm_entry_route.c
+++ b/src/mm_entry_route.c
@@ -40,7 +40,7 @@
   if (w->http)
     mm_http_reply (w->http, status, body, retry_after_s);
   else
-    mm_peer_reply (e->peer_links, w->conn_id, w->req_id, status, retry_after_s,
+    mm_peer_reply (e->peer_links, w->link_id, w->req_id, status, retry_after_s,
                    body);
 }
 
@@ -384,19 +384,19 @@
 /**
  * mm_entry_submit_forwarded() - handle a job that a peer forwarded.
  * @e: the entry instance.
- * @conn_id: the link to the peer.
+ * @link_id: the link to the peer.
  * @req_id: the peer's request id.
  * @hops: how often the job was forwarded.
  * @data: the packed job.
  * @len: length of @data in bytes.
  */
 void
-mm_entry_submit_forwarded (mm_entry *e, uint64_t conn_id, uint64_t req_id,
+mm_entry_submit_forwarded (mm_entry *e, uint64_t link_id, uint64_t req_id,
                            uint32_t hops, const uint8_t *data, size_t len)
 {
   GError *err = NULL;
   mm_waiter *w = g_new0 (mm_waiter, 1);
-  w->conn_id = conn_id;
+  w->link_id = link_id;
   w->req_id = req_id;
   w->hops = hops;
   mm_job *job = unpack (e, data, len, &err);
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -426,7 +426,7 @@
   e->shards = g_new0 (mm_shard *, e->settings.shards);
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
     e->shards[i] = mm_shard_create (&e->shard_env, i);
-  mm_peer_set_contact (e->peer_links, ping_status, e);
+  mm_peer_set_ping_status_cb (e->peer_links, ping_status, e);
   ev_timer_init (&e->shard_tick, shard_tick_cb, MM_SHARD_TICK_MS / 1000.0,
                  MM_SHARD_TICK_MS / 1000.0);
   e->shard_tick.data = e;
@@ -473,14 +473,14 @@
 bool
 mm_entry_shards_release (mm_entry *e)
 {
-  uint32_t held = 0;
+  uint32_t n_owned = 0;
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
     if (mm_shard_owned (e->shards[i]))
       {
-        held++;
+        n_owned++;
         mm_shard_release (e->shards[i]);
       }
-  if (!held || e->shutdown_limit_passed)
+  if (!n_owned || e->shutdown_limit_passed)
     return true;
   if (!ev_is_active (&e->shutdown_limit_timer))
     {
@@ -501,12 +501,12 @@
 mm_entry_shards_dump (const mm_entry *e, cJSON *out)
 {
   cJSON *o = cJSON_AddObjectToObject (out, "shards");
-  cJSON *held = cJSON_AddArrayToObject (o, "held");
+  cJSON *owned_shards = cJSON_AddArrayToObject (o, "held");
   uint32_t known = 0;
   for (uint32_t i = 0; i < (uint32_t)e->settings.shards; i++)
     {
       if (mm_shard_owned (e->shards[i]))
-        cJSON_AddItemToArray (held, cJSON_CreateNumber (i));
+        cJSON_AddItemToArray (owned_shards, cJSON_CreateNumber (i));
       known += mm_shard_accepted_count (e->shards[i]);
     }
   cJSON_AddNumberToObject (o, "jobs_known_from_earlier_owners", known);
--- a/src/mm_peer.c
+++ b/src/mm_peer.c
@@ -44,13 +44,13 @@
   int listen_fd;
   ev_io accept_io;
   uint16_t port;
-  mm_peer_request_cb on_request; /* receives forwarded jobs */
-  void *ctx;                     /* of on_request */
-  mm_peer_contact_cb in_contact; /* returns a ping's status; NULL: 204 */
-  void *contact_ctx;
+  mm_peer_request_cb on_request;      /* receives forwarded jobs */
+  void *ctx;                          /* of on_request */
+  mm_peer_ping_status_cb ping_status; /* returns a ping's status; NULL: 204 */
+  void *ping_status_ctx;
   mm_peer_notification_cb
       notification_cb; /* receives notifications, or NULL */
-  void *tell_ctx;
+  void *notification_ctx;
   GHashTable *links_by_id;      /* id -> peer_link */
   GHashTable *outgoing_by_addr; /* "host:port" -> peer_link (outgoing) */
   uint64_t last_link_id;        /* id of the link that was opened last */
@@ -181,8 +181,8 @@
                          l->peer->ctx);
   else if (ok && type == FRAME_PING && fields == 2)
     {
-      unsigned status = l->peer->in_contact
-                            ? l->peer->in_contact (l->peer->contact_ctx)
+      unsigned status = l->peer->ping_status
+                            ? l->peer->ping_status (l->peer->ping_status_ctx)
                             : 204;
       mm_peer_reply (l->peer, l->id, req, status, 0, "");
     }
@@ -194,7 +194,8 @@
       if (l->peer->notification_cb)
         l->peer->notification_cb ((mm_notification_kind)kind, name,
                                   (const uint8_t *)f[4].via.bin.ptr,
-                                  f[4].via.bin.size, l->peer->tell_ctx);
+                                  f[4].via.bin.size,
+                                  l->peer->notification_ctx);
       g_free (name);
     }
   else if (ok && type == FRAME_ANSWER && fields == 5
@@ -562,7 +563,7 @@
                              void *ctx)
 {
   p->notification_cb = notification_cb;
-  p->tell_ctx = ctx;
+  p->notification_ctx = ctx;
 }
 
 /**
@@ -611,23 +612,25 @@
 }
 
 /**
- * mm_peer_set_contact() - set the callback that answers pings from peers.
+ * mm_peer_set_ping_status_cb() - set the callback that answers pings from
+ * peers.
  * @p: the peer endpoint.
- * @in_contact: returns 200 when this instance reaches the platform, 503 when
- *              it does not and 204 when that is not known; NULL: always 204.
- * @ctx: context pointer for @in_contact.
+ * @ping_status: returns 200 when this instance reaches the platform, 503 when
+ *               it does not and 204 when that is not known; NULL: always 204.
+ * @ctx: context pointer for @ping_status.
  */
 void
-mm_peer_set_contact (mm_peer *p, mm_peer_contact_cb in_contact, void *ctx)
+mm_peer_set_ping_status_cb (mm_peer *p, mm_peer_ping_status_cb ping_status,
+                            void *ctx)
 {
-  p->in_contact = in_contact;
-  p->contact_ctx = ctx;
+  p->ping_status = ping_status;
+  p->ping_status_ctx = ctx;
 }
 
 /**
  * mm_peer_reply() - answer a request of a peer.
  * @p: the peer endpoint.
- * @conn_id: id of the peer_link that the request came on.
+ * @link_id: id of the peer_link that the request came on.
  * @req_id: the request's id on that link.
  * @status: HTTP status for the caller.
  * @retry_after_s: Retry-After in seconds, 0 for none.
@@ -637,10 +640,10 @@
  * instance has already answered its caller with an error.
  */
 void
-mm_peer_reply (mm_peer *p, uint64_t conn_id, uint64_t req_id, unsigned status,
+mm_peer_reply (mm_peer *p, uint64_t link_id, uint64_t req_id, unsigned status,
                uint32_t retry_after_s, const char *body)
 {
-  peer_link *l = g_hash_table_lookup (p->links_by_id, &conn_id);
+  peer_link *l = g_hash_table_lookup (p->links_by_id, &link_id);
   if (!l)
     return;
   msgpack_packer packer;
--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -173,7 +173,8 @@
   waiting_job *w;
   while ((w = g_queue_pop_head (&ready)))
     {
-      mm_accept a = { .verdict = verdict, .epoch = s->epoch, .holder = owner };
+      mm_accept a
+          = { .verdict = verdict, .epoch = s->epoch, .shard_owner = owner };
       mm_accepted_jobs_find (s->accepted, w->job_id, &a.fingerprint);
       if (w->done)
         w->done (&a, w->ctx);
--- a/src/mm_shard.h
+++ b/src/mm_shard.h
@@ -32,7 +32,7 @@
   uint64_t fingerprint;
   /* With MM_ACCEPT_MOVED, member name of the owner, or NULL when it is not
      known; valid during the callback.  */
-  const char *holder;
+  const char *shard_owner;
 } mm_accept;
 
 typedef void (*mm_accept_cb) (const mm_accept *a, void *ctx);
