--- a/src/mm_cfg.h
+++ b/src/mm_cfg.h
@@ -1,5 +1,6 @@
 /* mm_cfg: the configuration that operators publish as records of the
-   platform's log, applied in log order.  Internal.  */
+   platform's log, applied in log order.  The head is the record accepted last;
+   its settings are in force.  Internal.  */
 #ifndef MM_CFG_H
 #define MM_CFG_H
 
@@ -31,7 +32,8 @@
 /* Makes a record the head if it is an edit of the head.  */
 bool mm_cfg_apply (mm_cfg *c, int64_t offset, const char *record,
                    GError **error);
-/* Makes a record the head without checking its parent, at a start.  */
+/* Makes a record the head of an instance that has none, without checking which
+   record it is an edit of.  */
 bool mm_cfg_adopt (mm_cfg *c, int64_t offset, const char *record,
                    GError **error);
 int64_t mm_cfg_head (const mm_cfg *c); /* offset of the head, -1: none yet */
@@ -40,7 +42,8 @@
 /* Returns a copy of the head as a snapshot record, or NULL without a head.  */
 char *mm_cfg_snapshot_record (const mm_cfg *c);
 uint64_t mm_cfg_rejected (const mm_cfg *c); /* number of records refused */
-/* Returns the JSON text of a record, which is not checked.  */
+/* Returns the JSON text of a record, which is not checked; arguments as for
+   mm_cfg_record_text().  */
 char *mm_cfg_make_record (const char *kind, int64_t parent, const char *base,
                           const char *const *sites,
                           const char *const *overlays);
--- a/src/mm_entry_priv.h
+++ b/src/mm_entry_priv.h
@@ -73,12 +73,12 @@
   GHashTable *peer_addrs;          /* live entry name -> "host:peer_port" */
   GHashTable *suspect_peers; /* entry name -> mm_time_ms of its failure */
   mm_counters *counters;
-  mm_pool *pool;          /* the upstreams */
-  mm_cfg *cfg;            /* the published configuration */
-  mm_contact *contact;    /* which instances reach the platform */
-  mm_shard_env shard_env; /* shared by all shards */
-  mm_shard **shards;      /* array of settings.shards */
-  ev_timer shard_tick;
+  mm_pool *pool;                 /* the upstreams */
+  mm_cfg *cfg;                   /* the published configuration */
+  mm_contact *contact;           /* which instances reach the platform */
+  mm_shard_env shard_env;        /* shared by all shards */
+  mm_shard **shards;             /* array of settings.shards */
+  ev_timer shard_tick;           /* retries, takes shards and pings peers */
   mm_time_ms last_ping_ms;       /* when the peers were last pinged */
   mm_time_ms peers_changed_ms;   /* when the set of peers last changed */
   bool shards_verified;          /* verified after peers_changed_ms */
@@ -132,7 +132,9 @@
   const char *why;        /* message for the caller; a constant string */
   uint32_t retry_after_s; /* when to submit again */
 } mm_refusal;
+/* Returns whether the job is admitted; if not, sets @r.  */
 bool mm_entry_admit (mm_entry *e, const mm_job *job, mm_refusal *r);
+/* Returns the shortest deadline of a job's tasks, from its submission.  */
 mm_time_ms mm_entry_first_deadline_ms (const mm_job *job);
 
 /* mm_entry_notify.c: notifications between the instances of a data centre */
@@ -141,16 +143,21 @@
 void mm_entry_notify_ejected (mm_entry *e, const char *upstream);
 
 /* mm_entry_answer.c: builds answers and stores them for resubmits */
+/* Returns the answer as JSON text, free with free().  */
 char *mm_entry_answer_json (const mm_entry_job *ej, const char *status,
                             int code, const char *why, uint32_t retry_after_s);
+/* Stores an answer for resubmits; takes ownership of @answer.  */
 void mm_entry_answer_store (mm_entry *e, const char *job_id, char *answer);
 void mm_entry_answers_start (mm_entry *e);
 void mm_entry_answers_free (mm_entry *e);
 
 /* mm_entry_job.c: runs a job from its acceptance to its answer */
+/* Accepts a job; takes ownership of @w and @job.  */
 void mm_entry_job_start (mm_entry *e, mm_waiter *w, mm_job *job);
 void mm_entry_job_run (mm_entry_job *ej); /* queue its pending tasks */
+/* Ends a job that can no longer complete.  @why: a constant string.  */
 void mm_entry_job_fail (mm_entry_job *ej, int code, const char *why);
+/* Routes the requests for a job to its new owner, NULL when not known.  */
 void mm_entry_job_moved (mm_entry_job *ej, const char *owner);
 void mm_entry_job_ref (mm_entry_job *ej);
 void mm_entry_job_unref (mm_entry_job *ej);
@@ -158,11 +165,13 @@
                                    const char *result);
 void mm_entry_handle_upstream_outcome (mm_entry *e, int upstream, mm_outcome o,
                                        int64_t mode_seq);
-void mm_entry_send_waiting (mm_entry *e);
+void mm_entry_send_waiting (mm_entry *e); /* into free upstream slots */
 char *mm_entry_jobs_dump (const mm_entry *e);
 void mm_entry_jobs_free (mm_entry *e);
 
 /* mm_entry_recover.c: finds out what an earlier owner already ran */
+/* Finds out which tasks ran, then runs the rest.  @fingerprint: of the
+   upstreams listed at the earlier accept, if @check_fingerprint.  */
 void mm_entry_recover (mm_entry_job *ej, bool check_fingerprint,
                        uint64_t fingerprint);
 void mm_entry_recovery_free (mm_entry_job *ej);
@@ -170,12 +179,17 @@
 /* mm_entry_shards.c: which jobs this instance owns */
 void mm_entry_shards_start (mm_entry *e);
 void mm_entry_shards_stop (mm_entry *e);
-bool mm_entry_shards_release (mm_entry *e); /* true when done */
+/* Releases the shards; call it again until it returns true.  */
+bool mm_entry_shards_release (mm_entry *e);
 void mm_entry_shards_dump (const mm_entry *e, cJSON *out);
 mm_shard *mm_entry_shard_of (mm_entry *e, const char *job_id);
+/* Returns the name of the peer that gets the job, or NULL: this instance.  */
 const char *mm_entry_route (mm_entry *e, const char *job_id, uint32_t hops);
+/* Allows this instance to take the job's shard if the owner is gone.  */
 void mm_entry_check_shard_owner (mm_entry *e, const char *job_id);
+/* Leaves a peer that did not answer out of routing for a while.  */
 void mm_entry_suspect_peer (mm_entry *e, const char *peer);
+/* Records whether the platform answered a call.  */
 void mm_entry_record_contact (mm_entry *e, bool ok);
 void mm_entry_peers_changed (mm_entry *e, GHashTable *old_addrs);
 mm_earlier_accept mm_entry_earlier_accept (mm_entry *e, const char *job_id);
--- a/src/mm_pool.h
+++ b/src/mm_pool.h
@@ -46,24 +46,35 @@
 typedef struct mm_pool mm_pool;
 mm_pool *mm_pool_create (uint32_t default_slots);
 void mm_pool_destroy (mm_pool *p);
+/* Adds an upstream, or updates the one of that name, and returns its index,
+   which stays the same.  @slots: 0 for the default.  */
 int mm_pool_add (mm_pool *p, const char *name, const char *addr,
-                 uint32_t slots, int64_t boot_ms);    /* returns its index */
-void mm_pool_list_begin (mm_pool *p, mm_time_ms now); /* before a full list */
-void mm_pool_list_end (mm_pool *p);                   /* after a full list */
+                 uint32_t slots, int64_t boot_ms);
+/* Enclose the mm_pool_add() calls for a complete new member list; upstreams
+   that are not added in between are not listed any more.  */
+void mm_pool_list_begin (mm_pool *p, mm_time_ms now);
+void mm_pool_list_end (mm_pool *p);
 /* Returns whether an upstream was listed within the last @ttl_ms.  */
 bool mm_pool_listed_within (const mm_pool *p, int i, mm_time_ms now,
                             mm_time_ms ttl_ms);
-uint64_t mm_pool_list_fingerprint (const mm_pool *p); /* listed upstreams */
-/* Returns whether @hashes holds all upstreams of the list @fingerprint.  */
+/* Returns a hash of the set of upstream incarnations that are listed now.  */
+uint64_t mm_pool_list_fingerprint (const mm_pool *p);
+/* Returns whether @hashes, a set of mm_pool_incarnation_hash() values, holds
+   all upstreams of the list that had @fingerprint.  */
 bool mm_pool_all_reported (const mm_pool *p, GHashTable *hashes,
                            uint64_t fingerprint);
 uint64_t mm_pool_incarnation_hash (const char *name, int64_t boot_ms);
 int mm_pool_find (const mm_pool *p, const char *name); /* index or -1 */
-void mm_pool_set_state (mm_pool *p, int i, mm_upstream_state s,
-                        int64_t seq);          /* from the member list */
-int mm_pool_pick (mm_pool *p, mm_time_ms now); /* -1: no free slot */
-void mm_pool_task_sent (mm_pool *p, int i);    /* counts it as in flight */
-/* Returns whether this outcome ejected the upstream.  */
+/* Applies the state of an upstream in the member list, unless a newer one is
+   known.  @seq: the upstream's mode_seq of that state.  */
+void mm_pool_set_state (mm_pool *p, int i, mm_upstream_state s, int64_t seq);
+/* Returns the upstream with the most free slots, or -1 when none has one.  */
+int mm_pool_pick (mm_pool *p, mm_time_ms now);
+void mm_pool_task_sent (mm_pool *p, int i); /* counts it as in flight */
+/* Counts a task as ended and applies its outcome.  @seq: with
+   MM_OUTCOME_REFUSED, the upstream's mode_seq.  @eject_after: failures in a
+   row that eject the upstream.  @eject_ms: length of the first ejection.
+   Returns whether this outcome ejected the upstream.  */
 bool mm_pool_task_ended (mm_pool *p, int i, mm_outcome o, int64_t seq,
                          mm_time_ms now, uint32_t eject_after,
                          mm_time_ms eject_ms);
--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -67,7 +67,7 @@
   mm_time_ms appended_ms;  /* when the last accept record was sent */
   ev_timer interval_timer; /* runs until the next accept may be appended */
   mm_time_ms taken_ms;     /* when this instance became the owner */
-  mm_time_ms fenced_ms;    /* when this instance was fenced, 0: never */
+  mm_time_ms fenced_ms;    /* when last fenced, 0: may take the shard */
   GQueue waiting;          /* waiting_job *, oldest first */
   GPtrArray *unrecorded;   /* ids of jobs that started without a record */
   guint unrecorded_sent;   /* number of unrecorded in the append in flight */
--- a/src/mm_shard.h
+++ b/src/mm_shard.h
@@ -64,18 +64,31 @@
 typedef struct mm_shard mm_shard;
 mm_shard *mm_shard_create (const mm_shard_env *env, uint32_t index);
 void mm_shard_destroy (mm_shard *s);
+/* Records in the log that this instance runs a job, before any task of it
+   starts.  Takes the shard first if this instance does not own it.  @done is
+   called once, possibly before this function returns.  */
 void mm_shard_accept (mm_shard *s, const char *job_id, mm_accept_cb done,
-                      void *ctx); /* take the shard, record the job */
-void mm_shard_superseded (mm_shard *s, int64_t epoch); /* higher epoch seen */
-void mm_shard_cancel (mm_shard *s, void *ctx); /* no answer is wanted */
+                      void *ctx);
+/* Gives the shard up if @epoch is higher than this instance's epoch, or 0: a
+   higher one exists, but is not known.  */
+void mm_shard_superseded (mm_shard *s, int64_t epoch);
+/* Cancels the mm_shard_accept() that was given @ctx; its @done is not
+   called.  */
+void mm_shard_cancel (mm_shard *s, void *ctx);
 typedef void (*mm_shard_verify_cb) (bool owned, void *ctx);
-void mm_shard_verify (mm_shard *s, mm_shard_verify_cb done,
-                      void *ctx); /* check ownership with the log */
-void mm_shard_take (mm_shard *s,
-                    bool only_if_released); /* before jobs arrive */
-bool mm_shard_owned (const mm_shard *s);    /* by this instance */
+/* Asks the log whether this instance still owns the shard; the answer is false
+   too when the log does not reply in time.  */
+void mm_shard_verify (mm_shard *s, mm_shard_verify_cb done, void *ctx);
+/* Takes the shard before jobs arrive.  @only_if_released: not from an owner
+   that has not released it, unless jobs are waiting here.  */
+void mm_shard_take (mm_shard *s, bool only_if_released);
+bool mm_shard_owned (const mm_shard *s); /* by this instance */
+/* Adds a job that this instance accepted and that has moved to another one, so
+   that it is recovered if it comes back.  */
 void mm_shard_add_accepted (mm_shard *s, const char *job_id,
-                            uint64_t fingerprint); /* a job that moved away */
+                            uint64_t fingerprint);
+/* Returns whether an earlier owner accepted the job, or this instance did and
+   it has moved away since.  */
 bool mm_shard_accepted_before (const mm_shard *s, const char *job_id);
 /* Returns whether the previous owner had not released the shard.  */
 bool mm_shard_unclean_takeover (const mm_shard *s);
@@ -85,13 +98,20 @@
    ago.  */
 bool mm_shard_recently_fenced (const mm_shard *s, mm_time_ms now);
 const char *mm_shard_owner (const mm_shard *s); /* last known owner, or NULL */
-void mm_shard_end_hold_down (mm_shard *s);      /* allow a take at once */
-void mm_shard_retry (mm_shard *s);              /* repeat a failed call */
-void mm_shard_serve_unrecorded (mm_shard *s);   /* start without records */
-void mm_shard_redirect_waiting (mm_shard *s,
-                                const char *target); /* answer all MOVED */
-bool mm_shard_has_waiting (const mm_shard *s);       /* accepts pending */
-void mm_shard_release (mm_shard *s);                 /* graceful handover */
+/* Lets this instance take the shard again before MM_SHARD_HOLD_DOWN_MS are
+   over, as the instance that took it is gone.  */
+void mm_shard_end_hold_down (mm_shard *s);
+void mm_shard_retry (mm_shard *s); /* repeats a call to the log that failed */
+/* Answers the waiting jobs with MM_ACCEPT_UNRECORDED, in an outage.  */
+void mm_shard_serve_unrecorded (mm_shard *s);
+/* Answers the waiting jobs with MM_ACCEPT_MOVED and the owner @target, which
+   may be NULL.  */
+void mm_shard_redirect_waiting (mm_shard *s, const char *target);
+/* Returns whether a job waits for the answer of mm_shard_accept().  */
+bool mm_shard_has_waiting (const mm_shard *s);
+/* Releases the shard, so that the next owner knows that no job is missing in
+   the log.  */
+void mm_shard_release (mm_shard *s);
 /* Returns the number of accepted jobs that are not stored here.  */
 uint32_t mm_shard_accepted_count (const mm_shard *s);
 
