--- a/src/mm_entry_admit.c
+++ b/src/mm_entry_admit.c
@@ -52,12 +52,12 @@
 {
   const mm_cfg_settings *k = mm_cfg_current (e->cfg);
   uint32_t retry_s = (uint32_t)k->retry_after_s;
-  int64_t team = mm_quota_used (e->quota, job->team, mm_clock_now_ms ());
+  int64_t team_tasks = mm_quota_used (e->quota, job->team, mm_clock_now_ms ());
   mm_time_ms expected_ms = expected_wait_ms (e, job->n_tasks);
   if (e->tasks_queued + job->n_tasks > (uint64_t)k->max_queued_tasks)
     return set_refusal (r, 503, MM_ERROR_OVERLOADED, "instance is full",
                         retry_s);
-  if (team + job->n_tasks > mm_cfg_settings_team_quota (k, job->team))
+  if (team_tasks + job->n_tasks > mm_cfg_settings_team_quota (k, job->team))
     return set_refusal (r, 429, MM_ERROR_OVERLOADED, "team over its quota",
                         retry_s);
   if (mm_pool_size (e->pool) == 0)
--- a/src/mm_entry_answer.c
+++ b/src/mm_entry_answer.c
@@ -65,10 +65,10 @@
 mm_entry_answer_store (mm_entry *e, const char *job_id, char *answer)
 {
   g_hash_table_insert (e->answers, g_strdup (job_id), answer);
-  stored_answer *k = g_new0 (stored_answer, 1);
-  k->job_id = g_strdup (job_id);
-  k->stored_ms = mm_clock_now_ms ();
-  g_queue_push_tail (&e->answer_order, k);
+  stored_answer *stored = g_new0 (stored_answer, 1);
+  stored->job_id = g_strdup (job_id);
+  stored->stored_ms = mm_clock_now_ms ();
+  g_queue_push_tail (&e->answer_order, stored);
 }
 
 /* Drops the answers that were stored more than @ttl_ms ago; with -1 all.  */
@@ -76,15 +76,15 @@
 drop_older_than (mm_entry *e, mm_time_ms ttl_ms)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  stored_answer *k;
-  while ((k = g_queue_peek_head (&e->answer_order))
-         && now - k->stored_ms > ttl_ms)
+  stored_answer *stored;
+  while ((stored = g_queue_peek_head (&e->answer_order))
+         && now - stored->stored_ms > ttl_ms)
     {
       g_queue_pop_head (&e->answer_order);
-      g_hash_table_remove (e->answers, k->job_id);
+      g_hash_table_remove (e->answers, stored->job_id);
       mm_counters_add (e->counters, "answers_expired", 1);
-      g_free (k->job_id);
-      g_free (k);
+      g_free (stored->job_id);
+      g_free (stored);
     }
 }
 
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -250,8 +250,9 @@
 }
 
 /* Returns the outcome of a task, by the answer of its upstream: 503 refuses a
-   start while the upstream drains, 409 a start with an epoch that is too
-   old.  */
+   start while the upstream drains, 409 a start with an epoch that is too old.
+   Without an answer, the task may have run only if a part of the request was
+   sent.  */
 static mm_outcome
 outcome_of (const mm_http_result *res)
 {
--- a/src/mm_entry_recover.c
+++ b/src/mm_entry_recover.c
@@ -164,7 +164,7 @@
 }
 
 /* Handles the answer of an upstream to a fence request.  It is a report, or a
-   higher epoch of the job, by which another instance owns the job now.  */
+   higher epoch of the job: then another instance owns the job now.  */
 static void
 fence_answered (const mm_http_result *res, void *ctx)
 {
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -248,6 +248,10 @@
  * @e: the entry instance, which neither runs the job nor has its answer.
  * @job_id: the job.
  *
+ * The records known here may be incomplete while this instance does not own
+ * the shard, and when it took the shard from an owner that did not release it
+ * and may have run jobs without records in an outage of the platform.
+ *
  * Return: whether an earlier owner accepted it, see mm_earlier_accept.
  */
 mm_earlier_accept
@@ -315,7 +319,8 @@
   return mm_contact_ping_status (e->contact, mm_clock_now_ms ());
 }
 
-/* Updates one shard on a tick, according to the contact with the platform.  */
+/* Updates one shard on a tick, according to the contact with the platform.
+   @peer: with MM_STANDING_DISCONNECTED, a peer that reaches the platform.  */
 static void
 update_shard (mm_entry *e, uint32_t i, mm_standing standing, const char *peer)
 {
--- a/src/mm_quota.c
+++ b/src/mm_quota.c
@@ -145,6 +145,10 @@
  * @ctx: context pointer for @quota_of.
  * @out: the report is appended here.
  *
+ * The report lists the teams that have at least 1/(4 * @n_instances) of their
+ * quota as tasks on this instance, and of these only the
+ * MM_QUOTA_REPORT_MAX_TEAMS with the most tasks.
+ *
  * Return: whether the report must be sent.  An empty report is sent only
  * after one that listed teams, to replace it at the peers.
  */
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -111,10 +111,10 @@
 }
 END_TEST
 
-/* Guards against starts by an owner that freezes with tasks still waiting
-   until its membership has expired.  The job is submitted again and gets a new
-   owner; then the frozen owner resumes where it stopped, and its starts must
-   be refused.  */
+/* Guards against tasks started twice by an owner that resumes after a freeze.
+   It freezes with tasks still waiting, until its membership has expired.  The
+   job is submitted again and gets a new owner; when the previous one resumes
+   where it stopped, its starts must be refused.  */
 START_TEST (frozen_owner_starts_nothing_when_it_wakes)
 {
   start_cluster ();
