--- a/src/mm_entry_route.c
+++ b/src/mm_entry_route.c
@@ -269,8 +269,8 @@
   if (!join_known_job (e, w, routed->job_id))
     {
       GError *err = NULL;
-      /* The job was valid when it was packed, but a lower max_tasks_per_job may
-         have been published since.  */
+      /* The job was valid when it was packed, but a lower max_tasks_per_job
+         may have been published since.  */
       mm_job *job
           = unpack (e, routed->packed->data, routed->packed->len, &err);
       if (job)
