--- a/include/masticmill.h
+++ b/include/masticmill.h
@@ -158,7 +158,7 @@
                                          const char *addr,
                                          size_t max_body_bytes,
                                          mm_http_handler handler, void *ctx,
-                                         GError **error); /* "ip:port" */
+                                         GError **error); /* at "ip:port" */
   /* Answers the requests that still wait with status 500, closes all
      connections and frees the server.  */
   void mm_http_server_destroy (mm_http_server *s);
@@ -227,19 +227,23 @@
   void mm_http_client_destroy (mm_http_client *c);
   void mm_http_client_set_member (
       mm_http_client *c, const char *name); /* sent as X-Masticmill-Member */
+  /* Starts a call.  @body: JSON text, copied, or NULL.  @done is called once,
+     from the loop.  */
   void mm_http_client_call (mm_http_client *c, const char *method,
                             const char *url, const char *body,
                             mm_time_ms timeout_ms, mm_http_done done,
-                            void *ctx); /* async call */
+                            void *ctx);
+  /* Starts a call.  @done is called once, or twice if the answer is overdue
+     and the call stays open (keep_overdue_ms).  */
   void mm_http_client_send (mm_http_client *c, const mm_http_call *call,
-                            mm_http_done done, void *ctx); /* async call */
+                            mm_http_done done, void *ctx);
   char *
   mm_http_failure_text (const mm_http_result *res); /* for logs, g_free() */
   uint32_t mm_http_client_in_flight (const mm_http_client *c); /* open calls */
   char *mm_http_call_sync (const char *method, const char *url,
                            const char *body, mm_time_ms timeout_ms,
                            long *status,
-                           GError **error); /* blocking, g_free() */
+                           GError **error); /* blocks; body, g_free() */
 
   /* ---- mm_job: jobs and tasks --------------------------------------------
    */
--- a/src/mm_contact.c
+++ b/src/mm_contact.c
@@ -41,7 +41,7 @@
  * mm_contact_create() - create a contact state that starts in contact.
  * @now: mm_clock_now_ms().
  *
- * Return: the contact, to free with mm_contact_destroy().
+ * Return: the contact state, to free with mm_contact_destroy().
  */
 mm_contact *
 mm_contact_create (mm_time_ms now)
@@ -63,7 +63,7 @@
 
 /**
  * mm_contact_record() - record the end of a call to the platform.
- * @c: the contact.
+ * @c: the contact state.
  * @ok: whether the platform answered.
  * @now: mm_clock_now_ms().
  */
@@ -81,7 +81,7 @@
 
 /**
  * mm_contact_lost() - whether calls to the platform have failed for a while.
- * @c: the contact.
+ * @c: the contact state.
  * @now: mm_clock_now_ms().
  *
  * Return: true when the last call failed and the last success was more than
@@ -96,7 +96,7 @@
 /**
  * mm_contact_list_incomplete() - whether the member list may lack live
  * members.
- * @c: the contact.
+ * @c: the contact state.
  * @now: mm_clock_now_ms().
  *
  * No member can send heartbeats during an outage of the platform, so live
@@ -114,7 +114,7 @@
 
 /**
  * mm_contact_ping_status() - status that answers a peer's ping.
- * @c: the contact.
+ * @c: the contact state.
  * @now: mm_clock_now_ms().
  *
  * Return: 200 in contact, 503 when contact is lost, and 204 when calls fail
@@ -130,7 +130,7 @@
 
 /**
  * mm_contact_record_vote() - record a peer's answer to a ping.
- * @c: the contact.
+ * @c: the contact state.
  * @peer: name of the peer.
  * @in_contact: whether the peer reaches the platform.
  * @now: mm_clock_now_ms().
@@ -148,7 +148,7 @@
 /**
  * mm_contact_standing() - whether the platform has an outage or only this
  * instance cannot reach it.
- * @c: the contact.
+ * @c: the contact state.
  * @n_peers: number of live peers in the member list.
  * @now: mm_clock_now_ms().
  * @peer: with MM_STANDING_DISCONNECTED, set to a peer in contact; may be NULL.
--- a/src/mm_entry_recover.c
+++ b/src/mm_entry_recover.c
@@ -240,7 +240,8 @@
   g_free (id);
 }
 
-/* Requests a new report from each upstream where recovered tasks run.  */
+/* Requests a new report from each upstream where recovered tasks run; stops
+   the timer when none is left.  */
 static void
 poll_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
--- a/src/mm_peer.c
+++ b/src/mm_peer.c
@@ -82,6 +82,7 @@
 
 static void link_close (peer_link *l, const char *why);
 
+/* Appends packed bytes to @data, a GByteArray.  */
 static int
 pack_write_cb (void *data, const char *buf, size_t len)
 {
--- a/src/mm_pool.h
+++ b/src/mm_pool.h
@@ -50,9 +50,11 @@
    which stays the same.  @slots: 0 for the default.  */
 int mm_pool_add (mm_pool *p, const char *name, const char *addr,
                  uint32_t slots, int64_t boot_ms);
-/* Enclose the mm_pool_add() calls for a complete new member list; upstreams
-   that are not added in between are not listed any more.  */
+/* Call it before the upstreams of a complete new member list are added: those
+   that are not added again are not listed any more.  */
 void mm_pool_list_begin (mm_pool *p, mm_time_ms now);
+/* Call it after the upstreams of a member list were added: remembers the set
+   of listed upstreams for mm_pool_all_reported().  */
 void mm_pool_list_end (mm_pool *p);
 /* Returns whether an upstream was listed within the last @ttl_ms.  */
 bool mm_pool_listed_within (const mm_pool *p, int i, mm_time_ms now,
--- a/src/mm_quota.c
+++ b/src/mm_quota.c
@@ -130,6 +130,7 @@
   return (x < y) - (x > y);
 }
 
+/* Appends packed bytes to @data, a GByteArray.  */
 static int
 write_cb (void *data, const char *buf, size_t len)
 {
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -328,7 +328,8 @@
    its next call, up to 300 ms later, that their owner has released them, no
    instance owns half of a data centre's upstreams meanwhile and callers are
    refused.  The previous owner must notify the new one, which then calls the
-   store at once: no more than two calls and two ticks pass.  */
+   store at once.  That takes two calls and two ticks; the test allows one call
+   more.  */
 START_TEST (released_partitions_are_taken_at_once)
 {
   fixture *f = fixture_create ();
