--- a/src/mm_entry.c
+++ b/src/mm_entry.c
@@ -305,6 +305,7 @@
   cJSON_AddNumberToObject (config_json, "team_max_queued_tasks",
                            (double)k->team_max_queued_tasks);
   cJSON *upstream_array = cJSON_AddArrayToObject (o, "upstreams");
+  /* Indexed by mm_upstream_state.  */
   static const char *const states[]
       = { "live", "leaving", "ejected", "on_trial" };
   for (uint32_t i = 0; i < mm_pool_size (e->pool); i++)
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -542,6 +542,7 @@
 char *
 mm_entry_jobs_dump (const mm_entry *e)
 {
+  /* Indexed by mm_entry_job_phase.  */
   static const char *const phases[]
       = { "accepting", "recovering", "running", "failing", "finished" };
   cJSON *arr = cJSON_CreateArray ();
--- a/src/mm_entry_platform.c
+++ b/src/mm_entry_platform.c
@@ -121,7 +121,8 @@
 }
 
 /* Adds a live peer from its entry @m of the member list.  This instance's own
-   entry is ignored.  */
+   entry is ignored.  All data centres read the same config stream, so config
+   offsets count whatever the data centre.  */
 static void
 apply_peer (mm_entry *e, const cJSON *m, peer_view *view)
 {
--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -379,6 +379,8 @@
   mm_counters_add (s->env->counters, "shards_taken", 1);
 }
 
+/* Makes this instance the owner if the log has accepted its take record.
+   Otherwise reads the stream again before the next try.  */
 static void
 take_done (const mm_http_result *res, void *ctx)
 {
