--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -250,8 +250,9 @@
 }
 
 /* Returns the outcome of a task, by the answer of its upstream: 503 refuses a
-   start while the upstream drains, 409 a start with an epoch that is too
-   old.  */
+   start while the upstream drains, 409 a start with an epoch that is too old.
+   Without an answer, the task may have run only if a part of the request was
+   sent.  */
 static mm_outcome
 outcome_of (const mm_http_result *res)
 {
@@ -491,7 +492,7 @@
       mm_entry_recover (ej, true, a->fingerprint);
       break;
     case MM_ACCEPT_MOVED:
-      mm_entry_job_moved (ej, a->holder);
+      mm_entry_job_moved (ej, a->shard_owner);
       break;
     }
 }
@@ -541,6 +542,7 @@
 char *
 mm_entry_jobs_dump (const mm_entry *e)
 {
+  /* Indexed by mm_entry_job_phase.  */
   static const char *const phases[]
       = { "accepting", "recovering", "running", "failing", "finished" };
   cJSON *arr = cJSON_CreateArray ();
--- a/src/mm_entry_recover.c
+++ b/src/mm_entry_recover.c
@@ -164,7 +164,7 @@
 }
 
 /* Handles the answer of an upstream to a fence request.  It is a report, or a
-   higher epoch of the job, by which another instance owns the job now.  */
+   higher epoch of the job: then another instance owns the job now.  */
 static void
 fence_answered (const mm_http_result *res, void *ctx)
 {
@@ -240,7 +240,8 @@
   g_free (id);
 }
 
-/* Requests a new report from each upstream where recovered tasks run.  */
+/* Requests a new report from each upstream where recovered tasks run; stops
+   the timer when none is left.  */
 static void
 poll_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -67,7 +67,7 @@
   mm_time_ms appended_ms;  /* when the last accept record was sent */
   ev_timer interval_timer; /* runs until the next accept may be appended */
   mm_time_ms taken_ms;     /* when this instance became the owner */
-  mm_time_ms fenced_ms;    /* when this instance was fenced, 0: never */
+  mm_time_ms fenced_ms;    /* when last fenced, 0: may take the shard */
   GQueue waiting;          /* waiting_job *, oldest first */
   GPtrArray *unrecorded;   /* ids of jobs that started without a record */
   guint unrecorded_sent;   /* number of unrecorded in the append in flight */
@@ -173,7 +173,8 @@
   waiting_job *w;
   while ((w = g_queue_pop_head (&ready)))
     {
-      mm_accept a = { .verdict = verdict, .epoch = s->epoch, .holder = owner };
+      mm_accept a
+          = { .verdict = verdict, .epoch = s->epoch, .shard_owner = owner };
       mm_accepted_jobs_find (s->accepted, w->job_id, &a.fingerprint);
       if (w->done)
         w->done (&a, w->ctx);
@@ -378,6 +379,8 @@
   mm_counters_add (s->env->counters, "shards_taken", 1);
 }
 
+/* Makes this instance the owner if the log has accepted its take record.
+   Otherwise reads the stream again before the next try.  */
 static void
 take_done (const mm_http_result *res, void *ctx)
 {
