--- a/examples/peer_forward.c
+++ b/examples/peer_forward.c
@@ -6,11 +6,11 @@
 
 /* Answers a forwarded job at once.  */
 static void
-on_job (mm_peer *p, uint64_t conn_id, uint64_t req_id, uint32_t hops,
+on_job (mm_peer *p, uint64_t link_id, uint64_t req_id, uint32_t hops,
         const uint8_t *job, size_t len, void *ctx)
 {
   printf ("owner got %zu bytes after %u hops\n", len, hops);
-  mm_peer_reply (p, conn_id, req_id, 200, 0, "{\"status\":\"complete\"}");
+  mm_peer_reply (p, link_id, req_id, 200, 0, "{\"status\":\"complete\"}");
 }
 
 /* Prints the answer or the error and stops the event loop.  */
--- a/fuzz/fuzz_decoders.c
+++ b/fuzz/fuzz_decoders.c
@@ -68,10 +68,10 @@
 
 /* Answers each forwarded job with an empty JSON object.  */
 static void
-on_job (mm_peer *p, uint64_t conn_id, uint64_t req_id, uint32_t hops,
+on_job (mm_peer *p, uint64_t link_id, uint64_t req_id, uint32_t hops,
         const uint8_t *job, size_t len, void *ctx)
 {
-  mm_peer_reply (p, conn_id, req_id, 200, 0, "{}");
+  mm_peer_reply (p, link_id, req_id, 200, 0, "{}");
 }
 
 /* Sends complete frames, a length and a mutated body, to a real peer link: the
--- a/src/mm_group_table.c
+++ b/src/mm_group_table.c
@@ -218,7 +218,7 @@
 }
 
 const char *
-mm_group_table_owner (const mm_group_table *g, uint32_t index)
+mm_group_table_holder (const mm_group_table *g, uint32_t index)
 {
   const partition *p = &g->partitions[index];
   return p->holder && p->holder == p->target ? p->holder->name : NULL;
--- a/src/mm_group_table.h
+++ b/src/mm_group_table.h
@@ -33,7 +33,7 @@
 void mm_group_table_reassign_all (mm_group_table *g);
 /* Returns the name of the member that holds the partition at @index, or NULL
    while it has no holder or is moving to another member.  */
-const char *mm_group_table_owner (const mm_group_table *g, uint32_t index);
+const char *mm_group_table_holder (const mm_group_table *g, uint32_t index);
 uint32_t mm_group_table_partition_count (const mm_group_table *g);
 uint64_t mm_group_table_generation (const mm_group_table *g);
 
--- a/src/mm_stream_server.c
+++ b/src/mm_stream_server.c
@@ -357,7 +357,7 @@
   cJSON *list = cJSON_AddArrayToObject (o, "parts");
   for (uint32_t i = 0; i < mm_group_table_partition_count (g); i++)
     {
-      const char *holder = mm_group_table_owner (g, i);
+      const char *holder = mm_group_table_holder (g, i);
       if (holder && strcmp (holder, member) == 0)
         cJSON_AddItemToArray (list, cJSON_CreateNumber (i));
     }
@@ -372,7 +372,7 @@
   cJSON *list = cJSON_AddArrayToObject (o, "holders");
   for (uint32_t i = 0; i < mm_group_table_partition_count (g); i++)
     {
-      const char *holder = mm_group_table_owner (g, i);
+      const char *holder = mm_group_table_holder (g, i);
       if (!holder)
         continue;
       cJSON *row = cJSON_CreateArray ();
--- a/tests/test_membership.c
+++ b/tests/test_membership.c
@@ -76,7 +76,7 @@
       = mm_group_table_join (g, c->member, c->generation, c->ttl_ms, now_ms);
   for (uint32_t i = 0; i < PARTITIONS; i++)
     {
-      const char *owner = mm_group_table_owner (g, i);
+      const char *owner = mm_group_table_holder (g, i);
       if (owner && strcmp (owner, c->member) == 0)
         c->partitions[c->result.n_partitions++] = i;
     }
