--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -128,7 +128,8 @@
   return j;
 }
 
-/* The outcome of the job is stored: it is kept for MM_KEPT_OUTCOME_TTL_MS.  */
+/* The outcome of the job is stored, and can be requested for another
+   MM_KEPT_OUTCOME_TTL_MS.  */
 static void
 set_ended (job *j)
 {
@@ -182,8 +183,9 @@
                   on_progress_stored, pending_write_create (j));
 }
 
-/* Gives the outcome to the callers.  Only the tasks of a completed job have
-   all ended: for another job ev.ended drops the ends that nobody stores.  */
+/* Answers the callers with the outcome.  Some tasks of a failed or cancelled
+   job may end later: ev.ended has those ends dropped, as no home stores
+   them.  */
 static void
 on_outcome_stored (void *ctx, bool ok)
 {
@@ -290,7 +292,8 @@
                 MM_INT (g_hash_table_size (h->jobs)), MM_INT (h->n_open_jobs));
 }
 
-/* Another home has the partition: its jobs may differ from those here.  */
+/* Another instance is the home now, and may have stored changes of the jobs
+   since: this home answers MM_KEPT_MOVING from now on.  */
 static void
 on_fenced (void *ctx)
 {
@@ -379,8 +382,8 @@
 }
 
 /* Admission control when callers submit more than the upstreams can run: a job
-   that could only finish long after it is of use is refused at once instead of
-   being stored and queued.  */
+   that could only finish long after its result is of use is refused at once
+   instead of being stored and queued.  */
 static mm_admission
 admit (const mm_home *h, const mm_job_record *rec)
 {
--- a/src/mm_kept.h
+++ b/src/mm_kept.h
@@ -1,5 +1,5 @@
 /* mm_kept: durable jobs, stored before their callers are told that they are
-   accepted, and run to their end even if instances die.
+   accepted, and run to their end even if instances crash.
 
    A job belongs to the partition that its id is hashed to.  The instance that
    owns the partition in the group MM_JOBS_GROUP is the job's home.  Any
--- a/src/mm_kept_peer.c
+++ b/src/mm_kept_peer.c
@@ -83,7 +83,7 @@
   c->answered = answered;
   c->ctx = ctx;
   c->total.pending = pending_here (k, queue);
-  c->outstanding = 1;
+  c->outstanding = 1; /* requests may be answered before all are sent */
   k->refs++;
   GList *homes = other_homes (k);
   for (GList *l = homes; l; l = l->next)
@@ -139,8 +139,8 @@
   answer_peer (request, &rejection);
 }
 
-/* Cancels a job or requests its state.  Answers MOVING when its home is not at
-   this instance.  */
+/* Cancels a job or answers with its state.  Answers MOVING when its home is
+   not at this instance.  */
 static void
 handle_job (mm_kept *k, mm_kept_verb verb, const char *job_id,
             mm_mesh_inbound_request *request)
--- a/src/mm_kept_tasks.c
+++ b/src/mm_kept_tasks.c
@@ -99,7 +99,7 @@
     }
   mm_steps_start_ready (k->steps, set_task_ready, k);
   /* Tasks of steps that are not ready are in doubt too: the earlier home may
-     have started them after ends that it had not stored when it died.  */
+     have started them after ends that it did not store before it ended.  */
   for (uint32_t i = 0; taken_over && i < k->n_tasks; i++)
     if (k->tasks[i].state != TASK_DONE)
       set_in_doubt (&k->tasks[i]);
@@ -411,6 +411,8 @@
     /* Another run of the task may be left, so it stays in doubt.  */
     on_task_failed (t, e->run_hash, TASK_IN_DOUBT);
   else
+    /* The run was stopped or lost.  The task stays in doubt, and the end is
+       acknowledged once the record is stored.  */
     k->ev.progress (k->ev.ctx);
 }
 
--- a/src/mm_log_sink.h
+++ b/src/mm_log_sink.h
@@ -10,7 +10,7 @@
 void mm_log_sink_open (int fd);
 /* Buffers a line of @len bytes, which has no newline, and appends one; flushes
    the buffer once it holds MM_LOG_FLUSH_BYTES.  Returns false when the line is
-   dropped because the buffer is full.  */
+   dropped: the buffer is full, or mm_log_sink_open() was not called yet.  */
 bool mm_log_sink_put (const char *line, size_t len);
 /* Writes as many buffered bytes as the output accepts without blocking.  */
 void mm_log_sink_flush (void);
--- a/src/mm_mesh_adopt.c
+++ b/src/mm_mesh_adopt.c
@@ -30,9 +30,9 @@
 {
   if (!MM_WITH_ADOPTION)
     return;
-  mm_owner_transfer_port l
+  mm_owner_transfer_port port
       = { .found = on_found, .cancel = on_cancel, .ctx = m };
-  mm_owner_set_transfer_port (m->owner, &l);
+  mm_owner_set_transfer_port (m->owner, &port);
 }
 
 /* A run is transferred over this instance's own link to the sender of the
--- a/src/mm_mesh_msg.h
+++ b/src/mm_mesh_msg.h
@@ -55,8 +55,8 @@
      task_ms, [waiting of each priority]], ...]]
 
      The capacity for each service on the sender's upstreams; name is the
-     sender's member name.  The tasks received over this link are counted,
-     seen_number is the highest number among them.
+     sender's member name.  The report counts all tasks received over this
+     link; seen_number is the highest number of these tasks.
 
    In both directions:
 
--- a/src/mm_mesh_peers.c
+++ b/src/mm_mesh_peers.c
@@ -24,7 +24,8 @@
   g_hash_table_iter_init (&it, m->peers);
   while (g_hash_table_iter_next (&it, &k, &v))
     {
-      /* mm_mesh_add_peer() below sets it again for those that still are.  */
+      /* mm_mesh_add_peer() below sets it for those that @peers lists as
+         standbys.  */
       ((mm_mesh_peer *)v)->info.is_standby = false;
       ((mm_mesh_peer *)v)->listed = is_listed (k, peers, n);
       if (!((mm_mesh_peer *)v)->connected && !((mm_mesh_peer *)v)->listed)
--- a/src/mm_native.h
+++ b/src/mm_native.h
@@ -13,7 +13,8 @@
 /* ---- mm_native_exec: calls to upstreams ---- */
 extern const mm_exec_wire mm_native_exec_wire;
 
-/* ---- mm_native_store: calls to the store ---- */
+/* ---- mm_native_store: calls to the store ----
+   @s must outlive the port.  */
 mm_store_port mm_native_store_port (mm_store_http *s);
 
 /* ---- mm_native_front: callers' jobs ---- */
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -324,7 +324,7 @@
       mm_caller *c = mm_jobs_submit (mm_node_jobs (mm_front_node (f)),
                                      g_steal_pointer (&s), queue,
                                      caller_timeout_ms, on_job_answered, w);
-      if (c)
+      if (c) /* NULL: on_job_answered() has answered and freed @w */
         {
           w->caller = c;
           mm_http_request_on_close (req, on_caller_left, w);
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -111,8 +111,8 @@
   ev_feed_event (n->loop, &n->tick, EV_TIMER);
 }
 
-/* Applies a configuration, unless its version is not newer than the one in
-   force.  */
+/* Applies a configuration that is newer than the one in force.  An older one
+   is refused with a log line; the same version again is ignored.  */
 static void
 on_config (void *ctx, const mm_stream_item *item)
 {
@@ -244,7 +244,8 @@
    loop: after a stall, no queued task may start before messages of the callers
    are read, as the callers may have sent their jobs to other instances, where
    they run now.  Therefore all links are closed and all jobs abandoned before
-   any other event is handled.  */
+   any other event is handled.  The upstream list, which is out of date by the
+   length of the stall, is read again at the next tick.  */
 static void
 stall_cb (struct ev_loop *loop, ev_check *w, int revents)
 {
@@ -329,8 +330,8 @@
   n->list
       = mm_list_share_create (store, n->catalog, n->mesh, member, tick_now, n);
   n->upstreams = mm_list_share_stream (n->list);
-  mm_exec_list_age view = { .list_current_ms = list_known_ms, .ctx = n };
-  mm_owner_set_list_age (n->owner, &view);
+  mm_exec_list_age list_age = { .list_current_ms = list_known_ms, .ctx = n };
+  mm_owner_set_list_age (n->owner, &list_age);
   mm_datacentres_events ev
       = { .idle = handover_idle, .changed = tick_now, .ctx = n };
   n->owned_datacentres
--- a/src/mm_node.h
+++ b/src/mm_node.h
@@ -60,7 +60,9 @@
 /* Returns whether the process may exit: the shutdown is complete, or its grace
    time is about to end.  @open_connections: connections of callers.  */
 bool mm_node_can_exit (const mm_node *n, uint32_t open_connections);
-char *mm_node_metrics (const mm_node *n); /* as text, free with g_free() */
-char *mm_node_dump (const mm_node *n);    /* state as JSON, free with free() */
+/* Returns the metrics in the Prometheus text format; free with g_free().  */
+char *mm_node_metrics (const mm_node *n);
+/* Returns the state as JSON; free with free().  */
+char *mm_node_dump (const mm_node *n);
 
 #endif /* MM_NODE_H */
--- a/src/mm_uplink.h
+++ b/src/mm_uplink.h
@@ -16,7 +16,7 @@
   double busy_until_ms; /* mm_clock_now_ms() at which the backlog is sent */
 } mm_uplink;
 
-/* Adds bytes that were sent to the backlog.  */
+/* Records that @bytes were sent: the backlog grows by them.  */
 void mm_uplink_record_sent (mm_uplink *u, size_t bytes, mm_time_ms now_ms);
 /* Returns the time until the link has carried the whole backlog.  */
 mm_time_ms mm_uplink_backlog_ms (const mm_uplink *u, mm_time_ms now_ms);
