--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -238,6 +238,8 @@
   dispatch (&((job *)ctx)->tasks[number]);
 }
 
+/* Handles a task that is done: completes the job after its last task, or else
+   dispatches the tasks of the steps that can start now.  */
 static void
 on_done (task *t)
 {
--- a/src/mm_kept_wire.c
+++ b/src/mm_kept_wire.c
@@ -85,6 +85,9 @@
     }
 }
 
+/* The functions read_set(), read_hashes(), read_ends() and read_result() add
+   what they read to their last argument.  They return false at the first value
+   that is not valid.  */
 static bool
 read_set (const msgpack_object *o, GHashTable *tasks)
 {
--- a/src/mm_link.c
+++ b/src/mm_link.c
@@ -72,6 +72,8 @@
   return !link->closing;
 }
 
+/* Reads once from the socket and delivers the objects that are complete then.
+   Closes the link when the peer has closed it or the read fails.  */
 static void
 read_cb (struct ev_loop *loop, ev_io *w, int revents)
 {
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -30,6 +30,8 @@
 
 /* ---- inbound links: the owner of upstreams ---------------------------- */
 
+/* Sends the outcome of a task over the link on which the task was
+   received.  */
 static void
 on_inbound_task_done (void *ctx, const mm_work_result *r)
 {
@@ -134,6 +136,7 @@
   g_free (in);
 }
 
+/* Accepts a link that another instance opens.  */
 static void
 accept_cb (struct ev_loop *loop, ev_io *w, int revents)
 {
@@ -213,6 +216,7 @@
 
 /* ---- outbound links: the sender of tasks ------------------------------ */
 
+/* Passes on the outcome of a task that was dispatched to the peer.  */
 static void
 handle_ended (mm_mesh_peer *p, const mm_mesh_msg *msg)
 {
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -41,6 +41,8 @@
 mm_mesh *mm_mesh_create (struct ev_loop *loop, const char *self,
                          const char *datacentre, const char *host,
                          uint16_t port, mm_owner *owner, GError **error);
+/* Closes all links, which ends the tasks dispatched to peers as in doubt, and
+   frees the mesh.  */
 void mm_mesh_destroy (mm_mesh *m);
 /* An instance has opened a link to this one; @name is its member name.  */
 typedef void (*mm_mesh_hello) (void *ctx, const char *name);
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -56,6 +56,8 @@
   return 500;
 }
 
+/* Answers the caller with the outcome of its job and the state of each task,
+   and frees the waiting_request @ctx.  */
 static void
 on_job_answered (void *ctx, const mm_answer *a)
 {
@@ -185,6 +187,8 @@
   return r;
 }
 
+/* Returns the JSON body of a successful answer: the number of pending jobs of
+   a queue, or the state of a job.  Free with free().  */
 static char *
 home_answer_body (const home_request *r, const mm_kept_answer *k)
 {
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -196,6 +196,8 @@
     }
 }
 
+/* Runs the periodic work of all modules, each MM_EXEC_TICK_MS and after
+   tick_now().  */
 static void
 tick_cb (struct ev_loop *loop, ev_timer *w, int revents)
 {
@@ -313,6 +315,8 @@
   return mm_stream_known_as_of_ms (((mm_node *)ctx)->upstreams);
 }
 
+/* Creates the modules of the instance and connects them; the owner and the
+   mesh exist already.  */
 static void
 create_modules (mm_node *n, const mm_store_port *store, const char *member)
 {
