--- a/src/mm_exec.c
+++ b/src/mm_exec.c
@@ -59,19 +59,17 @@
 static void
 free_if_unused (mm_exec_run *r)
 {
-  if (r->gone && !r->start_in_flight && !r->stop_in_flight)
+  if (r->ended && !r->start_in_flight && !r->stop_in_flight)
     run_free (r);
 }
 
-/* Ends a run: frees its capacity and notifies the owner.  The struct itself is
-   freed once none of the run's calls is open any more.  */
 void
 mm_exec_finish_run (mm_exec_run *r, mm_end how, const char *why)
 {
   mm_exec *x = r->exec;
-  if (r->gone)
+  if (r->ended)
     return;
-  r->gone = true;
+  r->ended = true;
   mm_resources_sub (&x->used, &r->resources);
   if (r->foreign)
     x->n_foreign--;
@@ -143,7 +141,7 @@
 void
 mm_exec_on_replaced (mm_exec *x)
 {
-  x->gone = true;
+  x->replaced = true;
   x->ev.upstream_lost (x->ev.ctx, x, true);
   end_all_runs (x, "upstream restarted");
 }
@@ -153,7 +151,7 @@
 static bool
 accept_order_answer (mm_exec_call *c, const mm_call_result *res)
 {
-  if (c->exec->closed || c->run->gone)
+  if (c->exec->closed || c->run->ended)
     {
       free_if_unused (c->run);
       mm_exec_call_close (c, res->overdue);
@@ -213,7 +211,7 @@
 mm_exec_send_stop (mm_exec_run *r, bool new_connection)
 {
   mm_exec *x = r->exec;
-  if (r->stop_in_flight || r->stop_answered_event || x->fenced || x->gone)
+  if (r->stop_in_flight || r->stop_answered_event || x->fenced || x->replaced)
     return;
   r->stop_in_flight = true;
   mm_order o = { .task = &r->id,
@@ -353,7 +351,9 @@
   /* A hold may have listed the run before this answer arrived.  */
   if (r->phase == RUN_ORDERED)
     {
-      /* From now on the start does not count as open.  */
+      /* The start is answered now.  Callbacks of on_start_verdict() must not
+         find the run as RUN_ORDERED, which counts as a start without an
+         answer.  */
       r->phase = RUN_IN_DOUBT;
       on_start_verdict (r, res->verdict);
     }
@@ -391,20 +391,13 @@
 /* Returns the age of the upstream list on which starts are decided, -1 when
    it is not known.  */
 static mm_time_ms
-view_age_ms (const mm_exec *x)
+list_age_ms (const mm_exec *x)
 {
-  const mm_exec_list_age *v = &x->common->view;
+  const mm_exec_list_age *v = &x->common->list_age;
   mm_time_ms known_ms = v->list_current_ms ? v->list_current_ms (v->ctx) : 0;
   return known_ms ? mm_clock_now_ms () - known_ms : -1;
 }
 
-/**
- * mm_exec_start() - order the upstream to start a task.
- * @x: the session; mm_exec_usable(), and the task fits
- * mm_exec_free_capacity().
- * @t: the task.
- * @work: the owner's handle, passed back when the run ends.
- */
 void
 mm_exec_start (mm_exec *x, const mm_task_request *t, void *work)
 {
@@ -420,12 +413,12 @@
   r->ordered_ms = r->progress_ms = mm_clock_now_ms ();
   mm_resources_add (&x->used, &r->resources);
   g_hash_table_insert (x->runs, &r->id, r);
-  mm_time_ms view_ms = view_age_ms (x);
-  if (view_ms >= 0)
-    mm_metrics_time (MM_HG_START_VIEW, view_ms);
+  mm_time_ms age_ms = list_age_ms (x);
+  if (age_ms >= 0)
+    mm_metrics_time (MM_HG_START_VIEW, age_ms);
   mm_log_event (MM_EV_TASK_STARTED, MM_TASK (&r->id), MM_TEXT (x->info->name),
                 MM_INT (r->number), MM_INT (x->fence), MM_INT (t->waited_ms),
-                MM_INT (view_ms));
+                MM_INT (age_ms));
   send_start (r);
 }
 
@@ -441,11 +434,6 @@
   return NULL;
 }
 
-/**
- * mm_exec_stop() - stop a run.
- * @x: the session.
- * @work: as given to mm_exec_start(). The end of its run is reported later.
- */
 void
 mm_exec_stop (mm_exec *x, void *work)
 {
@@ -491,20 +479,6 @@
   return true;
 }
 
-/**
- * mm_exec_create() - start a session with an upstream.
- * @u: the upstream; copied.
- * @fence: our fencing token, higher than that of any earlier owner.
- * @port: functions that call the upstream.
- * @common: shared with the other sessions; must outlive this one.
- * @events: notifications to the owner.
- *
- * The first hold makes the fencing token known to the upstream and lists the
- * runs that an earlier owner started. Nothing is started until that hold is
- * answered.
- *
- * Return: the session; free with mm_exec_destroy().
- */
 mm_exec *
 mm_exec_create (const mm_upstream_info *u, uint64_t fence,
                 const mm_exec_port *port, mm_exec_common *common,
@@ -540,7 +514,7 @@
       mm_exec_run *r = v;
       if (!r->stop_in_flight && !r->start_in_flight)
         continue;
-      r->gone = true;
+      r->ended = true;
       g_hash_table_iter_steal (&it);
     }
   mm_exec_unref (x);
@@ -571,11 +545,6 @@
                 MM_INT (now->gpus));
 }
 
-/**
- * mm_exec_update() - use a changed list entry of the upstream.
- * @x: the session.
- * @u: the entry, with the same name.
- */
 void
 mm_exec_update (mm_exec *x, const mm_upstream_info *u)
 {
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -161,21 +161,29 @@
 {
   mm_rto_floor floor; /* lower bound of the timeouts */
   mm_uplink uplink;   /* the link that carries the orders */
-  mm_exec_list_age view;
+  mm_exec_list_age list_age;
 } mm_exec_common;
 
+/* Starts a session with an upstream.  @u is copied.  @fence: this instance's
+   fencing token there, higher than that of any earlier owner.  @port and
+   @events are copied; @common must outlive the session.  The first hold makes
+   the fencing token known to the upstream and lists the runs that an earlier
+   owner started; nothing is started until that hold is answered.  Free with
+   mm_exec_destroy().  */
 mm_exec *mm_exec_create (const mm_upstream_info *u, uint64_t fence,
                          const mm_exec_port *port, mm_exec_common *common,
                          const mm_exec_events *events);
 void mm_exec_destroy (mm_exec *x); /* stops all notifications */
-/* Applies a changed list entry of the upstream.  */
+/* Applies a changed list entry of the upstream, which has the same name.  */
 void mm_exec_update (mm_exec *x, const mm_upstream_info *u);
 void mm_exec_tick (mm_exec *x);         /* call each MM_EXEC_TICK_MS */
 bool mm_exec_usable (const mm_exec *x); /* may be sent a start */
-/* Returns whether the upstream's capacity counts in reports: also while it is
-   not usable for a moment, because it is suspect or has foreign runs.  */
+/* Returns whether the upstream's capacity counts in reports.  That of a
+   suspect upstream, or of one with foreign runs, does: a call without an
+   answer makes an upstream suspect for about 100 ms, and jobs would be refused
+   if its capacity did not count for that time.  */
 bool mm_exec_in_service (const mm_exec *x);
-bool mm_exec_fenced (const mm_exec *x); /* another instance owns it */
+bool mm_exec_fenced (const mm_exec *x); /* upstream has another owner */
 bool mm_exec_idle (const mm_exec *x);   /* has no runs */
 /* The listed capacity without what runs, unanswered start orders and runs that
    are being stopped use; negative when they use more than that.  */
@@ -187,13 +195,17 @@
 /* Time until the last run ends, estimated from declared run times and the
    slowness of the upstream.  */
 mm_time_ms mm_exec_longest_remaining_ms (const mm_exec *x, mm_time_ms now);
-/* Number of runs whose start had no answer.  */
+/* Number of runs in doubt: their starts got no answer.  */
 size_t mm_exec_count_in_doubt (const mm_exec *x);
 const mm_upstream_info *mm_exec_info (const mm_exec *x);
 uint64_t mm_exec_fence (const mm_exec *x);
-/* Orders the start of a task, which must fit the free capacity.  */
+/* Orders the start of a task, which must fit the free capacity; the session
+   must be usable.  @work: the owner's handle of the task, passed to
+   run_ended().  */
 void mm_exec_start (mm_exec *x, const mm_task_request *t, void *work);
-void mm_exec_stop (mm_exec *x, void *work); /* the run ends as stopped */
+/* Orders the stop of the run of the task with the handle @work.  The end of
+   the run is reported later.  */
+void mm_exec_stop (mm_exec *x, void *work);
 /* Continues a foreign run as the run of this task.  Return: false when the
    run has ended or is being stopped.  */
 bool mm_exec_adopt (mm_exec *x, const mm_task_request *t, void *work);
@@ -204,11 +216,18 @@
 double mm_exec_slowness (const mm_exec *x); /* run time / estimate */
 /* Ends that are not acknowledged yet; valid until the session changes.  */
 const mm_unacked_end *mm_exec_unacked_ends (const mm_exec *x, size_t *n);
-/* Acknowledges the end at index @i of mm_exec_unacked_ends().  */
+/* Acknowledges the end at index @i of mm_exec_unacked_ends(); the last end
+   takes its place in the array.  */
 void mm_exec_ack_end (mm_exec *x, size_t i);
-/* Ends of this job's runs no longer wait for an acknowledgement.  */
+/* Ends of this job's runs need no acknowledgement from now on.  That includes
+   runs that are being stopped and end after this call.  */
 void mm_exec_forget_job (mm_exec *x, const char *job_id);
-/* Returns whether the runs on the upstream are known.  */
+/* Returns whether the runs on the upstream are known.  True once a hold has
+   listed them, and also when the upstream was out of contact for longer than
+   any lease: an upstream that knows this instance's fencing token lets no
+   earlier owner renew a lease.  True as well if another incarnation has
+   replaced the upstream; otherwise false when the session is fenced or
+   closed.  */
 bool mm_exec_runs_confirmed (const mm_exec *x);
 /* Number of runs of @tasks, a set of mm_task_id.  */
 uint32_t mm_exec_count_runs_of (const mm_exec *x, GHashTable *tasks);
--- a/src/mm_exec_call.c
+++ b/src/mm_exec_call.c
@@ -40,9 +40,6 @@
   return c;
 }
 
-/* Frees a call.  A call that timed out (@overdue) stays open for a while
-   instead: its callback is called once more, with the late answer or without
-   any.  */
 void
 mm_exec_call_close (mm_exec_call *c, bool overdue)
 {
@@ -61,10 +58,6 @@
          + mm_uplink_backlog_ms (&x->common->uplink, now);
 }
 
-/* Processes the final result of a call that had timed out.  A late answer
-   shows that no message was lost.  What was done after the timeout is not
-   undone, but the upstream is no longer suspect because of this call, and the
-   timeouts of the next calls become longer.  */
 void
 mm_exec_call_late (mm_exec_call *c, const mm_call_result *res)
 {
@@ -88,9 +81,6 @@
   mm_exec_call_close (c, false);
 }
 
-/* Updates the timeout from the time that a call took, or from the lack of an
-   answer.  The time of a hold that waited for an end says nothing about the
-   network and is left out.  */
 void
 mm_exec_record_time (mm_exec *x, const mm_exec_call *c, mm_call_verdict v)
 {
--- a/src/mm_exec_hold.c
+++ b/src/mm_exec_hold.c
@@ -61,7 +61,8 @@
 on_overdue_hold_answer (mm_exec_call *c, const mm_hold_result *res)
 {
   mm_exec *x = c->exec;
-  if (!x->closed && !x->fenced && !x->gone && res->call.verdict == MM_CALL_OK
+  if (!x->closed && !x->fenced && !x->replaced
+      && res->call.verdict == MM_CALL_OK
       && c->sent_event > x->processed_hold_event)
     mm_exec_process_lists (x, c, res);
   mm_exec_call_late (c, &res->call);
@@ -123,13 +124,10 @@
   return up_to_seq;
 }
 
-/* Sends a hold that waits at the upstream for an end, for @wait_ms at most.
-   The leases are renewed if @renew is set and the upstream's clock is known.
-   Does nothing if the session is fenced or the upstream was replaced.  */
 void
 mm_exec_send_hold (mm_exec *x, mm_time_ms wait_ms, bool renew)
 {
-  if (x->fenced || x->gone)
+  if (x->fenced || x->replaced)
     return;
   mm_hold h = { .fence = x->fence,
                 .acked_seq = ackable_seq (x),
@@ -198,19 +196,15 @@
   return lossy ? MM_HOLD_WAIT_LOSSY_MS : MM_HOLD_WAIT_MS;
 }
 
-/**
- * mm_exec_tick() - run the session's timers.
- * @x: the session.
- *
- * While there are runs, one hold is always waiting at the upstream. After a
- * hold without an answer, the next one does not renew the leases: while only
- * the answers are lost, leases must not be renewed for ever. Once nothing
- * runs on an upstream that answers, a hold is sent only to acknowledge ends.
- */
+/* While there are runs, one hold is always waiting at the upstream.  After a
+   hold without an answer, the next one does not renew the leases: while only
+   the answers are lost, leases must not be renewed for ever.  Once nothing
+   runs on an upstream that answers, a hold is sent only to acknowledge
+   ends.  */
 void
 mm_exec_tick (mm_exec *x)
 {
-  if (x->fenced || x->gone || x->closed)
+  if (x->fenced || x->replaced || x->closed)
     return;
   mm_time_ms now = mm_clock_now_ms ();
   expire_runs (x, now);
--- a/src/mm_exec_lists.c
+++ b/src/mm_exec_lists.c
@@ -138,7 +138,10 @@
     }
 }
 
-/* Ends runs that the upstream should list and does not.  */
+/* Ends runs that the upstream should list and does not.  A hold lists a run
+   that was confirmed as running before the hold was sent (@sent_event).  A run
+   in doubt does not exist if its stop was answered before the hold was sent,
+   and the hold does not list it.  */
 static void
 process_absent (mm_exec *x, GHashTable *present, uint64_t sent_event)
 {
--- a/src/mm_exec_priv.h
+++ b/src/mm_exec_priv.h
@@ -40,7 +40,7 @@
   int32_t percent;        /* last reported progress, negative: not reported */
   mm_time_ms progress_ms; /* when the percentage last changed */
   char *payload;          /* kept to send the start again */
-  bool gone; /* removed from the table; freed once no call is open */
+  bool ended; /* not in mm_exec.runs any more; freed once no call is open */
 } mm_exec_run;
 
 struct mm_exec
@@ -59,7 +59,7 @@
   bool suspect;     /* the last call got no answer or a bad one */
   bool stops_due;   /* stops are sent again at the next tick */
   bool fenced;      /* another instance owns the upstream */
-  bool gone;        /* another incarnation is at the address */
+  bool replaced;    /* another incarnation is at the address */
   int holds_in_flight; /* holds that have no answer yet */
   /* Number of the last event.  Calls, answers and confirmations of runs are
      numbered, which shows which of them came first.  */
@@ -97,7 +97,8 @@
   mm_time_ms wait_ms;  /* time for which a hold may wait for an end */
 } mm_exec_call;
 
-/* Ends a run: frees its capacity and notifies the owner.  */
+/* Ends a run: frees its capacity and notifies the owner.  The struct itself is
+   freed once none of the run's calls is open any more.  */
 void mm_exec_finish_run (mm_exec_run *r, mm_end how, const char *why);
 void mm_exec_send_stop (mm_exec_run *r,
                         bool new_connection); /* unless one is open */
@@ -119,21 +120,30 @@
 void mm_exec_unref (mm_exec *x);
 
 /* mm_exec_hold.c */
-/* Sends a hold that may wait @wait_ms for an end.  @renew: renews the leases
-   if the upstream's clock is known.  Does nothing if the session is fenced or
-   the upstream was replaced.  */
+/* Sends a hold that waits at the upstream for an end, for @wait_ms at most.
+   The leases are renewed if @renew is set and the upstream's clock is known.
+   Does nothing if the session is fenced or the upstream was replaced.  */
 void mm_exec_send_hold (mm_exec *x, mm_time_ms wait_ms, bool renew);
 
 /* mm_exec_call.c */
 /* Creates the record of a call that is sent now.  @r: NULL for a hold.  */
 mm_exec_call *mm_exec_call_open (mm_exec *x, mm_exec_run *r);
-/* Frees the call, unless @overdue: a late answer may still follow.  */
+/* Frees a call.  A call that timed out (@overdue) stays open for a while
+   instead: its callback is called once more, with the late answer or without
+   any.  */
 void mm_exec_call_close (mm_exec_call *c, bool overdue);
-/* Processes the final result of a call that was reported as unanswered.  */
+/* Processes the final result of a call that had timed out.  A late answer
+   shows that no message was lost.  What was done after the timeout is not
+   undone, but the upstream is no longer suspect because of this call, and the
+   timeouts of the next calls become longer.  */
 void mm_exec_call_late (mm_exec_call *c, const mm_call_result *res);
-mm_time_ms mm_exec_timeout_ms (const mm_exec *x); /* for the next call */
+/* Returns the timeout of the next call: that of this upstream, or the lower
+   bound for all upstreams, whichever is longer, plus the time until the data
+   that waits at the uplink is sent.  */
+mm_time_ms mm_exec_timeout_ms (const mm_exec *x);
 /* Updates the timeout of the next calls from the time that this call took, or
-   from the lack of an answer.  */
+   from the lack of an answer.  The time of a hold that waited for an end says
+   nothing about the network and is left out.  */
 void mm_exec_record_time (mm_exec *x, const mm_exec_call *c,
                           mm_call_verdict v);
 /* Updates the estimate of the upstream's clock from an answer.  */
--- a/src/mm_exec_state.c
+++ b/src/mm_exec_state.c
@@ -4,14 +4,10 @@
 
 #include <string.h>
 
-/* Returns whether the upstream's capacity counts in reports.  A suspect
-   upstream is in service too: an order without an answer makes it suspect for
-   about 100 ms, and jobs would be refused if its capacity did not count for
-   that time.  */
 bool
 mm_exec_in_service (const mm_exec *x)
 {
-  return x->runs_known && !x->fenced && !x->gone && !x->closed
+  return x->runs_known && !x->fenced && !x->replaced && !x->closed
          && !x->info->draining && x->clock_known;
 }
 
@@ -120,8 +116,6 @@
   g_array_remove_index_fast (x->unacked, (guint)i);
 }
 
-/* Ends of the job's runs need no acknowledgement from now on: runs that are
-   being stopped can still end after this call.  */
 void
 mm_exec_forget_job (mm_exec *x, const char *job_id)
 {
@@ -135,20 +129,10 @@
     }
 }
 
-/**
- * mm_exec_runs_confirmed() - whether the runs on the upstream are known.
- * @x: the session.
- *
- * Return: true once a hold has listed the runs, and also when the upstream was
- * out of contact for longer than any lease: an upstream that knows our fencing
- * token lets no earlier owner renew a lease. True as well if another
- * incarnation has replaced the upstream; otherwise false when the session is
- * fenced or closed.
- */
 bool
 mm_exec_runs_confirmed (const mm_exec *x)
 {
-  if (x->gone)
+  if (x->replaced)
     return true;
   bool leases_expired
       = x->fence_known && x->hold_failed_ms
