--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -172,13 +172,13 @@
 on_found (void *ctx, mm_exec *x, const mm_task_id *task, uint32_t run)
 {
   mm_owner *o = ((mm_owned_upstream *)ctx)->owner;
-  if (!o->links.found)
+  if (!o->transfer_port.found)
     return false;
   mm_found_run r = { .upstream = mm_exec_info (x)->name,
                      .task = *task,
                      .run = run,
                      .fence = mm_exec_fence (x) };
-  o->links.found (o->links.ctx, &r);
+  o->transfer_port.found (o->transfer_port.ctx, &r);
   return true;
 }
 
@@ -193,12 +193,6 @@
   mm_owner_orphan_all (owned->owner, owned, "fenced");
 }
 
-/**
- * mm_owner_create() - creates an owner without upstreams.
- * @port: the calls that reach upstreams.
- *
- * Return: the owner; free with mm_owner_destroy().
- */
 mm_owner *
 mm_owner_create (const mm_exec_port *port)
 {
@@ -228,7 +222,7 @@
 void
 mm_owner_set_list_age (mm_owner *o, const mm_exec_list_age *v)
 {
-  o->common.view = *v;
+  o->common.list_age = *v;
 }
 
 void
@@ -249,15 +243,6 @@
   g_free (o);
 }
 
-/**
- * mm_owner_add_upstream() - starts to own an upstream.
- * @o: the owner.
- * @u: the upstream; copied.
- * @fence: this instance's fencing token there.
- *
- * If the upstream is owned already, a higher token than before begins a new
- * session; otherwise a handover that has begun is cancelled.
- */
 void
 mm_owner_add_upstream (mm_owner *o, const mm_upstream_info *u, uint64_t fence)
 {
@@ -284,9 +269,6 @@
   g_hash_table_insert (o->owned_upstreams, g_strdup (u->name), owned);
 }
 
-/* Uses a changed list entry of an upstream.  Starts no tasks: more changes
-   from the same answer of the store may follow, and new capacity is used at
-   the next tick.  */
 void
 mm_owner_update_upstream (mm_owner *o, const mm_upstream_info *u)
 {
@@ -304,16 +286,11 @@
       = g_hash_table_lookup (o->owned_upstreams, upstream);
   if (!owned)
     return;
-  owned->gone = true;
+  owned->removed = true;
   mm_owner_orphan_all (o, owned, "upstream handed over or gone");
   g_hash_table_remove (o->owned_upstreams, upstream);
 }
 
-/* Begins the handover of an upstream.  The handover waits for the longest task
-   that runs on any upstream being handed over, which takes up to 1 s.  Tasks
-   that end before the longest one may still start: they do not delay the
-   handover, and keeping the upstreams idle would take half of a data centre's
-   capacity away for that time at each restart.  */
 void
 mm_owner_freeze_upstream (mm_owner *o, const char *upstream)
 {
@@ -502,16 +479,6 @@
   o->starting = false;
 }
 
-/**
- * mm_owner_submit() - queues a task until there is free capacity for it.
- * @o: the owner.
- * @t: the task; copied.
- * @done: called once with the outcome, after this function has returned,
- *   unless the task is cancelled before.
- * @ctx: for @done.
- *
- * Return: a handle for mm_owner_cancel(), valid until @done.
- */
 mm_work *
 mm_owner_submit (mm_owner *o, const mm_task_request *t, mm_work_done done,
                  void *ctx)
@@ -543,13 +510,6 @@
   return w;
 }
 
-/**
- * mm_owner_cancel() - cancels a task whose submitter waits no longer.
- * @o: the owner.
- * @w: its handle; not valid after this call.
- *
- * A task that runs here is stopped, one that waits is removed from the queue.
- */
 void
 mm_owner_cancel (mm_owner *o, mm_work *w)
 {
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -53,7 +53,7 @@
 {
   uint32_t upstreams;          /* owned upstreams */
   uint32_t runs;               /* runs that use capacity */
-  uint32_t in_doubt;           /* of these, starts that have no answer yet */
+  uint32_t in_doubt;           /* of these, whose starts got no answer */
   mm_capacity_report capacity; /* sums of places, free and waiting */
 } mm_owner_gauges;
 
@@ -77,7 +77,8 @@
   void *ctx;
 } mm_owner_transfer_port;
 
-/* Creates an owner without upstreams.  @port: the calls that reach them.  */
+/* Creates an owner without upstreams.  @port: the calls that reach them;
+   copied.  Free with mm_owner_destroy().  */
 mm_owner *mm_owner_create (const mm_exec_port *port);
 /* Sets the bandwidth of the uplink on which orders are sent, in Mbit/s, 0: no
    limit.  */
@@ -91,15 +92,22 @@
 void mm_owner_set_suspects (mm_owner *o, mm_suspects *s);
 /* Frees the owner and its tasks; calls no @done.  */
 void mm_owner_destroy (mm_owner *o);
-/* Starts to own an upstream, or cancels a handover of it that has begun.  */
+/* Starts to own an upstream.  @u is copied; @fence: this instance's fencing
+   token there.  If the upstream is owned already, a higher token than before
+   begins a new session; otherwise a handover that has begun is cancelled.  */
 void mm_owner_add_upstream (mm_owner *o, const mm_upstream_info *u,
                             uint64_t fence);
-/* Applies a changed list entry of an upstream, whoever owns it.  */
+/* Applies a changed list entry of an upstream, whoever owns it.  Starts no
+   tasks: more changes from the same answer of the store may follow, and new
+   capacity is used at the next tick.  */
 void mm_owner_update_upstream (mm_owner *o, const mm_upstream_info *u);
 /* Stops owning an upstream at once.  */
 void mm_owner_remove_upstream (mm_owner *o, const char *upstream);
-/* Begins a handover: from now on only tasks start there that end before the
-   tasks which run now.  */
+/* Begins a handover of an upstream.  It waits for the longest task that runs
+   on any upstream being handed over, which takes up to 1 s.  Tasks that end
+   before the longest one may still start: they do not delay the handover, and
+   keeping the upstreams idle would take half of a data centre's capacity away
+   for that time at each restart.  */
 void mm_owner_freeze_upstream (mm_owner *o, const char *upstream);
 /* Returns whether another owner's fencing token was seen there.  */
 bool mm_owner_fenced (const mm_owner *o, const char *upstream);
@@ -108,11 +116,15 @@
 /* Returns whether the upstream can be released: it is frozen and nothing runs
    there, or it is not owned.  */
 bool mm_owner_idle (const mm_owner *o, const char *upstream);
-/* Queues a task until there is free capacity; @t is copied.  Returns a handle
-   that is valid until @done.  */
+/* Queues a task until there is free capacity; @t is copied.  @done: called
+   once with the outcome, after this function has returned, unless the task is
+   cancelled before.  Returns a handle that is valid until @done.  */
 mm_work *mm_owner_submit (mm_owner *o, const mm_task_request *t,
                           mm_work_done done, void *ctx);
-void mm_owner_cancel (mm_owner *o, mm_work *w); /* @done is not called */
+/* Cancels a task whose submitter waits no longer; its @done is not called, and
+   the handle @w is not valid after this call.  A task that runs here is
+   stopped, one that waits is removed from the queue.  */
+void mm_owner_cancel (mm_owner *o, mm_work *w);
 /* Acknowledges the end of a kept job's run, which is stored now.  @hash:
    mm_run_hash() of the run.  */
 void mm_owner_acknowledge_end (mm_owner *o, const mm_task_id *task,
@@ -120,8 +132,10 @@
 /* Sets whether this instance's membership is confirmed, so that no other
    instance can own its upstreams.  */
 void mm_owner_set_confirmed (mm_owner *o, bool confirmed);
-/* Searches for tasks (a set of mm_task_id) here and adds what is known of them
-   to @out.  */
+/* Searches here for @tasks, a set of mm_task_id, which are in doubt at their
+   home.  Adds to @out the upstreams on which none of the tasks runs or will be
+   started by this owner, ends of the tasks that are not acknowledged, and the
+   number of the tasks that wait or run here.  */
 void mm_owner_search (const mm_owner *o, GHashTable *tasks,
                       mm_search_result *out);
 /* Adds copies of the ids of jobs for which ends of a previous owner's runs are
@@ -130,8 +144,9 @@
 /* Drops the ends of a job that no home will request: it is not a kept job, or
    its outcome is stored.  */
 void mm_owner_forget_job (mm_owner *o, const char *job_id);
-/* Sets the callbacks that transfer runs; @l is copied.  */
-void mm_owner_set_transfer_port (mm_owner *o, const mm_owner_transfer_port *l);
+/* Sets the callbacks that transfer runs; @callbacks is copied.  */
+void mm_owner_set_transfer_port (mm_owner *o,
+                                 const mm_owner_transfer_port *callbacks);
 /* Claims a run that the upstream's next owner has found.  If its task was
    submitted here, fills @t with the request that the next owner take the run
    over, and returns the task for mm_owner_transfer().  Returns NULL if the
@@ -147,13 +162,16 @@
 void mm_owner_transferred_end (void *work, const mm_work_result *r);
 void mm_owner_tick (mm_owner *o); /* call each MM_EXEC_TICK_MS */
 /* Capacity and load of a service here, in tasks of the average size of those
-   submitted recently.  */
+   submitted recently.  An upstream has no places while it is not in service,
+   while its circuit breaker is open, or when a handover begins that ends
+   before an average task would.  A suspect upstream has places, but none of
+   them counts as free.  */
 mm_capacity_report mm_owner_report (const mm_owner *o, const char *service);
 /* Computes the totals over all services.  */
 mm_owner_gauges mm_owner_measure (const mm_owner *o);
 /* Distinct services of the owned upstreams; free the list, not the names.  */
 GList *mm_owner_services (const mm_owner *o);
-/* Returns the state as JSON; free with free().  */
+/* Returns the state as JSON, for operators; free with free().  */
 char *mm_owner_dump (const mm_owner *o);
 
 #endif /* MM_OWNER_H */
--- a/src/mm_owner_adopt.c
+++ b/src/mm_owner_adopt.c
@@ -16,9 +16,10 @@
 #include <string.h>
 
 void
-mm_owner_set_transfer_port (mm_owner *o, const mm_owner_transfer_port *l)
+mm_owner_set_transfer_port (mm_owner *o,
+                            const mm_owner_transfer_port *callbacks)
 {
-  o->links = *l;
+  o->transfer_port = *callbacks;
 }
 
 /* ---- previous owner of an upstream ------------------------------------ */
@@ -32,11 +33,11 @@
   mm_owned_upstream *owned = w->running_on;
   const char *upstream = mm_exec_info (owned->exec)->name;
   w->run = mm_exec_detach (owned->exec, w, &w->ran_ms);
-  if (!w->run && !owned->gone)
+  if (!w->run && !owned->removed)
     return; /* the answer to its start will show whether it runs */
   mm_owner_count_suspect (owned, w, -1);
   g_hash_table_remove (o->active, &w->request.id);
-  if (w->cancelled || w->request.kept || !w->run || !o->links.found)
+  if (w->cancelled || w->request.kept || !w->run || !o->transfer_port.found)
     {
       mm_owner_finish (w, MM_END_UNKNOWN, upstream, 0, 0, why);
       return;
@@ -56,15 +57,6 @@
   g_hash_table_replace (o->orphans, &w->request.id, w);
 }
 
-/**
- * mm_owner_orphan_all() - detaches all tasks from an upstream.
- * @o: the owner.
- * @owned: the upstream, which is no longer owned here.
- * @why: reported for tasks that cannot be transferred.
- *
- * Tasks that can be transferred are kept as orphans until the next owner
- * requests their runs, for MM_ORPHAN_TIMEOUT_MS at most.
- */
 void
 mm_owner_orphan_all (mm_owner *o, mm_owned_upstream *owned, const char *why)
 {
@@ -136,7 +128,7 @@
 mm_owner_cancel_transfer (mm_owner *o, mm_work *w)
 {
   if (g_hash_table_remove (o->transferred, w))
-    o->links.cancel (o->links.ctx, w->transfer);
+    o->transfer_port.cancel (o->transfer_port.ctx, w->transfer);
   else if (g_hash_table_lookup (o->orphans, &w->request.id) == w)
     g_hash_table_remove (o->orphans, &w->request.id);
   else if (g_list_find (o->unadopted, w))
@@ -180,9 +172,8 @@
   return NULL;
 }
 
-/* Reports orphans whose run was not requested in time, and tasks whose run
-   this instance could not adopt.  The next task is searched for only after the
-   callback of the previous one, which may cancel others.  */
+/* The next orphan is searched for only after the callback of the previous one,
+   which may cancel others.  */
 void
 mm_owner_tick_adoption (mm_owner *o, mm_time_ms now)
 {
--- a/src/mm_owner_priv.h
+++ b/src/mm_owner_priv.h
@@ -12,7 +12,7 @@
   mm_exec *exec; /* the session with the upstream */
   mm_breaker breaker;
   bool frozen;         /* a handover to another owner is under way */
-  bool gone;           /* no longer owned; its session is being closed */
+  bool removed;        /* no longer owned; its session is being closed */
   uint32_t n_suspects; /* suspected poison tasks that run there */
 } mm_owned_upstream;
 
@@ -52,15 +52,15 @@
                                   that is no longer owned */
   GHashTable *transferred; /* set of mm_work that run under another owner */
   GList *unadopted;        /* mm_work whose run could not be taken over */
-  mm_owner_transfer_port links; /* callbacks that transfer runs */
-  mm_suspects *suspects;        /* NULL: suspected tasks are not recorded */
-  uint64_t last_arrival;        /* arrival number of the last task */
-  mm_time_ms handover_end_ms;   /* all frozen upstreams are idle by then */
-  double average_run_ms;        /* average declared run time, for reports */
-  double average_cpu_milli; /* average declared cpu of a task, for reports */
-  double average_place_ms;  /* average time for which a run used its place,
-                               done or not */
-  double done_share;        /* share of the runs that ended as done, 0..1 */
+  mm_owner_transfer_port transfer_port; /* callbacks that transfer runs */
+  mm_suspects *suspects;      /* NULL: suspected tasks are not recorded */
+  uint64_t last_arrival;      /* arrival number of the last task */
+  mm_time_ms handover_end_ms; /* all frozen upstreams are idle by then */
+  double average_run_ms;      /* average declared run time, for reports */
+  double average_cpu_milli;   /* average declared cpu of a task, for reports */
+  double average_place_ms;    /* average time for which a run used its place,
+                                 done or not */
+  double done_share;          /* share of the runs that ended as done, 0..1 */
   bool confirmed;   /* membership is confirmed: no other instance can own
                        the upstreams owned here */
   bool starting;    /* start_waiting() is running */
@@ -69,13 +69,16 @@
 };
 
 /* mm_owner_adopt.c */
-/* Detaches the tasks that run at @owned, for its next owner to take over.  */
+/* Detaches all tasks that run at @owned, which is no longer owned here.  Tasks
+   that can be transferred are kept as orphans until the next owner requests
+   their runs, for MM_ORPHAN_TIMEOUT_MS at most; the others are reported with
+   the reason @why.  */
 void mm_owner_orphan_all (mm_owner *o, mm_owned_upstream *owned,
                           const char *why);
 /* Attaches a submitted task to its run at @w->request.running_at.  */
 void mm_owner_adopt (mm_owner *o, mm_work *w);
-/* Reports the ends of orphans that no next owner requested in time, and of
-   tasks whose run could not be adopted.  */
+/* Reports the ends of orphans whose runs no next owner requested in time, and
+   of tasks whose runs this instance could not adopt.  */
 void mm_owner_tick_adoption (mm_owner *o, mm_time_ms now);
 /* Cancels a task that is orphaned, transferred or not adopted.  Returns
    whether @w was one.  */
@@ -89,11 +92,14 @@
 /* Adds @by (1 or -1) to the suspects that run at @owned, if @w is one.  */
 void mm_owner_count_suspect (mm_owned_upstream *owned, const mm_work *w,
                              int by);
-/* Returns whether @w may start at @owned beside the suspects there.  */
+/* Returns whether @w may start at @owned beside the suspects there.  Two
+   suspects never run on the same upstream: its crash would not show which of
+   them caused it.  */
 bool mm_owner_suspect_allowed (const mm_owned_upstream *owned,
                                const mm_work *w);
-/* Weight of the tasks at @owned that @w should not run beside; lower is
-   better.  */
+/* Weight of the runs at @owned that @w should not run beside; lower is better.
+   A suspect prefers the upstream with the fewest runs, and all tasks prefer
+   upstreams without suspects.  */
 uint32_t mm_owner_contention (const mm_owned_upstream *owned,
                               const mm_work *w);
 /* Events of the session with an owned upstream (mm_exec_events); @ctx: its
--- a/src/mm_owner_report.c
+++ b/src/mm_owner_report.c
@@ -16,18 +16,6 @@
   return MAX (cpu, 1);
 }
 
-/**
- * mm_owner_report() - reports capacity and load of a service.
- * @o: the owner.
- * @service: the service.
- *
- * An upstream has no places while it is not in service, while its circuit
- * breaker is open, or when a handover begins that ends before an average task
- * would. A suspect upstream has places, but none of them counts as free.
- *
- * Return: the report; capacity is counted in tasks of the average size of
- * those submitted recently.
- */
 mm_capacity_report
 mm_owner_report (const mm_owner *o, const char *service)
 {
@@ -118,12 +106,6 @@
   return names;
 }
 
-/**
- * mm_owner_dump() - formats the owner's state as JSON, for operators.
- * @o: the owner.
- *
- * Return: newly allocated text, free with free().
- */
 char *
 mm_owner_dump (const mm_owner *o)
 {
--- a/src/mm_owner_suspects.c
+++ b/src/mm_owner_suspects.c
@@ -20,17 +20,12 @@
     owned->n_suspects = (uint32_t)((int)owned->n_suspects + by);
 }
 
-/* Returns whether @w may start at @owned.  Two suspects never run on the same
-   upstream: its crash would not show which of them caused it.  */
 bool
 mm_owner_suspect_allowed (const mm_owned_upstream *owned, const mm_work *w)
 {
   return !w->request.isolated || owned->n_suspects == 0;
 }
 
-/* Returns the weight of the runs at @owned that @w should not run beside: a
-   suspect prefers the upstream with the fewest runs, and all tasks prefer
-   upstreams without suspects.  */
 uint32_t
 mm_owner_contention (const mm_owned_upstream *owned, const mm_work *w)
 {
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -23,60 +23,53 @@
   mm_owner_update_upstream (((mm_ownership *)ctx)->owner, u);
 }
 
-/**
- * mm_ownership_create() - keeps sessions with the upstreams of the partitions
- * that this instance owns.
- * @catalog: the upstream list; must outlive the returned object.
- * @owner: keeps the sessions; must outlive the returned object.
- * @partitions: source of the partitions that this instance owns; copied.
- *
- * Return: free with mm_ownership_destroy().
- */
 mm_ownership *
 mm_ownership_create (mm_catalog *catalog, mm_owner *owner,
                      const mm_ownership_partitions *partitions)
 {
-  mm_ownership *w = g_new0 (mm_ownership, 1);
-  w->catalog = catalog;
-  w->owner = owner;
-  w->partitions = *partitions;
-  mm_catalog_on_listed (catalog, on_listed, w);
-  return w;
+  mm_ownership *ownership = g_new0 (mm_ownership, 1);
+  ownership->catalog = catalog;
+  ownership->owner = owner;
+  ownership->partitions = *partitions;
+  mm_catalog_on_listed (catalog, on_listed, ownership);
+  return ownership;
 }
 
 void
-mm_ownership_destroy (mm_ownership *w)
+mm_ownership_destroy (mm_ownership *ownership)
 {
-  if (!w)
+  if (!ownership)
     return;
-  mm_catalog_on_listed (w->catalog, NULL, NULL);
-  g_free (w);
+  mm_catalog_on_listed (ownership->catalog, NULL, NULL);
+  g_free (ownership);
 }
 
 static mm_partition_state
-state_of (const mm_ownership *w, const mm_upstream_info *u, uint64_t *fence)
+state_of (const mm_ownership *ownership, const mm_upstream_info *u,
+          uint64_t *fence)
 {
   *fence = 0;
-  return w->partitions.state_of (w->partitions.ctx, u, fence);
+  return ownership->partitions.state_of (ownership->partitions.ctx, u, fence);
 }
 
 /* Closes the sessions with upstreams whose partitions are assigned elsewhere,
    and freezes the sessions with upstreams whose partitions are being released.
    Does not wait for a fresh list: the next owner may already start tasks.  */
 static void
-release_sessions (mm_ownership *w)
+release_sessions (mm_ownership *ownership)
 {
-  GList *owned = mm_owner_upstream_names (w->owner);
+  GList *owned = mm_owner_upstream_names (ownership->owner);
   for (GList *l = owned; l; l = l->next)
     {
       uint64_t fence;
-      const mm_upstream_info *u = mm_catalog_find (w->catalog, l->data);
+      const mm_upstream_info *u
+          = mm_catalog_find (ownership->catalog, l->data);
       mm_partition_state state
-          = u ? state_of (w, u, &fence) : MM_PARTITION_ELSEWHERE;
+          = u ? state_of (ownership, u, &fence) : MM_PARTITION_ELSEWHERE;
       if (state == MM_PARTITION_ELSEWHERE)
-        mm_owner_remove_upstream (w->owner, l->data);
+        mm_owner_remove_upstream (ownership->owner, l->data);
       else if (state == MM_PARTITION_RELEASING)
-        mm_owner_freeze_upstream (w->owner, l->data);
+        mm_owner_freeze_upstream (ownership->owner, l->data);
     }
   g_list_free (owned);
 }
@@ -84,61 +77,64 @@
 /* Opens a session with an upstream if this instance owns its partition, or
    resumes one whose handover was cancelled.  */
 static void
-own_if_assigned (mm_ownership *w, const mm_upstream_info *u)
+own_if_assigned (mm_ownership *ownership, const mm_upstream_info *u)
 {
   uint64_t fence;
-  if (state_of (w, u, &fence) != MM_PARTITION_OWNED)
+  if (state_of (ownership, u, &fence) != MM_PARTITION_OWNED)
     return;
-  if (mm_owner_fenced (w->owner, u->name))
+  if (mm_owner_fenced (ownership->owner, u->name))
     {
       /* Another owner's fencing token was seen at the upstream: this instance
          needs a higher one.  */
-      w->partitions.renew_fence (w->partitions.ctx, u);
-      state_of (w, u, &fence);
+      ownership->partitions.renew_fence (ownership->partitions.ctx, u);
+      state_of (ownership, u, &fence);
     }
-  mm_owner_add_upstream (w->owner, u, fence);
+  mm_owner_add_upstream (ownership->owner, u, fence);
 }
 
 static void
-own_assigned (mm_ownership *w)
+own_assigned (mm_ownership *ownership)
 {
-  GList *all = mm_catalog_all (w->catalog);
+  GList *all = mm_catalog_all (ownership->catalog);
   for (GList *l = all; l; l = l->next)
-    own_if_assigned (w, l->data);
+    own_if_assigned (ownership, l->data);
   g_list_free (all);
 }
 
 void
-mm_ownership_tick (mm_ownership *w, bool list_fresh)
+mm_ownership_tick (mm_ownership *ownership, bool list_fresh)
 {
   mm_time_ms now = mm_clock_now_ms ();
-  uint64_t catalog_now = mm_catalog_changes (w->catalog);
-  uint64_t partitions_now = w->partitions.change_count (w->partitions.ctx);
-  bool changed = catalog_now != w->catalog_changes
-                 || partitions_now != w->partition_changes;
-  if (!changed && now - w->reconciled_ms < MM_RECONCILE_MS)
+  uint64_t catalog_now = mm_catalog_changes (ownership->catalog);
+  uint64_t partitions_now
+      = ownership->partitions.change_count (ownership->partitions.ctx);
+  bool changed = catalog_now != ownership->catalog_changes
+                 || partitions_now != ownership->partition_changes;
+  if (!changed && now - ownership->reconciled_ms < MM_RECONCILE_MS)
     return;
-  release_sessions (w);
-  if (!list_fresh && w->partitions.owns_any (w->partitions.ctx))
+  release_sessions (ownership);
+  if (!list_fresh
+      && ownership->partitions.owns_any (ownership->partitions.ctx))
     return; /* upstreams that a stale list names may be draining by now */
-  w->catalog_changes = catalog_now;
-  w->partition_changes = partitions_now;
-  w->reconciled_ms = now;
-  own_assigned (w);
+  ownership->catalog_changes = catalog_now;
+  ownership->partition_changes = partitions_now;
+  ownership->reconciled_ms = now;
+  own_assigned (ownership);
 }
 
 bool
-mm_ownership_idle (const mm_ownership *w, const char *datacentre)
+mm_ownership_idle (const mm_ownership *ownership, const char *datacentre)
 {
   bool idle = true;
-  GList *owned = mm_owner_upstream_names (w->owner);
+  GList *owned = mm_owner_upstream_names (ownership->owner);
   for (GList *l = owned; l && idle; l = l->next)
     {
       uint64_t fence;
-      const mm_upstream_info *u = mm_catalog_find (w->catalog, l->data);
+      const mm_upstream_info *u
+          = mm_catalog_find (ownership->catalog, l->data);
       if (u && strcmp (u->datacentre, datacentre) == 0
-          && state_of (w, u, &fence) == MM_PARTITION_RELEASING
-          && !mm_owner_idle (w->owner, l->data))
+          && state_of (ownership, u, &fence) == MM_PARTITION_RELEASING
+          && !mm_owner_idle (ownership->owner, l->data))
         idle = false;
     }
   g_list_free (owned);
--- a/src/mm_ownership.h
+++ b/src/mm_ownership.h
@@ -32,16 +32,18 @@
   void *ctx;
 } mm_ownership_partitions;
 
+/* @owner keeps the sessions.  @catalog and @owner must outlive the returned
+   object; @partitions is copied.  Free with mm_ownership_destroy().  */
 mm_ownership *mm_ownership_create (mm_catalog *catalog, mm_owner *owner,
                                    const mm_ownership_partitions *partitions);
-void mm_ownership_destroy (mm_ownership *w);
+void mm_ownership_destroy (mm_ownership *ownership);
 /* Opens and closes sessions as the upstream list and the partitions require.
    @list_fresh: whether the list has been read since this instance last owned
    no partition; until then no session is opened.  Must be called every
    MM_EXEC_TICK_MS.  */
-void mm_ownership_tick (mm_ownership *w, bool list_fresh);
+void mm_ownership_tick (mm_ownership *ownership, bool list_fresh);
 /* Returns whether nothing runs any more on those upstreams of a data centre
    whose partitions are being released.  */
-bool mm_ownership_idle (const mm_ownership *w, const char *datacentre);
+bool mm_ownership_idle (const mm_ownership *ownership, const char *datacentre);
 
 #endif /* MM_OWNERSHIP_H */
