--- a/src/config.h
+++ b/src/config.h
@@ -7,8 +7,8 @@
 /* Mechanisms of an instance; 0 switches one off.  scripts/ablate.py builds and
    measures an instance without each of them, and docs/DECISIONS.md gives the
    results.  */
-#define MM_WITH_ADMISSION 1 /* refuse jobs whose answer would be too late */
-#define MM_WITH_COST 1 /* estimated waits include runs that were not done */
+#define MM_WITH_ADMISSION 1   /* refuse jobs whose answer would be too late */
+#define MM_WITH_COST 1        /* estimated waits include unsuccessful runs */
 #define MM_WITH_PRIORITY 1    /* admission ignores tasks of lower priority */
 #define MM_WITH_PATIENCE 1    /* jobs sent again too late do not queue */
 #define MM_WITH_SPREAD_ANEW 1 /* tasks that wait long try another owner */
@@ -55,7 +55,8 @@
 /* Ownership of jobs among the entry instances.  */
 #define MM_DEFAULT_SHARDS 16        /* shards of the jobs of a data centre */
 #define MM_LOG_CALL_TIMEOUT_MS 1000 /* of a call to the log of a shard */
-#define MM_SHARD_TAKE_BURST 3 /* takeover attempts, then wait for a tick */
+/* Attempts in a row to take a shard over; the next one waits for a tick.  */
+#define MM_SHARD_TAKE_BURST 3
 /* An instance that has been up for longer saw the earlier owners of shards. */
 #define MM_OBSERVER_UPTIME_MS 15000
 /* Timeout of the check with the log whether a shard is still owned here.
@@ -70,20 +71,24 @@
 #define MM_SHARD_TICK_MS 150 /* between retries, takeovers and pings */
 /* The platform is out of contact once calls have failed for this long.  */
 #define MM_CONTACT_LOST_MS 500
-/* No member is removed from the list this soon after an outage.  */
+/* For this long after an outage, no member is removed from the list.  */
 #define MM_LIST_GRACE_MS 3000
 /* Without contact for this long, and with no vote from a peer, an instance
    considers itself alone.  */
 #define MM_CONTACT_ALONE_MS 1500
 #define MM_VOTE_VALID_MS 1000 /* age up to which the vote of a peer counts */
 #define MM_PEER_PING_TIMEOUT_MS 400 /* a slower peer has no vote */
-#define MM_PEER_SUSPECT_MS 3000     /* a peer that failed is not called */
-#define MM_FORWARD_MAX_HOPS 3       /* then the job runs where it is */
+/* A peer that did not answer gets no shards for this long.  */
+#define MM_PEER_SUSPECT_MS 3000
+/* A job that was forwarded this often runs where it is.  */
+#define MM_FORWARD_MAX_HOPS 3
 #define MM_RELEASE_LIMIT_MS 1500 /* a shutdown waits this long for the log */
 /* The answer of a forwarded job is awaited this long after its deadline.  */
 #define MM_FORWARD_SLACK_MS 500
-#define MM_FENCE_TIMEOUT_MS 1000 /* for the report of an upstream on a job */
-#define MM_RECOVER_POLL_MS 100   /* between polls for tasks that still run */
+/* Timeout of a call that fences a job at an upstream; the answer lists the
+   tasks of the job there.  */
+#define MM_FENCE_TIMEOUT_MS 1000
+#define MM_RECOVER_POLL_MS 100 /* between polls for tasks that still run */
 
 /* Team quotas over a data centre.  */
 #define MM_QUOTA_REPORT_MS 500        /* between reports to the peers */
@@ -105,7 +110,7 @@
 #define MM_DEFAULT_BACK_MS 3000 /* a crashed upstream is back after this */
 
 /* Sessions with upstreams (mm_exec).  */
-#define MM_EXEC_TICK_MS 25 /* timers of sessions, queues and jobs */
+#define MM_EXEC_TICK_MS 25 /* between ticks of sessions, queues and jobs */
 /* Length of a run's lease.  A run goes on for this long after its owner dies,
    and a caller whose connection broke sends its job again after 1,300 ms.
    The 300 ms between cover a clock that is 2 % slow and the delay to the
@@ -228,7 +233,8 @@
 /* The neighbours are chosen again at least this often.  */
 #define MM_NEIGHBOURS_CHECK_MS 500
 
-/* Time over which the least delay of a link is taken as typical.  */
+/* The smallest delay of a peer's messages in this time, and in as much time
+   before it, is taken for the delay without queues.  */
 #define MM_QUEUE_DELAY_WINDOW_MS 30000
 
 /* Jobs and admission (mm_jobs, mm_admission, mm_fleet).  */
@@ -240,7 +246,8 @@
    other instances are not notified takes at most this long.  After the death
    of an owner it is 1.5 s, which few jobs can wait.  */
 #define MM_NO_OWNER_WAIT_MS 500
-#define MM_RETRY_AFTER_NO_CAPACITY_S 1 /* no free capacity in time */
+/* Retry-After of a refused job when no estimate of the wait is known.  */
+#define MM_RETRY_AFTER_NO_CAPACITY_S 1
 /* Answers are of use up to 3 times the objective of their queue.  */
 #define MM_LATE_FACTOR 3.0
 /* Callers send a job again this long after their connection broke.  */
@@ -263,9 +270,10 @@
 /* Reads of a stream are split into chunks that occupy the link of this
    instance for this long each, as calls to upstreams use the same link.  */
 #define MM_STREAM_CHUNK_MS 30
-#define MM_STREAM_CHUNK_MIN_BYTES (8u << 10)
+#define MM_STREAM_CHUNK_MIN_BYTES (8u << 10) /* of a chunk, on slow links */
 /* The store sends no more than this in one answer.  */
 #define MM_STORE_ANSWER_MAX_BYTES (1u << 20)
+/* Answer size that the timeout of a read allows for, until a read fails.  */
 #define MM_STORE_ANSWER_TYPICAL_BYTES (128u << 10)
 /* A reader that has missed more records than this many times the number of
    keys reads the newest record of each key again.  The store sends some text
@@ -291,7 +299,8 @@
    upstream writes to the list more often than that.  */
 #define MM_LIST_OWN_READS_MS 5000
 #define MM_STREAM_CONTACT_MS 1500 /* in contact this long after an answer */
-/* A list that was not read to its end for this long is logged.  */
+/* The log states when an instance that owns upstreams has not known the
+   current list for this long.  */
 #define MM_LIST_BEHIND_MS 3000
 /* An entry that is missing for longer is dropped.  Entries that were missing
    because of an outage come back within 2 s.  */
@@ -344,7 +353,9 @@
 /* Jobs that arrive less than this before the kill are refused, as they might
    be interrupted.  Most jobs take less.  */
 #define MM_LEAVE_REFUSE_MS 2000
-#define MM_HTTP_LEAVING_IDLE_S 1 /* the shortest that libmicrohttpd has */
+/* A leaving instance closes callers' connections that are idle for this long,
+   the shortest time that libmicrohttpd has.  */
+#define MM_HTTP_LEAVING_IDLE_S 1
 
 /* Idle connections kept by an HTTP client: four to each of 100 upstreams.  */
 #define MM_HTTP_CACHED_CONNECTIONS 400
@@ -403,12 +414,13 @@
 /* An instance (mm_node).  */
 #define MM_DEFAULT_MESH_PORT 7402   /* for the other instances */
 #define MM_DEFAULT_STATE_PORT 7403  /* of the state dump for operators */
-#define MM_DEFAULT_PARTITIONS 16    /* of a topic of the store */
+#define MM_DEFAULT_PARTITIONS 16    /* in each group of the store */
 #define MM_DEFAULT_GRACE_MS 6000    /* from SIGTERM to the kill */
 #define MM_DEFAULT_LINK_MBPS 1000.0 /* of the machine's link */
 #define MM_RECONCILE_MS 500 /* longest pause between checks of ownership */
 
 #define MM_MAX_CALLER_TIMEOUT_MS 3600000 /* longest caller timeout */
+/* Largest body of a request for the state or for readiness.  */
 #define MM_STATE_MAX_BODY_BYTES 4096
 #define MM_LEAVE_CHECK_MS 50 /* between checks of whether to exit */
 
@@ -422,7 +434,8 @@
 #define MM_LOG_RATE_HIGH 200u /* of failures and changes of state */
 #define MM_LOG_RATE_LOW 40u   /* of routine events */
 
-/* masticctl explain shows the context of a job from this long before it.  */
+/* Besides the log lines of a job, masticctl explain shows lines about its
+   upstreams and instances from this long before the first of them.  */
 #define MM_EXPLAIN_BEFORE_MS 3000
 
 /* Stand-ins (mm_run_table).  */
