--- a/src/mm_accepted_jobs.c
+++ b/src/mm_accepted_jobs.c
@@ -27,79 +27,66 @@
 mm_accepted_jobs *
 mm_accepted_jobs_create (void)
 {
-  mm_accepted_jobs *k = g_new0 (mm_accepted_jobs, 1);
-  k->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, job_free);
-  g_queue_init (&k->order);
-  return k;
+  mm_accepted_jobs *accepted = g_new0 (mm_accepted_jobs, 1);
+  accepted->jobs
+      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, job_free);
+  g_queue_init (&accepted->order);
+  return accepted;
 }
 
 void
-mm_accepted_jobs_destroy (mm_accepted_jobs *k)
+mm_accepted_jobs_destroy (mm_accepted_jobs *accepted)
 {
-  if (!k)
+  if (!accepted)
     return;
-  g_queue_clear (&k->order);
-  g_hash_table_destroy (k->jobs);
-  g_free (k);
+  g_queue_clear (&accepted->order);
+  g_hash_table_destroy (accepted->jobs);
+  g_free (accepted);
 }
 
 static void
-drop (mm_accepted_jobs *k, accepted_job *j)
+drop (mm_accepted_jobs *accepted, accepted_job *j)
 {
-  g_queue_delete_link (&k->order, j->link);
-  g_hash_table_remove (k->jobs, j->job_id);
+  g_queue_delete_link (&accepted->order, j->link);
+  g_hash_table_remove (accepted->jobs, j->job_id);
 }
 
-/**
- * mm_accepted_jobs_add() - add a job that was accepted before.
- * @k: the set.
- * @job_id: the job, copied.
- * @fingerprint: mm_pool_list_fingerprint() when the job was accepted.
- * @now: mm_clock_now_ms().
- *
- * Replaces the entry of a job that is in the set already.
- */
 void
-mm_accepted_jobs_add (mm_accepted_jobs *k, const char *job_id,
+mm_accepted_jobs_add (mm_accepted_jobs *accepted, const char *job_id,
                       uint64_t fingerprint, mm_time_ms now)
 {
-  accepted_job *old = g_hash_table_lookup (k->jobs, job_id);
+  accepted_job *old = g_hash_table_lookup (accepted->jobs, job_id);
   if (old)
-    drop (k, old);
+    drop (accepted, old);
   accepted_job *j = g_new0 (accepted_job, 1);
   j->job_id = g_strdup (job_id);
   j->fingerprint = fingerprint;
   j->added_ms = now;
-  g_queue_push_tail (&k->order, j);
-  j->link = k->order.tail;
-  g_hash_table_insert (k->jobs, j->job_id, j);
+  g_queue_push_tail (&accepted->order, j);
+  j->link = accepted->order.tail;
+  g_hash_table_insert (accepted->jobs, j->job_id, j);
 }
 
 bool
-mm_accepted_jobs_find (const mm_accepted_jobs *k, const char *job_id,
+mm_accepted_jobs_find (const mm_accepted_jobs *accepted, const char *job_id,
                        uint64_t *fingerprint)
 {
-  const accepted_job *j = g_hash_table_lookup (k->jobs, job_id);
+  const accepted_job *j = g_hash_table_lookup (accepted->jobs, job_id);
   if (j && fingerprint)
     *fingerprint = j->fingerprint;
   return j != NULL;
 }
 
-/**
- * mm_accepted_jobs_expire() - drop jobs whose answers are no longer kept.
- * @k: the set.
- * @before: jobs added before this time are dropped.
- */
 void
-mm_accepted_jobs_expire (mm_accepted_jobs *k, mm_time_ms before)
+mm_accepted_jobs_expire (mm_accepted_jobs *accepted, mm_time_ms before)
 {
   accepted_job *j;
-  while ((j = g_queue_peek_head (&k->order)) && j->added_ms < before)
-    drop (k, j);
+  while ((j = g_queue_peek_head (&accepted->order)) && j->added_ms < before)
+    drop (accepted, j);
 }
 
 uint32_t
-mm_accepted_jobs_count (const mm_accepted_jobs *k)
+mm_accepted_jobs_count (const mm_accepted_jobs *accepted)
 {
-  return g_hash_table_size (k->jobs);
+  return g_hash_table_size (accepted->jobs);
 }
--- a/src/mm_breaker.c
+++ b/src/mm_breaker.c
@@ -8,15 +8,6 @@
 
 #include "config.h"
 
-/**
- * mm_breaker_record() - record the outcome of a run.
- * @b: the upstream's circuit breaker.
- * @ok: true when the task succeeded; false when it failed or could not start.
- * @now_ms: the current time.
- *
- * A failure while the breaker is half-open opens it again at once, for twice
- * as long as before, up to MM_BREAKER_MAX_DOUBLINGS doublings.
- */
 void
 mm_breaker_record (mm_breaker *b, bool ok, mm_time_ms now_ms)
 {
@@ -34,7 +25,6 @@
   b->on_trial = true;
 }
 
-/* While the breaker is half-open, one task at a time may run.  */
 bool
 mm_breaker_allows (mm_breaker *b, size_t running, mm_time_ms now_ms)
 {
--- a/src/mm_breaker.h
+++ b/src/mm_breaker.h
@@ -9,15 +9,20 @@
 typedef struct
 {
   uint32_t consecutive_failures; /* reset to 0 by a success */
-  uint32_t doublings;            /* of the time for which it opens next */
-  mm_time_ms excluded_until_ms;  /* open until this time, 0: closed */
+  uint32_t doublings; /* how often MM_BREAKER_OPEN_MS is doubled when the
+                         breaker opens next */
+  mm_time_ms excluded_until_ms; /* open until this time, 0: closed */
   /* Open or half-open: no success since it opened.  */
   bool on_trial;
 } mm_breaker;
 
-/* Records whether a run at the upstream succeeded (@ok).  */
+/* Records the outcome of a run at the upstream.  @ok: true when the task
+   succeeded; false when it failed or could not start.  A failure while the
+   breaker is half-open opens it again at once, for twice as long as before, up
+   to MM_BREAKER_MAX_DOUBLINGS doublings.  */
 void mm_breaker_record (mm_breaker *b, bool ok, mm_time_ms now_ms);
-/* Returns whether another task may start while @running tasks run there.  */
+/* Returns whether another task may start while @running tasks run there. While
+   the breaker is half-open, one task at a time may run.  */
 bool mm_breaker_allows (mm_breaker *b, size_t running, mm_time_ms now_ms);
 
 #endif /* MM_BREAKER_H */
--- a/src/mm_dispatch.h
+++ b/src/mm_dispatch.h
@@ -20,8 +20,8 @@
   mm_capacity_report capacity;
 } mm_dispatch_candidate;
 
-/* Returns the index of the candidate to dispatch to, -1 when none of the @n
-   candidates has any capacity.  */
+/* Returns the index of the candidate to dispatch to, -1 when the @n candidates
+   have no capacity, free or in use.  */
 int mm_dispatch_choose (const mm_dispatch_candidate *c, size_t n);
 
 #endif /* MM_DISPATCH_H */
--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -155,20 +155,6 @@
   g_free (t);
 }
 
-/**
- * mm_fleet_submit() - dispatches a task to an owner.
- * @f: the fleet.
- * @t: the task.
- * @returned_by: the owner that has just returned the task without running
- *               it, "" for this instance, or NULL.
- * @done: called once, after this function has returned, unless the ticket is
- *        cancelled first.
- * @ctx: for @done.
- *
- * Return: a ticket valid until @done, or NULL when neither this instance nor
- * a connected peer reports any capacity for the service.  Capacity that is in
- * use counts too: the task then waits at its owner.
- */
 mm_dispatched_task *
 mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
                  const char *returned_by, mm_work_done done, void *ctx)
--- a/src/mm_list_log.h
+++ b/src/mm_list_log.h
@@ -26,8 +26,8 @@
    from offset @first on.  */
 void mm_list_log_reset (mm_list_log *l, uint64_t first);
 /* Appends a change; changes must be appended in the order of the stream.
-   @info: copied; NULL: the upstream is no longer listed.  When
-   the log holds MM_LIST_LOG_MAX changes, the oldest one is dropped.  */
+   @info: copied; NULL: the upstream is no longer listed.  When the log holds
+   MM_LIST_LOG_MAX changes, the oldest one is dropped.  */
 void mm_list_log_append (mm_list_log *l, uint64_t end_offset, const char *name,
                          const mm_upstream_info *info);
 /* Returns the offset from which on the log has all changes.  */
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -161,9 +161,9 @@
 /* ---- updates received ------------------------------------------------- */
 
 /* Sends an update to a peer whose own update begins past the offset that this
-   instance knows.  The peer takes for known here what it sent while this
-   instance ignored updates.  From the update sent back it learns the offset
-   known here, and its next update begins there.  */
+   instance knows.  The peer assumes that this instance applied the updates
+   that it ignored (own_reads_until_ms).  From the update sent back the peer
+   learns the offset known here, and its next update begins there.  */
 static void
 resend_known (mm_list_share *l, const char *peer, const mm_list_update *update)
 {
@@ -221,20 +221,6 @@
   mm_list_update_clear (&update);
 }
 
-/**
- * mm_list_share_create() - follows the upstream list together with the
- * other instances.
- * @port: the store.
- * @catalog: filled from own reads and from updates of peers; must outlive
- *           the returned object.
- * @mesh: the other instances; must outlive the returned object.
- * @self: the name of this instance in the mesh.
- * @changed: called after a full read and after a peer's update that changed
- *           the catalog, but not after own reads of changes.
- * @ctx: for @changed.
- *
- * Return: free with mm_list_share_destroy().
- */
 mm_list_share *
 mm_list_share_create (const mm_store_port *port, mm_catalog *catalog,
                       mm_mesh *mesh, const char *self, mm_list_changed changed,
--- a/src/mm_list_share.h
+++ b/src/mm_list_share.h
@@ -8,7 +8,7 @@
 
    The order in which linked instances read follows from their names and the
    number of the round; each waits MM_LIST_RANK_DELAY_MS longer than the one
-   before.  If the first instance is gone, disconnected, or refused by the
+   before.  If the first instance is dead, disconnected, or refused by the
    store, the next one reads.  So whichever instance dies, no instance's view
    is older than MM_LIST_POLL_MS plus MM_LIST_RANK_MAX times
    MM_LIST_RANK_DELAY_MS, and an upstream that is draining gets no start later
@@ -26,6 +26,10 @@
    changed the catalog; not after own reads of changes.  */
 typedef void (*mm_list_changed) (void *ctx);
 
+/* Follows the upstream list together with the other instances, and fills
+   @catalog from own reads and from the updates of peers.  @port is copied;
+   @catalog and @mesh must outlive the returned object.  @self: the name of
+   this instance in the mesh.  Free with mm_list_share_destroy().  */
 mm_list_share *mm_list_share_create (const mm_store_port *port,
                                      mm_catalog *catalog, mm_mesh *mesh,
                                      const char *self, mm_list_changed changed,
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -144,7 +144,7 @@
 /* Passes the members of all groups to the mesh as its peers.  A member of the
    group of another data centre than its own is standby there.  */
 static void
-publish (mm_members *m)
+update_mesh_peers (mm_members *m)
 {
   GArray *peers = g_array_new (FALSE, FALSE, sizeof (mm_mesh_peer_info));
   g_array_set_clear_func (peers, mm_mesh_peer_info_clear);
@@ -178,7 +178,7 @@
       dc->member_names = g_new0 (char *, res->n_members + 1);
       for (size_t i = 0; i < res->n_members; i++)
         dc->member_names[i] = g_strdup (res->members[i]);
-      publish (m);
+      update_mesh_peers (m);
       if (m->changed)
         m->changed (m->changed_ctx, NULL);
     }
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -42,7 +42,7 @@
   bool in_contact;               /* the last join succeeded */
   mm_time_ms call_sent_ms;       /* when the last call was sent */
   mm_time_ms confirmed_ms;  /* when the last join that succeeded was sent */
-  bool quitting;            /* mm_partitions_leave() was called */
+  bool leaving;             /* mm_partitions_leave() was called */
   bool has_left;            /* the store has confirmed the leave call */
   mm_time_ms next_call_ms;  /* when the next call is due */
   uint64_t changes;         /* changes of partition states so far */
@@ -153,7 +153,7 @@
       set->release_pending = false;
       notify_released (set);
     }
-  if (!set->closed && res->ok && !set->quitting
+  if (!set->closed && res->ok && !set->leaving
       && res->generation != set->listed_generation)
     {
       set->listed_generation = res->generation;
@@ -200,7 +200,7 @@
   set->sent_generation = set->confirmed_generation;
   set->next_call_ms = now + join_interval_ms (set, now);
   set->refs++;
-  if (set->quitting)
+  if (set->leaving)
     set->port.leave (set->port.ctx, set->group, set->member,
                      MM_STORE_TIMEOUT_MS, on_left, set);
   else
@@ -212,9 +212,9 @@
 void
 mm_partitions_leave (mm_partitions *set)
 {
-  if (set->quitting)
+  if (set->leaving)
     return;
-  set->quitting = true;
+  set->leaving = true;
   set->changes++;
   set->next_call_ms = 0;
   memset (set->partitions, 0, set->n_partitions * sizeof *set->partitions);
--- a/src/mm_predecessors.c
+++ b/src/mm_predecessors.c
@@ -66,8 +66,8 @@
     predecessors_unref (p);
 }
 
-/* Ends a leave call.  A failure needs no handling: the store goes on listing
-   the member, and the next check repeats the call.  */
+/* Handles the answer to a leave call.  A failure needs no handling: the store
+   goes on listing the member, and the next check repeats the call.  */
 static void
 on_left (const mm_join_result *res, void *ctx)
 {
--- a/src/mm_steps.c
+++ b/src/mm_steps.c
@@ -87,7 +87,7 @@
 
 /* Returns whether all tasks of the steps that @step depends on are done.  */
 static bool
-ready (const mm_steps *t, uint32_t step)
+is_ready (const mm_steps *t, uint32_t step)
 {
   const mm_step *s = &t->submission->steps[step];
   for (uint32_t k = 0; k < s->n_dependencies; k++)
@@ -104,7 +104,7 @@
   GArray *tasks = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   for (uint32_t i = 0; i < t->submission->n_steps; i++)
     {
-      if (t->steps[i].started || !ready (t, i))
+      if (t->steps[i].started || !is_ready (t, i))
         continue;
       t->steps[i].started = true;
       for (uint32_t k = 0; k < t->submission->steps[i].count; k++)
--- a/src/mm_stream.c
+++ b/src/mm_stream.c
@@ -279,8 +279,6 @@
   return s->current;
 }
 
-/* The calls of this instance may fail while the store serves other instances,
-   which send this one the changes that they read.  */
 bool
 mm_stream_in_contact (const mm_stream *s)
 {
--- a/src/mm_stream.h
+++ b/src/mm_stream.h
@@ -54,7 +54,9 @@
    is sent.  */
 void mm_stream_pause (mm_stream *s);
 /* Returns whether the last call succeeded, or all records were known as of
-   less than MM_STREAM_CONTACT_MS ago.  */
+   less than MM_STREAM_CONTACT_MS ago: the calls of this instance may fail
+   while the store serves other instances, which send this one the changes that
+   they read.  */
 bool mm_stream_in_contact (const mm_stream *s);
 
 #endif /* MM_STREAM_H */
--- a/src/mm_suspects.c
+++ b/src/mm_suspects.c
@@ -47,11 +47,6 @@
   g_free (l);
 }
 
-/**
- * mm_suspects_create() - create an empty record of lost upstreams.
- *
- * Return: the record; free with mm_suspects_destroy().
- */
 mm_suspects *
 mm_suspects_create (void)
 {
@@ -191,12 +186,6 @@
                    && from->unresponsive_since_ms > l->verdict_ms;
 }
 
-/**
- * mm_suspects_record() - record an upstream that was lost with tasks running.
- * @s: the record of lost upstreams.
- * @from: the loss as seen by this or another instance. The callback set by
- *        mm_suspects_on_changed() is called if this changes the record.
- */
 void
 mm_suspects_record (mm_suspects *s, const mm_loss *from)
 {
@@ -209,6 +198,7 @@
   bool newer = is_new || is_newer (l, from);
   if (newer && l->verdict == MM_LOSS_ALIVE)
     {
+      /* A second loss: the tasks of the first one did not cause it.  */
       g_array_set_size (l->tasks, 0);
       l->unresponsive_since_ms = from->unresponsive_since_ms;
     }
--- a/src/mm_suspects.h
+++ b/src/mm_suspects.h
@@ -44,6 +44,7 @@
 /* A loss was added or changed.  */
 typedef void (*mm_suspects_changed) (void *ctx, const mm_loss *l);
 
+/* Creates an empty record of losses; free with mm_suspects_destroy().  */
 mm_suspects *mm_suspects_create (void);
 void mm_suspects_destroy (mm_suspects *s);
 /* Sets the callback for losses that are added or changed.  */
@@ -51,7 +52,9 @@
                              void *ctx);
 /* Hash that identifies a task in messages and records of losses.  */
 uint64_t mm_task_hash (const mm_task_id *id);
-/* Records that an upstream was lost with tasks running.  */
+/* Records that an upstream was lost with tasks running, as seen by this or by
+   another instance.  Calls the callback of mm_suspects_on_changed() if this
+   changes the record.  */
 void mm_suspects_record (mm_suspects *s, const mm_loss *l);
 /* Records that this incarnation of an upstream answers.  */
 void mm_suspects_alive (mm_suspects *s, const char *upstream);
