--- a/src/mm_datacentres.h
+++ b/src/mm_datacentres.h
@@ -33,7 +33,7 @@
                                        const char *own, const char *member,
                                        uint32_t n_partitions,
                                        const mm_datacentres_events *ev);
-void mm_datacentres_destroy (mm_datacentres *dcs);
+void mm_datacentres_destroy (mm_datacentres *dcs); /* leaves no group */
 /* Joins and leaves groups, renews the memberships, and releases partitions
    whose upstreams are idle.  Must be called every MM_EXEC_TICK_MS.  */
 void mm_datacentres_tick (mm_datacentres *dcs);
--- a/src/mm_exec.c
+++ b/src/mm_exec.c
@@ -162,6 +162,8 @@
   return true;
 }
 
+/* Handles the answer to a stop order.  Without a usable answer, the stop is
+   sent again.  */
 static void
 on_stop_answer (const mm_call_result *res, void *ctx)
 {
@@ -255,6 +257,9 @@
          && mm_resources_fit (&(mm_resources){ 0 }, &free_capacity);
 }
 
+/* Processes the verdict on a start order.  The run is running, in doubt,
+   ordered again with another number, or ends here because it does not exist.
+ */
 static void
 on_start_verdict (mm_exec_run *r, mm_call_verdict v)
 {
@@ -333,6 +338,7 @@
                   MM_INT (now - r->ordered_ms), MM_INT (now - r->sent_ms));
 }
 
+/* Handles the answer to a start order, or the lack of one.  */
 static void
 on_start_answer (const mm_call_result *res, void *ctx)
 {
@@ -368,6 +374,8 @@
   return now + x->clock_offset_ms + MM_LEASE_MS;
 }
 
+/* Sends the start order of a run.  The upstream does not carry the order out
+   after the time at which leases that are renewed now end.  */
 static void
 send_start (mm_exec_run *r)
 {
@@ -529,6 +537,7 @@
                 MM_INT (g_hash_table_size (x->runs)), MM_INT (since_start_ms));
 }
 
+/* Counts and logs a change of the capacity in the upstream's list entry.  */
 static void
 record_capacity_change (const mm_exec *x, const mm_resources *before,
                         const mm_resources *now)
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -197,8 +197,8 @@
 mm_time_ms mm_exec_longest_remaining_ms (const mm_exec *x, mm_time_ms now);
 /* Number of runs in doubt: their starts got no answer.  */
 size_t mm_exec_count_in_doubt (const mm_exec *x);
-const mm_upstream_info *mm_exec_info (const mm_exec *x);
-uint64_t mm_exec_fence (const mm_exec *x);
+const mm_upstream_info *mm_exec_info (const mm_exec *x); /* list entry */
+uint64_t mm_exec_fence (const mm_exec *x); /* our fencing token there */
 /* Orders the start of a task, which must fit the free capacity; the session
    must be usable.  @work: the owner's handle of the task, passed to
    run_ended().  */
@@ -213,7 +213,8 @@
    and, in @ran_ms, for how long it ran; 0, with nothing done, while the start
    has no answer yet.  */
 uint32_t mm_exec_detach (mm_exec *x, void *work, mm_time_ms *ran_ms);
-double mm_exec_slowness (const mm_exec *x); /* run time / estimate */
+/* Average ratio of the run times there to the declared ones.  */
+double mm_exec_slowness (const mm_exec *x);
 /* Ends that are not acknowledged yet; valid until the session changes.  */
 const mm_unacked_end *mm_exec_unacked_ends (const mm_exec *x, size_t *n);
 /* Acknowledges the end at index @i of mm_exec_unacked_ends(); the last end
--- a/src/mm_exec_hold.c
+++ b/src/mm_exec_hold.c
@@ -68,6 +68,8 @@
   mm_exec_call_late (c, &res->call);
 }
 
+/* Handles the answer to a hold, or the lack of one.  After an answer, the next
+   hold is sent at once if one is due.  */
 static void
 on_hold_answer (const mm_hold_result *res, void *ctx)
 {
--- a/src/mm_exec_http.c
+++ b/src/mm_exec_http.c
@@ -18,6 +18,8 @@
   void *ctx;              /* for the callback */
 } pending_call;
 
+/* Returns what an answer, or the lack of one, says about the call.  An answer
+   that the interface does not define says nothing.  */
 static mm_call_verdict
 read_verdict (const mm_exec_wire *wire, const mm_http_result *res,
               const cJSON *body)
@@ -89,6 +91,8 @@
     g_free (p);
 }
 
+/* Handles the answer to a hold.  An answer with an invalid list counts as
+   none.  */
 static void
 on_hold (const mm_http_result *res, void *ctx)
 {
@@ -109,6 +113,8 @@
     g_free (p);
 }
 
+/* Sends a call to an upstream.  Takes ownership of @body; @p is copied, and
+   its field wire need not be set.  */
 static void
 post (const mm_exec_http *x, const mm_upstream_info *u, const char *path,
       cJSON *body, bool new_connection, mm_time_ms timeout_ms,
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -206,6 +206,8 @@
     l->changed (l->ctx);
 }
 
+/* Handles an update from a peer.  The time for which queues delayed the
+   message is added to the update's age.  */
 static void
 on_update (void *ctx, const char *peer, const void *data, size_t len,
            mm_time_ms queue_delay_ms)
--- a/src/mm_list_update.c
+++ b/src/mm_list_update.c
@@ -106,6 +106,8 @@
   return true;
 }
 
+/* Reads an update from an unpacked message.  Returns false if the message is
+   malformed.  */
 static bool
 read_update (const msgpack_object *o, mm_list_update *out)
 {
--- a/src/mm_members.c
+++ b/src/mm_members.c
@@ -164,6 +164,8 @@
   g_array_free (peers, TRUE);
 }
 
+/* Handles the answer to a read of the members of a data centre's group.  After
+   a failure the members of the last answer are kept.  */
 static void
 on_members (const mm_members_result *res, void *ctx)
 {
--- a/src/mm_native_store.c
+++ b/src/mm_native_store.c
@@ -267,6 +267,7 @@
   mm_store_answer_append (ctx, res, &r);
 }
 
+/* Appends records of kept jobs; their values are sent as Base64.  */
 static void
 native_append (void *ctx, const mm_append_request *a,
                mm_append_answered answered, void *answered_ctx)
--- a/src/mm_partitions.c
+++ b/src/mm_partitions.c
@@ -135,6 +135,7 @@
     set->ev.released (set->ev.ctx, set->group);
 }
 
+/* Handles the answer to a join, which lists this instance's partitions.  */
 static void
 on_joined (const mm_join_result *res, void *ctx)
 {
--- a/src/mm_suspects.c
+++ b/src/mm_suspects.c
@@ -101,6 +101,7 @@
     s->changed (s->ctx, &view);
 }
 
+/* Computes the set of the tasks in all losses anew.  */
 static void
 rebuild_hashes (mm_suspects *s)
 {
@@ -161,6 +162,8 @@
                 MM_INT (l->tasks->len), MM_TEXT (why));
 }
 
+/* Adds a loss of @from's upstream, still without tasks and verdict.  The
+   oldest loss is dropped if there are MM_SUSPECTS_MAX.  */
 static loss *
 add_loss (mm_suspects *s, const mm_loss *from)
 {
