--- a/src/config.h
+++ b/src/config.h
@@ -15,7 +15,7 @@
 #define MM_WITH_TRUST 1       /* circuit breaker: exclude failing upstreams */
 #define MM_WITH_SPEED 1       /* prefer fast upstreams */
 #define MM_WITH_TIGHT_FIT 1   /* if equally fast, prefer the tightest fit */
-#define MM_WITH_NEAR_DATA 1   /* prefer the rack of the data to speed */
+#define MM_WITH_NEAR_DATA 1   /* prefer upstreams near the data to fast ones */
 #define MM_WITH_PROGRESS 1    /* stop tasks that make no progress */
 #define MM_WITH_RTO 1         /* timeouts adapt to the measured answer times */
 #define MM_WITH_LOSSY_HOLDS 1 /* shorter holds while answers get lost */
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -176,8 +176,11 @@
 void mm_exec_destroy (mm_exec *x); /* stops all notifications */
 /* Applies a changed list entry of the upstream, which has the same name.  */
 void mm_exec_update (mm_exec *x, const mm_upstream_info *u);
-void mm_exec_tick (mm_exec *x);         /* call each MM_EXEC_TICK_MS */
-bool mm_exec_usable (const mm_exec *x); /* may be sent a start */
+void mm_exec_tick (mm_exec *x); /* call each MM_EXEC_TICK_MS */
+/* Returns whether starts may be sent: the upstream is in service, it is not
+   suspect, its last hold was answered, and it has no foreign runs, whose
+   resources are unknown.  */
+bool mm_exec_usable (const mm_exec *x);
 /* Returns whether the upstream's capacity counts in reports.  That of a
    suspect upstream, or of one with foreign runs, does: a call without an
    answer makes an upstream suspect for about 100 ms, and jobs would be refused
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -4,7 +4,7 @@
    The owner of an upstream is the one instance that may start tasks there.
    A kept job is a durable job: it is stored before its caller is told that
    it is accepted, and is run to its end whatever instance dies.  Its home is
-   the instance that stores and runs it.  A run is one attempt at a task; its
+   the instance that stores and runs it.  A run is one start of a task; its
    end is the outcome.  */
 #ifndef MM_OWNER_H
 #define MM_OWNER_H
--- a/src/mm_owner_suspects.c
+++ b/src/mm_owner_suspects.c
@@ -31,6 +31,7 @@
 {
   uint32_t others
       = w->request.isolated ? (uint32_t)mm_exec_count_runs (owned->exec) : 0;
+  /* One suspect there outweighs any number of other runs.  */
   return owned->n_suspects * G_MAXUINT16 + MIN (others, G_MAXUINT16 - 1);
 }
 
--- a/src/mm_store.h
+++ b/src/mm_store.h
@@ -13,6 +13,7 @@
 #include "mm_routes.h"
 #include "mm_upstream_info.h"
 
+/* The streams that mm_stream reads.  */
 typedef enum
 {
   MM_STREAM_CONFIG,   /* the operators' configuration */
@@ -118,6 +119,7 @@
   MM_APPEND_NO_ANSWER   /* may have taken effect, or may yet */
 } mm_append_verdict;
 
+/* Result of an append.  */
 typedef struct
 {
   mm_append_verdict verdict;
@@ -125,6 +127,7 @@
   const char *why;       /* reason of the failure, NULL with MM_APPEND_OK */
 } mm_append_result;
 
+/* Called once for each call to the store, with its result.  */
 typedef void (*mm_stream_answered) (const mm_stream_result *res, void *ctx);
 typedef void (*mm_join_answered) (const mm_join_result *res, void *ctx);
 typedef void (*mm_members_answered) (const mm_members_result *res, void *ctx);
