--- a/src/config.h
+++ b/src/config.h
@@ -389,7 +389,7 @@
 #define MM_KEPT_START_WITHIN_MS 200
 /* After this time the lease of a task in doubt has lapsed, even if the clock
    of its upstream is 2 % slow and the last renewal was long under way.  */
-#define MM_KEPT_LEASE_LAPSE_MS 1100
+#define MM_KEPT_LEASE_EXPIRY_MS 1100
 #define MM_KEPT_SEARCH_PAUSE_MS 250 /* between searches for tasks in doubt */
 /* The outcomes of kept jobs are kept for this long; 120 s are required.  */
 #define MM_KEPT_OUTCOME_TTL_MS 150000
--- a/src/mm_home.h
+++ b/src/mm_home.h
@@ -61,7 +61,7 @@
 bool mm_home_idle (const mm_home *h);
 /* Number of jobs that have not ended.  */
 uint32_t mm_home_open_jobs (const mm_home *h);
-/* Adds copies of the tasks that have been in doubt for MM_KEPT_LEASE_LAPSE_MS
+/* Adds copies of the tasks that have been in doubt for MM_KEPT_LEASE_EXPIRY_MS
    to a mm_task_set.  */
 void mm_home_in_doubt (const mm_home *h, GHashTable *tasks);
 /* Records the end of a run that a search has found; @owner: the peer that
--- a/src/mm_kept_tasks.c
+++ b/src/mm_kept_tasks.c
@@ -384,7 +384,7 @@
 void
 mm_kept_tasks_in_doubt (const mm_kept_tasks *k, GHashTable *tasks)
 {
-  mm_time_ms before = mm_clock_now_ms () - MM_KEPT_LEASE_LAPSE_MS;
+  mm_time_ms before = mm_clock_now_ms () - MM_KEPT_LEASE_EXPIRY_MS;
   for (uint32_t i = 0; i < k->n_tasks; i++)
     if (k->tasks[i].state == TASK_IN_DOUBT
         && k->tasks[i].in_doubt_since_ms <= before)
--- a/src/mm_kept_tasks.h
+++ b/src/mm_kept_tasks.h
@@ -52,7 +52,7 @@
 bool mm_kept_tasks_started (const mm_kept_tasks *k);
 /* Number of tasks that are at owners, waiting or running.  */
 uint32_t mm_kept_tasks_n_dispatched (const mm_kept_tasks *k);
-/* Adds copies of the tasks that have been in doubt for MM_KEPT_LEASE_LAPSE_MS
+/* Adds copies of the tasks that have been in doubt for MM_KEPT_LEASE_EXPIRY_MS
    to a mm_task_set.  */
 void mm_kept_tasks_in_doubt (const mm_kept_tasks *k, GHashTable *tasks);
 /* Number of tasks in doubt, however long they have been so.  */
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -65,18 +65,19 @@
 
 /* ---- updates sent ----------------------------------------------------- */
 
-/* Writes the update for a peer that knows the list up to offset @known_upto.
-   Returns the offset up to which the peer knows the list with this update.  */
+/* Writes the update for a peer that knows the list up to offset
+   @known_list_offset. Returns the offset up to which the peer knows the list
+   with this update.  */
 static uint64_t
-pack_update_for (void *ctx, uint64_t known_upto, msgpack_sbuffer *out)
+pack_update_for (void *ctx, uint64_t known_list_offset, msgpack_sbuffer *out)
 {
   const mm_list_share *l = ctx;
-  mm_list_update update
-      = { .round = l->round,
-          .from_offset = MAX (known_upto, mm_list_log_first_offset (l->log)),
-          .to_offset = mm_stream_next_offset (l->stream),
-          .age_ms
-          = mm_clock_now_ms () - mm_stream_known_as_of_ms (l->stream) };
+  mm_list_update update = {
+    .round = l->round,
+    .from_offset = MAX (known_list_offset, mm_list_log_first_offset (l->log)),
+    .to_offset = mm_stream_next_offset (l->stream),
+    .age_ms = mm_clock_now_ms () - mm_stream_known_as_of_ms (l->stream)
+  };
   update.changes
       = mm_list_log_since (l->log, update.from_offset, &update.n_changes);
   mm_list_update_pack (&update, out);
@@ -180,7 +181,7 @@
   mm_time_ms now = mm_clock_now_ms ();
   mm_time_ms as_of_ms = now - update->age_ms;
   l->round = MAX (l->round, update->round);
-  mm_mesh_set_known_upto (l->mesh, peer, update->to_offset);
+  mm_mesh_set_known_list_offset (l->mesh, peer, update->to_offset);
   if (now < l->own_reads_until_ms)
     return;
   if (!mm_stream_advance (l->stream, update->from_offset, update->to_offset,
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -338,7 +338,7 @@
   mm_link_events ev
       = { .object = on_peer_object, .closed = on_peer_closed, .ctx = p };
   GError *error = NULL;
-  p->last_number = p->seen_number = p->known_upto = 0;
+  p->last_number = p->seen_number = p->known_list_offset = 0;
   p->queue_delay = (mm_queue_delay){ 0 };
   p->link = mm_link_connect (p->mesh->loop, p->info.addr, &ev, &error);
   if (!p->link)
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -100,9 +100,10 @@
 void mm_mesh_answer (mm_mesh_inbound_request *request, const void *data,
                      size_t len);
 /* Writes the update for an instance that knows the upstream list up to offset
-   @known_upto (0: it knows nothing).  Returns the offset up to which that
-   instance knows the list with this update.  */
-typedef uint64_t (*mm_mesh_build_update) (void *ctx, uint64_t known_upto,
+   @known_list_offset (0: it knows nothing).  Returns the offset up to which
+   that instance knows the list with this update.  */
+typedef uint64_t (*mm_mesh_build_update) (void *ctx,
+                                          uint64_t known_list_offset,
                                           msgpack_sbuffer *out);
 /* Sends an update to each connected instance but @except, which may be
    NULL.  */
@@ -111,10 +112,10 @@
 /* Sends an update to one instance, if it is connected.  */
 void mm_mesh_notify_peer (mm_mesh *m, const char *peer,
                           mm_mesh_build_update build, void *ctx);
-/* Records that the peer knows the upstream list up to offset @known_upto,
-   whatever was sent to it before.  */
-void mm_mesh_set_known_upto (mm_mesh *m, const char *peer,
-                             uint64_t known_upto);
+/* Records that the peer knows the upstream list up to offset
+   @known_list_offset, whatever was sent to it before.  */
+void mm_mesh_set_known_list_offset (mm_mesh *m, const char *peer,
+                                    uint64_t known_list_offset);
 /* An update of @peer was received.  @queue_delay_ms: how much longer it took
    than the fastest recent update over the same link.  */
 typedef void (*mm_mesh_updated) (void *ctx, const char *peer, const void *data,
--- a/src/mm_mesh_priv.h
+++ b/src/mm_mesh_priv.h
@@ -29,9 +29,9 @@
   /* The peer's last report, one entry per service.  */
   mm_mesh_service_capacity *capacities;
   size_t n_capacities;
-  mm_time_ms report_ms; /* when the last report was received */
-  uint64_t known_upto;  /* offset of the upstream list up to which updates were
-                           sent over the link */
+  mm_time_ms report_ms;       /* when the last report was received */
+  uint64_t known_list_offset; /* offset of the upstream list up to which
+                          updates were sent over the link */
   /* Queueing delay of the updates received over the link.  */
   mm_queue_delay queue_delay;
 } mm_mesh_peer;
@@ -55,9 +55,9 @@
   char *name;           /* of the sender, NULL until its HELLO */
   uint64_t seen_number; /* highest task number received */
   mm_time_ms report_ms; /* when the last report was sent */
-  GByteArray *last_report; /* the bytes of that report */
-  uint64_t known_upto;     /* offset of the upstream list up to which updates
-                              were sent over the link */
+  GByteArray *last_report;    /* the bytes of that report */
+  uint64_t known_list_offset; /* offset of the upstream list up to which
+                          updates were sent over the link */
   /* Queueing delay of the updates received over the link.  */
   mm_queue_delay queue_delay;
 } mm_mesh_inbound_link;
--- a/src/mm_mesh_update.c
+++ b/src/mm_mesh_update.c
@@ -24,26 +24,26 @@
 }
 
 /* Builds and sends the update for an instance that knows the list up to
-   @known_upto, and advances @known_upto.  */
+   @known_list_offset, and advances @known_list_offset.  */
 static void
-send_update (mm_link *link, uint64_t *known_upto, mm_mesh_build_update build,
-             void *ctx)
+send_update (mm_link *link, uint64_t *known_list_offset,
+             mm_mesh_build_update build, void *ctx)
 {
   msgpack_sbuffer update, b;
   msgpack_sbuffer_init (&update);
   msgpack_sbuffer_init (&b);
-  *known_upto = build (ctx, *known_upto, &update);
+  *known_list_offset = build (ctx, *known_list_offset, &update);
   mm_mesh_pack_update (&b, mm_clock_now_ms (), update.data, update.size);
   mm_link_send (link, &b);
   msgpack_sbuffer_destroy (&b);
   msgpack_sbuffer_destroy (&update);
 }
 
-/* Called for each link.  @name: the instance at its other end; @known_upto:
-   offset up to which that instance knows the upstream list, which the visitor
-   may change.  */
+/* Called for each link.  @name: the instance at its other end;
+   @known_list_offset: offset up to which that instance knows the upstream
+   list, which the visitor may change.  */
 typedef void (*link_visitor) (mm_link *link, const char *name,
-                              uint64_t *known_upto, void *ctx);
+                              uint64_t *known_list_offset, void *ctx);
 
 /* Calls @fn once for each connected instance whose name is known, with a link
    to it.  */
@@ -57,13 +57,13 @@
     {
       mm_mesh_peer *p = v;
       if (p->connected)
-        fn (p->link, p->info.name, &p->known_upto, ctx);
+        fn (p->link, p->info.name, &p->known_list_offset, ctx);
     }
   for (GList *l = m->inbound; l; l = l->next)
     {
       mm_mesh_inbound_link *in = l->data;
       if (!skips_inbound (in))
-        fn (in->link, in->name, &in->known_upto, ctx);
+        fn (in->link, in->name, &in->known_list_offset, ctx);
     }
 }
 
@@ -77,13 +77,14 @@
 } recipients;
 
 static void
-notify_link (mm_link *link, const char *name, uint64_t *known_upto, void *ctx)
+notify_link (mm_link *link, const char *name, uint64_t *known_list_offset,
+             void *ctx)
 {
   const recipients *to = ctx;
   bool wanted = to->only ? strcmp (name, to->only) == 0
                          : g_strcmp0 (name, to->except) != 0;
   if (wanted)
-    send_update (link, known_upto, to->build, to->ctx);
+    send_update (link, known_list_offset, to->build, to->ctx);
 }
 
 void
@@ -102,25 +103,28 @@
   for_each_link (m, notify_link, &to);
 }
 
-/* Argument of mm_mesh_set_known_upto() for its visitor.  */
+/* Argument of mm_mesh_set_known_list_offset() for its visitor.  */
 typedef struct
 {
   const char *peer;
-  uint64_t known_upto;
+  uint64_t known_list_offset;
 } peer_offset;
 
 static void
-set_known (mm_link *link, const char *name, uint64_t *known_upto, void *ctx)
+set_known (mm_link *link, const char *name, uint64_t *known_list_offset,
+           void *ctx)
 {
   const peer_offset *offset = ctx;
   if (strcmp (name, offset->peer) == 0)
-    *known_upto = offset->known_upto;
+    *known_list_offset = offset->known_list_offset;
 }
 
 void
-mm_mesh_set_known_upto (mm_mesh *m, const char *peer, uint64_t known_upto)
+mm_mesh_set_known_list_offset (mm_mesh *m, const char *peer,
+                               uint64_t known_list_offset)
 {
-  peer_offset offset = { .peer = peer, .known_upto = known_upto };
+  peer_offset offset
+      = { .peer = peer, .known_list_offset = known_list_offset };
   for_each_link (m, set_known, &offset);
 }
 
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -760,7 +760,7 @@
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, fx.fleet);
-  now_ms += MM_KEPT_LEASE_LAPSE_MS;
+  now_ms += MM_KEPT_LEASE_EXPIRY_MS;
   GHashTable *in_doubt = mm_task_set_new ();
   mm_home_in_doubt (h, in_doubt);
   ck_assert_uint_eq (g_hash_table_size (in_doubt), 4);
@@ -797,7 +797,7 @@
   mm_record stored = { .key = (char *)"j", .value = bytes };
   slow_store s = { .stored = &stored, .n_stored = 1 };
   mm_home *h = open_home (&s, fx.fleet);
-  now_ms += MM_KEPT_LEASE_LAPSE_MS;
+  now_ms += MM_KEPT_LEASE_EXPIRY_MS;
   GHashTable *in_doubt = mm_task_set_new ();
   mm_home_in_doubt (h, in_doubt);
   mm_home_clear_in_doubt (h, in_doubt);
