--- a/src/mm_home.c
+++ b/src/mm_home.c
@@ -394,6 +394,19 @@
       mm_admission_limit_of_objective_ms (rec->objective_ms, chain_ms));
 }
 
+/**
+ * mm_home_submit() - accept a new job, or refuse it.
+ * @h: the job's home.
+ * @rec: the job; ownership is taken.
+ * @answered: called once the job is stored, or at once if it is refused or
+ *            already stored.
+ * @ctx: for @answered.
+ *
+ * A job that is submitted again under the same id is not run again.  While the
+ * store does not answer, no job can be accepted, and the caller is refused at
+ * once with MM_KEPT_BUSY.  Until the stored jobs have been read, the answer is
+ * MM_KEPT_MOVING.
+ */
 void
 mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_answered answered,
                 void *ctx)
--- a/src/mm_home.h
+++ b/src/mm_home.h
@@ -37,10 +37,8 @@
 /* Requests about a job of the partition.  The answer is MM_KEPT_MOVING until
    the stored jobs have been read.  */
 
-/* Accepts a new job, or refuses it.  Takes @rec.  @answered is called once the
-   job is stored, or at once if it is refused or already stored.  A job that is
-   submitted again under the same id is not run again.  While the store does
-   not answer, no job can be accepted, and the answer is MM_KEPT_BUSY.  */
+/* Accepts a new job, or refuses it; takes @rec.  @answered is called once the
+   job is stored, or at once if it is refused or already stored.  */
 void mm_home_submit (mm_home *h, mm_job_record *rec, mm_kept_answered answered,
                      void *ctx);
 /* Sets @out to the job's state as this instance knows it.  */
--- a/src/mm_job_log.c
+++ b/src/mm_job_log.c
@@ -270,6 +270,15 @@
     send_append (l);
 }
 
+/**
+ * mm_job_log_open() - become the writer of a partition.
+ * @port: the store; the port is copied.
+ * @partition: the partition.
+ * @epoch: higher than the epoch of any earlier writer.
+ * @ev: callbacks of the home; copied.
+ *
+ * Return: the log; close it with mm_job_log_close().
+ */
 mm_job_log *
 mm_job_log_open (const mm_store_port *port, uint32_t partition, uint64_t epoch,
                  const mm_job_log_events *ev)
--- a/src/mm_job_record.c
+++ b/src/mm_job_record.c
@@ -157,6 +157,14 @@
          && mm_mp_read_i64 (&f[5], &r->objective_ms) && unpack_job (f, r);
 }
 
+/**
+ * mm_job_record_unpack() - decode the stored record of a kept job.
+ * @data: output of mm_job_record_pack().
+ * @len: length of @data in bytes.
+ * @error: MM_ERROR_DECODE when @data is not a valid record.
+ *
+ * Return: the record, or NULL on error; free with mm_job_record_destroy().
+ */
 mm_job_record *
 mm_job_record_unpack (const void *data, size_t len, GError **error)
 {
--- a/src/mm_job_record.h
+++ b/src/mm_job_record.h
@@ -50,8 +50,8 @@
    outcome of an ended job is kept.  */
 void mm_job_record_set_outcome (mm_job_record *r, mm_job_phase p);
 GBytes *mm_job_record_pack (const mm_job_record *r);
-/* Decodes a record that mm_job_record_pack() encoded.  Returns NULL, with
-   MM_ERROR_DECODE, when @data is not a valid record.  */
+/* Decodes a record that mm_job_record_pack() encoded; returns NULL on
+   error.  */
 mm_job_record *mm_job_record_unpack (const void *data, size_t len,
                                      GError **error);
 /* Records a failed run; the same run counts once, however often it is
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -485,6 +485,21 @@
   return c;
 }
 
+/**
+ * mm_jobs_submit() - accept a job, or refuse it at once.
+ * @j: the jobs of this instance.
+ * @s: the job; ownership is taken.
+ * @route: the job's queue; needed only during the call.
+ * @caller_timeout_ms: how long the caller waits.
+ * @answered: called once, unless the caller leaves before.
+ * @ctx: for @answered.
+ *
+ * A job whose id runs here already is not run twice: the caller gets the
+ * answer of the running one.
+ *
+ * Return: the caller's handle, or NULL when @answered has been called
+ * already.
+ */
 mm_caller *
 mm_jobs_submit (mm_jobs *j, mm_submission *s, const mm_route *route,
                 mm_time_ms caller_timeout_ms, mm_job_answered answered,
@@ -594,6 +609,16 @@
   g_list_free (jobs);
 }
 
+/**
+ * mm_jobs_abandon() - end all jobs at once, with their outcome unknown.
+ * @j: the jobs of this instance.
+ * @why: reason given to the callers.
+ *
+ * Called when the process has stalled for longer than leases last, and when it
+ * is about to exit: callers may have sent their jobs to another instance, or
+ * will do so, and therefore no task of them may start here any more.  Tasks
+ * may have run, so no caller is answered that its job was refused.
+ */
 void
 mm_jobs_abandon (mm_jobs *j, const char *why)
 {
--- a/src/mm_jobs.h
+++ b/src/mm_jobs.h
@@ -35,11 +35,8 @@
 
 mm_jobs *mm_jobs_create (mm_fleet *fleet); /* @fleet must outlive it */
 void mm_jobs_destroy (mm_jobs *j);
-/* Accepts or refuses a job; takes ownership of @s.  @route: the job's queue.
-   @caller_timeout_ms: how long the caller waits.  @answered is called once,
-   unless the caller leaves before.  A job whose id runs here already is not
-   run twice: the caller gets the answer of the running one.  Returns the
-   caller's handle, or NULL when @answered has been called already.  */
+/* Accepts or refuses a job; takes ownership of @s.  Returns the caller's
+   handle, or NULL when @answered has been called already.  */
 mm_caller *mm_jobs_submit (mm_jobs *j, mm_submission *s, const mm_route *route,
                            mm_time_ms caller_timeout_ms,
                            mm_job_answered answered, void *ctx);
@@ -52,11 +49,7 @@
    when no such job runs here.  */
 bool mm_jobs_cancel (mm_jobs *j, const char *job_id);
 /* Ends all jobs and answers their callers that the outcome is unknown; @why is
-   the reason given.  Called when the process has stalled for longer than
-   leases last, and when it is about to exit: callers may have sent their jobs
-   to another instance, or will do so, and therefore no task of them may start
-   here any more.  Tasks may have run, so no caller is answered that its job
-   was refused.  */
+   the reason given.  */
 void mm_jobs_abandon (mm_jobs *j, const char *why);
 void mm_jobs_tick (mm_jobs *j);            /* called every MM_EXEC_TICK_MS */
 uint32_t mm_jobs_count (const mm_jobs *j); /* jobs not answered yet */
--- a/src/mm_kept.c
+++ b/src/mm_kept.c
@@ -234,6 +234,13 @@
   g_free (k);
 }
 
+/**
+ * mm_kept_create() - accept and run kept jobs at this instance.
+ * @p: the modules and settings that kept jobs need; copied.  The modules that
+ *     it points to must outlive the new object.
+ *
+ * Return: the new object; free with mm_kept_destroy().
+ */
 mm_kept *
 mm_kept_create (const mm_kept_deps *p)
 {
--- a/src/mm_link.c
+++ b/src/mm_link.c
@@ -134,6 +134,14 @@
   flush (w->data);
 }
 
+/**
+ * mm_link_adopt() - create a link on a connected or connecting socket.
+ * @loop: event loop that drives the link.
+ * @fd: the socket, which must be non-blocking; ownership is taken.
+ * @ev: callbacks; copied.
+ *
+ * Return: the link, which frees itself when it closes.
+ */
 mm_link *
 mm_link_adopt (struct ev_loop *loop, int fd, const mm_link_events *ev)
 {
--- a/src/mm_link.h
+++ b/src/mm_link.h
@@ -20,9 +20,8 @@
   void *ctx;
 } mm_link_events;
 
-/* Creates a link on a connected or connecting socket, which must be
-   non-blocking and which the link owns from now on.  @ev is copied.  The link
-   frees itself when it closes.  */
+/* Creates a link on a connected or connecting non-blocking socket and takes
+   ownership of it; @ev is copied.  The link frees itself when it closes.  */
 mm_link *mm_link_adopt (struct ev_loop *loop, int fd,
                         const mm_link_events *ev);
 /* Creates a link to "ip:port" and begins to connect; @ev is copied.  Returns
--- a/src/mm_mesh.c
+++ b/src/mm_mesh.c
@@ -413,6 +413,19 @@
 
 /* ---- both directions -------------------------------------------------- */
 
+/**
+ * mm_mesh_create() - create the mesh and listen for other instances.
+ * @loop: event loop.
+ * @self: member name of this instance; copied.
+ * @datacentre: data centre of this instance; copied.
+ * @host: IP address to listen on.
+ * @port: port to listen on.
+ * @owner: runs the tasks that peers dispatch to this instance; must outlive
+ *         the mesh.
+ * @error: MM_ERROR_IO when the port cannot be bound.
+ *
+ * Return: the mesh, or NULL; free with mm_mesh_destroy().
+ */
 mm_mesh *
 mm_mesh_create (struct ev_loop *loop, const char *self, const char *datacentre,
                 const char *host, uint16_t port, mm_owner *owner,
@@ -454,6 +467,13 @@
   g_free (m);
 }
 
+/**
+ * mm_mesh_on_hello() - set the callback for links opened by other instances.
+ * @m: the mesh.
+ * @hello: called with the member name of each instance that opens a link to
+ *         this one.
+ * @ctx: for @hello.
+ */
 void
 mm_mesh_on_hello (mm_mesh *m, mm_mesh_hello hello, void *ctx)
 {
@@ -479,6 +499,15 @@
       mm_link_send (((mm_mesh_peer *)v)->link, b);
 }
 
+/**
+ * mm_mesh_notify_released() - notify all peers of released partitions.
+ * @m: the mesh.
+ * @group: group of the partitions that this instance has released.
+ *
+ * Without the notification, the next owner learns of its partitions with its
+ * next call to the store, and these calls are 300 ms apart.  With the
+ * notification, it calls the store at once.
+ */
 void
 mm_mesh_notify_released (mm_mesh *m, const char *group)
 {
@@ -540,6 +569,18 @@
   return n;
 }
 
+/**
+ * mm_mesh_submit() - dispatch a task to a peer.
+ * @m: the mesh.
+ * @peer_name: name of a connected peer.
+ * @t: the task.
+ * @done: called once, after this function has returned, unless the task is
+ *        cancelled before.
+ * @ctx: for @done.
+ *
+ * Return: a handle that is valid until @done is called or the task is
+ * cancelled, or NULL when the peer is not connected.
+ */
 mm_remote_task *
 mm_mesh_submit (mm_mesh *m, const char *peer_name, const mm_task_request *t,
                 mm_work_done done, void *ctx)
--- a/src/mm_mesh.h
+++ b/src/mm_mesh.h
@@ -35,9 +35,7 @@
 } mm_mesh_peer_capacity;
 
 /* Creates the mesh and listens for other instances on @host, an IP address,
-   and @port.  @self: member name of this instance.  @owner runs the tasks that
-   peers dispatch to this instance, and must outlive the mesh.  Returns NULL,
-   with MM_ERROR_IO, when the port cannot be bound.  */
+   and @port; returns NULL on error.  @owner must outlive the mesh.  */
 mm_mesh *mm_mesh_create (struct ev_loop *loop, const char *self,
                          const char *datacentre, const char *host,
                          uint16_t port, mm_owner *owner, GError **error);
@@ -50,10 +48,8 @@
 /* The instance that owned partitions of a group has released them.  */
 typedef void (*mm_mesh_released) (void *ctx, const char *group);
 void mm_mesh_on_released (mm_mesh *m, mm_mesh_released released, void *ctx);
-/* Notifies all peers that this instance has released partitions of @group.
-   Without the notification, the next owner learns of its partitions with its
-   next call to the store, and these calls are 300 ms apart.  With the
-   notification, it calls the store at once.  */
+/* Notifies all peers that this instance has released partitions of @group, so
+   that their next owners call the store at once.  */
 void mm_mesh_notify_released (mm_mesh *m, const char *group);
 /* Exchanges reports of lost upstreams with the peers, and records them in @s,
    which must outlive the mesh.  */
@@ -61,18 +57,15 @@
 void mm_mesh_set_leaving (mm_mesh *m); /* reports the shutdown to peers */
 /* Adds an instance, or records that it is a standby; @p is copied.  */
 void mm_mesh_add_peer (mm_mesh *m, const mm_mesh_peer_info *p);
-/* Sets the list of the other instances; @peers is copied.  One that is not
-   listed any more is kept while it is connected: the list lags, and the tasks
-   dispatched to that peer go on running.  */
+/* Sets the list of the other instances; @peers is copied.  A peer that is not
+   listed any more is kept while it is connected.  */
 void mm_mesh_set_peers (mm_mesh *m, const mm_mesh_peer_info *peers, size_t n);
 /* Fills @out, an array of @cap entries, with the capacity of each connected
    peer for a service.  Returns the number of entries filled.  */
 size_t mm_mesh_peer_capacities (const mm_mesh *m, const char *service,
                                 mm_mesh_peer_capacity *out, size_t cap);
-/* Dispatches a task to a peer.  @done is called once, after this function has
-   returned, unless the task is cancelled before.  Returns a handle that is
-   valid until @done is called or the task is cancelled, or NULL when the peer
-   is not connected.  */
+/* Dispatches a task to a peer.  Returns a handle that is valid until @done is
+   called or the task is cancelled, or NULL when the peer is not connected.  */
 mm_remote_task *mm_mesh_submit (mm_mesh *m, const char *peer,
                                 const mm_task_request *t, mm_work_done done,
                                 void *ctx);
--- a/src/mm_mesh_msg.c
+++ b/src/mm_mesh_msg.c
@@ -317,6 +317,14 @@
   return true;
 }
 
+/**
+ * mm_mesh_msg_read() - decode a message.
+ * @o: object received.
+ * @out: filled; clear it with mm_mesh_msg_clear(), also after a failure.  Its
+ *       data is not copied and points into @o.
+ *
+ * Return: false when @o is not a valid message.
+ */
 bool
 mm_mesh_msg_read (const msgpack_object *o, mm_mesh_msg *out)
 {
--- a/src/mm_mesh_peers.c
+++ b/src/mm_mesh_peers.c
@@ -16,6 +16,15 @@
   return false;
 }
 
+/**
+ * mm_mesh_set_peers() - set the list of the other instances.
+ * @m: the mesh.
+ * @peers: all instances but this one; copied.
+ * @n: number of @peers.
+ *
+ * A peer that is not listed any more is kept while it is connected: the list
+ * lags, and the tasks dispatched to that peer go on running.
+ */
 void
 mm_mesh_set_peers (mm_mesh *m, const mm_mesh_peer_info *peers, size_t n)
 {
--- a/src/mm_node.c
+++ b/src/mm_node.c
@@ -363,6 +363,16 @@
   mm_members_on_changed (n->members, on_group_changed, n);
 }
 
+/**
+ * mm_node_create() - create an instance and start its timers.
+ * @loop: event loop.
+ * @s: settings; its strings must live as long as the node.
+ * @exec: calls to upstreams; the port is copied.
+ * @store: calls to the platform's store; the port is copied.
+ * @error: MM_ERROR_IO when the mesh port cannot be bound.
+ *
+ * Return: the node, or NULL; free with mm_node_destroy().
+ */
 mm_node *
 mm_node_create (struct ev_loop *loop, const mm_node_settings *s,
                 const mm_exec_port *exec, const mm_store_port *store,
@@ -451,6 +461,17 @@
   return n->kept;
 }
 
+/**
+ * mm_node_leave() - begin a graceful shutdown.
+ * @n: the node.
+ *
+ * The upstreams are handed over to instances that are not shutting down, once
+ * the tasks running there have ended.  While there is no such instance, this
+ * one goes on starting tasks there: for MM_LEAVE_DRAIN_MS when it is connected
+ * to no other instance, else until what is left of the grace time is needed
+ * for the handover.  Callers are served until they have closed their
+ * connections.
+ */
 void
 mm_node_leave (mm_node *n)
 {
@@ -479,6 +500,12 @@
          && open_connections == 0;
 }
 
+/**
+ * mm_node_metrics() - write counters, gauges and histograms as text.
+ * @n: the node.
+ *
+ * Return: the metrics in the Prometheus text format; free with g_free().
+ */
 char *
 mm_node_metrics (const mm_node *n)
 {
--- a/src/mm_node.h
+++ b/src/mm_node.h
@@ -33,9 +33,8 @@
 /* Sets all settings to their defaults; allocates the strings.  */
 void mm_node_settings_defaults (mm_node_settings *s);
 
-/* Creates an instance and starts its timers.  The strings of @s must live as
-   long as the node; the ports are copied.  Returns NULL, with MM_ERROR_IO,
-   when the mesh port cannot be bound.  */
+/* Creates an instance and starts its timers; returns NULL on error.  The
+   strings of @s must live as long as the node; the ports are copied.  */
 mm_node *mm_node_create (struct ev_loop *loop, const mm_node_settings *s,
                          const mm_exec_port *exec, const mm_store_port *store,
                          GError **error);
@@ -50,11 +49,7 @@
 const mm_routes *mm_node_routes (const mm_node *n);
 mm_jobs *mm_node_jobs (mm_node *n);
 mm_kept *mm_node_kept (mm_node *n);
-/* Begins a graceful shutdown.  The upstreams are handed over to instances that
-   are not shutting down, once the tasks running there have ended.  While there
-   is no such instance, this one goes on starting tasks there: for
-   MM_LEAVE_DRAIN_MS when it is connected to no other instance, else until what
-   is left of the grace time is needed for the handover.  Callers are served
+/* Begins a graceful shutdown: hands the upstreams over, and serves callers
    until they have closed their connections.  */
 void mm_node_leave (mm_node *n);
 /* Returns whether the process may exit: the shutdown is complete, or its grace
