--- a/src/mm_event.c
+++ b/src/mm_event.c
@@ -304,6 +304,18 @@
   g_string_append (s, "\":");
 }
 
+/**
+ * mm_event_line() - format an event as a JSON object.
+ * @event: the event.
+ * @fields: values in the order of the table; an MM_TASK value fills the two
+ *          fields "job" and "task".
+ * @n: number of values; those beyond the fields that the table lists are
+ *     ignored.
+ * @left_out: number of lines of this event that the rate limit left out since
+ *            the last written one.
+ *
+ * Return: a newly allocated line without newline, free with g_free().
+ */
 char *
 mm_event_line (mm_event event, const mm_field *fields, size_t n,
                uint64_t left_out)
@@ -376,6 +388,16 @@
   return true;
 }
 
+/**
+ * mm_event_write() - log an event, for mm_log_event().
+ * @event: the event.
+ * @fields: values in the order of the table.
+ * @n: number of values.
+ *
+ * A call whose values don't match the table counts as a mismatch, see
+ * mm_event_mismatches().  A line beyond the rate limit of its event is
+ * counted, but not written.
+ */
 void
 mm_event_write (mm_event event, const mm_field *fields, size_t n)
 {
@@ -393,6 +415,11 @@
   g_free (line);
 }
 
+/**
+ * mm_event_table_markdown() - format the table of events for docs/LOGS.md.
+ *
+ * Return: newly allocated Markdown, free with g_free().
+ */
 char *
 mm_event_table_markdown (void)
 {
--- a/src/mm_event.h
+++ b/src/mm_event.h
@@ -102,15 +102,12 @@
                   sizeof ((const mm_field[]){ __VA_ARGS__ })                  \
                       / sizeof (mm_field))
 
-/* Logs an event, for mm_log_event().  A line beyond the rate limit of its
-   event is counted, but not written.  */
+/* Logs an event within its rate limit, for mm_log_event().  */
 void mm_event_write (mm_event event, const mm_field *fields, size_t n);
 /* Returns the name of an event in the log, such as "task_ended".  */
 const char *mm_event_name (mm_event event);
 /* Returns the line of an event, one JSON object without a newline; free with
-   g_free().  @left_out: number of lines of this event that the rate limit left
-   out since the last written one.  Values beyond the fields that the table
-   lists are ignored.  */
+   g_free().  @left_out: number of lines that the rate limit left out.  */
 char *mm_event_line (mm_event event, const mm_field *fields, size_t n,
                      uint64_t left_out);
 /* Returns the table of events as Markdown, for docs/LOGS.md; free with
--- a/src/mm_explain.c
+++ b/src/mm_explain.c
@@ -103,6 +103,14 @@
   return false;
 }
 
+/**
+ * mm_explain_add() - read a log line.
+ * @x: the report.
+ * @source: name of the log that has the line; each instance has one log.
+ * @text: the line; anything before its first '{' is ignored.
+ *
+ * A line that is not JSON or says nothing about the job is ignored.
+ */
 void
 mm_explain_add (mm_explain *x, const char *source, const char *text)
 {
@@ -429,6 +437,13 @@
                           "first, or the log of that instance is missing.\n");
 }
 
+/**
+ * mm_explain_report() - format the report on the job.
+ * @x: the report, after all lines were added.
+ *
+ * Return: the lines in order of time, then the causes of the job's answers;
+ * free with g_free().  NULL when no line has the id of the job.
+ */
 char *
 mm_explain_report (mm_explain *x)
 {
--- a/src/mm_front.c
+++ b/src/mm_front.c
@@ -19,6 +19,17 @@
                  ready ? "{\"ready\":true}" : "{\"ready\":false}", 0);
 }
 
+/**
+ * mm_front_create() - start the servers for callers and the load balancer.
+ * @loop: event loop that runs both servers.
+ * @s: settings with the addresses to listen on.
+ * @node: instance that receives the jobs; must outlive the mm_front.
+ * @handler: called once for each request of a caller, with the mm_front as
+ *           its context.
+ * @error: MM_ERROR_IO when the process cannot listen on an address of @s.
+ *
+ * Return: the mm_front, or NULL on error; free with mm_front_destroy().
+ */
 mm_front *
 mm_front_create (struct ev_loop *loop, const mm_node_settings *s,
                  mm_node *node, mm_http_handler handler, GError **error)
--- a/src/mm_front.h
+++ b/src/mm_front.h
@@ -8,10 +8,8 @@
 
 typedef struct mm_front mm_front;
 
-/* Starts both servers.  @node receives the jobs and must outlive the mm_front.
-   @handler is called once for each request of a caller, with the mm_front as
-   its context.  Returns NULL, with MM_ERROR_IO, when the process cannot listen
-   on an address of @s.  */
+/* Starts both servers; returns NULL on error.  @node must outlive the
+   mm_front, which is the context of @handler.  */
 mm_front *mm_front_create (struct ev_loop *loop, const mm_node_settings *s,
                            mm_node *node, mm_http_handler handler,
                            GError **error);
--- a/src/mm_metrics.c
+++ b/src/mm_metrics.c
@@ -284,6 +284,11 @@
                           h->n_observations);
 }
 
+/**
+ * mm_metrics_text() - format all series in the Prometheus text format.
+ *
+ * Return: newly allocated text, free with g_free().
+ */
 char *
 mm_metrics_text (void)
 {
--- a/src/mm_native.h
+++ b/src/mm_native.h
@@ -20,9 +20,9 @@
 /* ---- mm_native_front: callers' jobs ---- */
 /* Handles a request of a caller, an mm_http_handler.  */
 void mm_native_front_request (mm_http_request *req, void *ctx /* mm_front */);
-/* Returns the job in a JSON body, free with mm_submission_free(); or NULL,
-   with MM_ERROR_BAD_REQUEST or MM_ERROR_JOB_SIZE.  Sets @caller_timeout_ms to
-   the earliest deadline of the job's tasks.  */
+/* Returns the job in a JSON body, free with mm_submission_free(); or NULL on
+   error.  Sets @caller_timeout_ms to the earliest deadline of the job's
+   tasks.  */
 mm_submission *mm_native_submission_parse (const char *body, size_t len,
                                            mm_time_ms *caller_timeout_ms,
                                            GError **error);
--- a/src/mm_native_front.c
+++ b/src/mm_native_front.c
@@ -150,6 +150,16 @@
   return earliest_ms;
 }
 
+/**
+ * mm_native_submission_parse() - parse a job in the JSON of the native
+ * protocol.
+ * @body: JSON text.
+ * @len: length of @body in bytes.
+ * @caller_timeout_ms: set to the earliest deadline of the job's tasks.
+ * @error: MM_ERROR_BAD_REQUEST or MM_ERROR_JOB_SIZE.
+ *
+ * Return: the job, or NULL on error; free with mm_submission_free().
+ */
 mm_submission *
 mm_native_submission_parse (const char *body, size_t len,
                             mm_time_ms *caller_timeout_ms, GError **error)
@@ -339,6 +349,13 @@
   g_clear_error (&error);
 }
 
+/**
+ * mm_native_front_request() - handle a caller's HTTP request.
+ * @req: the request.
+ * @ctx: the mm_front that received it.
+ *
+ * An mm_http_handler.
+ */
 void
 mm_native_front_request (mm_http_request *req, void *ctx)
 {
--- a/src/mm_submission_codec.c
+++ b/src/mm_submission_codec.c
@@ -81,6 +81,13 @@
          && unpack_dependencies (&f[9], step_number, s);
 }
 
+/**
+ * mm_submission_unpack() - decode a job.
+ * @o: object written by mm_submission_pack().
+ *
+ * Return: the job, or NULL when @o is not a valid job; free with
+ * mm_submission_free().
+ */
 mm_submission *
 mm_submission_unpack (const msgpack_object *o)
 {
