--- a/src/mm_run_server.c
+++ b/src/mm_run_server.c
@@ -79,6 +79,18 @@
 
 static void tick_cb (struct ev_loop *loop, ev_timer *w, int revents);
 
+/**
+ * mm_run_server_create() - start the run server of an upstream stand-in.
+ * @loop: event loop.
+ * @name: name of the upstream; the name of the incarnation is made of it and
+ *        of the start time.
+ * @capacity: total capacity of the upstream; copied.
+ * @log_file: takes a JSON line for each start and end as it happens, so that
+ *            the lines up to then survive when the stand-in is killed; "" for
+ *            none.
+ *
+ * Return: the run server; free with mm_run_server_destroy().
+ */
 mm_run_server *
 mm_run_server_create (struct ev_loop *loop, const char *name,
                       const mm_resources *capacity, const char *log_file)
--- a/src/mm_run_server.h
+++ b/src/mm_run_server.h
@@ -28,12 +28,9 @@
   void *ctx;                 /* context pointer for crash */
 } mm_run_server_poison;
 
-/* Starts the run server of an upstream with the name @name and the total
-   capacity @capacity; the name of the incarnation is made of @name and of the
-   start time.  @log_file takes a JSON line for each start and end as it
-   happens, so that the lines up to then survive when the stand-in is killed;
-   "" for none.  Return: the run server; free it with
-   mm_run_server_destroy().  */
+/* Starts the run server of the upstream @name, whose total capacity is
+   @capacity.  @log_file: takes a JSON line for each start and end, "" for
+   none.  */
 mm_run_server *mm_run_server_create (struct ev_loop *loop, const char *name,
                                      const mm_resources *capacity,
                                      const char *log_file);
--- a/src/mm_run_table.c
+++ b/src/mm_run_table.c
@@ -193,6 +193,19 @@
   return true;
 }
 
+/**
+ * mm_run_table_start() - carry out an order to start a run.
+ * @t: the table.
+ * @o: the order.
+ * @required: the resources that the task uses.
+ * @run_ms: how long the task takes.
+ * @now_ms: the time on the upstream's clock.
+ *
+ * Return: the verdict that the upstream answers: MM_CALL_OK if the run was
+ * started now or is running already, otherwise the reason why it was not
+ * started.  MM_CALL_OLD_RUN is also returned while another run of the task is
+ * running.
+ */
 mm_call_verdict
 mm_run_table_start (mm_run_table *t, const mm_order *o,
                     const mm_resources *required, mm_time_ms run_ms,
--- a/src/mm_run_table.h
+++ b/src/mm_run_table.h
@@ -51,10 +51,8 @@
 /* Runs go on, also when they exceed a smaller capacity.  */
 void mm_run_table_set_capacity (mm_run_table *t, const mm_resources *capacity);
 /* Carries out an order to start a run of a task that uses @required and takes
-   @run_ms.  Return: the verdict that the upstream answers: MM_CALL_OK if the
-   run was started now or is running already, otherwise the reason why it was
-   not started.  MM_CALL_OLD_RUN is also returned while another run of the task
-   is running.  */
+   @run_ms.  Return: MM_CALL_OK if the run was started now or is running
+   already, otherwise the reason why it was not started.  */
 mm_call_verdict mm_run_table_start (mm_run_table *t, const mm_order *o,
                                     const mm_resources *required,
                                     mm_time_ms run_ms, mm_time_ms now_ms);
