--- a/src/config.h
+++ b/src/config.h
@@ -387,7 +387,7 @@
 /* Longest wait of a task at an owner; less than MM_GROUP_TTL_MS minus
    MM_GROUP_CONFIRMED_MS.  */
 #define MM_KEPT_START_WITHIN_MS 200
-/* After this time the lease of a task in doubt has lapsed, even if the clock
+/* After this time the lease of a task in doubt has expired, even if the clock
    of its upstream is 2 % slow and the last renewal was long under way.  */
 #define MM_KEPT_LEASE_EXPIRY_MS 1100
 #define MM_KEPT_SEARCH_PAUSE_MS 250 /* between searches for tasks in doubt */
--- a/src/mm_kept_tasks.c
+++ b/src/mm_kept_tasks.c
@@ -380,7 +380,7 @@
 
 /* An upstream that has left the upstream list has no owner that answers for
    it, but may still run tasks under its last lease.  So a task in doubt is
-   searched for only after every such lease must have lapsed.  */
+   searched for only after every such lease must have expired.  */
 void
 mm_kept_tasks_in_doubt (const mm_kept_tasks *k, GHashTable *tasks)
 {
--- a/tests/test_kept.c
+++ b/tests/test_kept.c
@@ -839,9 +839,9 @@
 
 /* An upstream that has left the list has no owner that could report its runs,
    but tasks may still run there under the last lease.  These tasks must not be
-   searched for before that lease has lapsed: the search would find no run, and
-   the tasks would be started again.  */
-START_TEST (task_is_not_searched_for_before_its_lease_lapses)
+   searched for before that lease has expired: the search would find no run,
+   and the tasks would be started again.  */
+START_TEST (task_is_not_searched_for_before_its_lease_expires)
 {
   home_fixture fx = home_fixture_create ();
   mm_job_record *rec = mm_job_record_create (two_steps ("j"), &queue);
@@ -891,7 +891,7 @@
   tcase_add_test (c, cancel_is_answered_only_once_stored);
   tcase_add_test (c, only_the_current_home_answers_no_such_job);
   tcase_add_test (c, later_steps_are_in_doubt_too_after_a_takeover);
-  tcase_add_test (c, task_is_not_searched_for_before_its_lease_lapses);
+  tcase_add_test (c, task_is_not_searched_for_before_its_lease_expires);
   tcase_add_test (c, non_idempotent_task_is_not_restarted_by_the_next_home);
   tcase_add_test (c, job_without_tasks_is_ended_by_the_next_home);
   suite_add_tcase (s, c);
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -247,8 +247,8 @@
 END_TEST
 
 /* An upstream becomes unreachable while a task runs there.  The task must not
-   be started elsewhere before its lease lapses.  The task must be reported as
-   lost when the lease lapses, not only when the upstream is reachable
+   be started elsewhere before its lease expires.  The task must be reported as
+   lost when the lease expires, not only when the upstream is reachable
    again.  */
 START_TEST (disconnected_upstream_loses_its_task_with_the_lease)
 {
@@ -518,7 +518,7 @@
 }
 END_TEST
 
-/* A single hold is lost.  If leases lapsed before the next hold is sent, one
+/* A single hold is lost.  If leases expired before the next hold is sent, one
    lost call would end every task on that upstream.  */
 START_TEST (one_lost_hold_loses_no_task)
 {
@@ -819,7 +819,7 @@
 END_TEST
 
 /* An instance is stalled for three seconds, and a task of a kept job ends
-   meanwhile.  As far as the instance knows, the lease of the run has lapsed,
+   meanwhile.  As far as the instance knows, the lease of the run has expired,
    and it handles the timeout of a call before the list of ends.  If it
    reported the task as lost, the task would be started again 2.5 s after it
    was done.  The task must be reported as in doubt, so that its home searches
