--- a/tests/test_adoption.c
+++ b/tests/test_adoption.c
@@ -431,9 +431,9 @@
   g_free (l);
 }
 
-/* Assigns an upstream to the other instance.  The previous owner is told
-   within 300 ms, or, in half of the cases, learns of the change only when the
-   upstream refuses its calls.  */
+/* Assigns an upstream to the other instance.  It is removed from its
+   previous owner within 300 ms, or, in half of the cases, that owner learns of
+   the change only when the upstream refuses its calls.  */
 static void
 change_owner (fixture *fx, int i)
 {
@@ -446,8 +446,7 @@
                          fake_info (fx->upstreams[i]), ++fx->fence);
 }
 
-/* Tells previous owners, when it is time, that an upstream is not theirs any
-   more.  */
+/* Removes upstreams from their previous owners when it is time.  */
 static void
 disown_upstreams (fixture *fx)
 {
--- a/tests/test_jobs.c
+++ b/tests/test_jobs.c
@@ -155,9 +155,10 @@
 }
 END_TEST
 
-/* An upstream takes a non-idempotent task and freezes, so that its answer
-   never arrives.  The task must not be sent again: the caller gets "unknown"
-   (not "not run") for it, and the upstreams show exactly one start.  */
+/* An upstream takes a non-idempotent task and holds back its answer past the
+   dispatch timeout.  The task must not be sent again: the caller gets
+   "unknown" (not "not run") for it, and the upstreams show exactly one
+   start.  */
 START_TEST (non_idempotent_lost_answer_is_unknown_not_retried)
 {
   h_start_cluster (3, 1, 100);
@@ -404,10 +405,10 @@
 }
 END_TEST
 
-/* The upstream is stalled until after the job's deadline.  The caller must get
-   an answer for all tasks at the deadline: failed, with retry_after_s, tasks
-   that were sent (8, one per slot) as "unknown" and the others as "not run".
-   The upstream's start records must confirm this.  */
+/* The upstream holds back its answers until after the job's deadline.  The
+   caller must get an answer for all tasks at the deadline: failed, with
+   retry_after_s, tasks that were sent (8, one per slot) as "unknown" and the
+   others as "not run".  The upstream's start records must confirm this.  */
 START_TEST (passed_deadline_fails_the_job_and_not_run_is_true)
 {
   h_start_cluster (1, 1, 100);
--- a/tests/test_takeover.c
+++ b/tests/test_takeover.c
@@ -1,4 +1,4 @@
-/* Tests the takeover of a job whose owner dies, freezes, is disconnected or
+/* Tests the takeover of a job whose owner dies, stalls, is disconnected or
    runs during a platform outage, when the job is submitted again at another
    instance.  No task may start twice, and the caller gets the complete
    answer.  */
@@ -111,11 +111,11 @@
 }
 END_TEST
 
-/* Guards against tasks started twice by an owner that resumes after a freeze.
-   It freezes with tasks still waiting, until its membership has expired.  The
+/* Guards against tasks started twice by an owner that resumes after a stall.
+   It stalls with tasks still waiting, until its membership has expired.  The
    job is submitted again and gets a new owner; when the previous one resumes
    where it stopped, its starts must be refused.  */
-START_TEST (frozen_owner_starts_nothing_when_it_wakes)
+START_TEST (stalled_owner_starts_nothing_when_it_resumes)
 {
   start_cluster ();
   char *job = h_job_json ("freeze1", 60, 500, 20000, false);
@@ -128,7 +128,7 @@
   ck_assert (submit_until_complete (other, job, 15000));
   kill (h_instances[owner], SIGCONT);
   g_usleep (1500000);
-  /* The caller that waited at the frozen instance gets the answer too.  */
+  /* The caller that waited at the stalled instance gets the answer too.  */
   ck_assert (h_submit_completed (first));
   assert_started_once ("freeze1", 60);
   g_free (job);
@@ -193,7 +193,7 @@
    over its shards.  Jobs submitted to the disconnected instance must be
    answered, and jobs submitted both there and at a peer must not start
    twice.  */
-START_TEST (instance_cut_off_from_the_platform_passes_its_jobs_on)
+START_TEST (instance_disconnected_from_the_platform_passes_its_jobs_on)
 {
   start_cluster ();
   h_set_platform_faults ("{\"cut\":\"entry0\"}");
@@ -278,10 +278,11 @@
   TCase *tc = tcase_create ("takeover");
   tcase_set_timeout (tc, 90);
   tcase_add_test (tc, killed_owners_job_is_finished_elsewhere);
-  tcase_add_test (tc, frozen_owner_starts_nothing_when_it_wakes);
+  tcase_add_test (tc, stalled_owner_starts_nothing_when_it_resumes);
   tcase_add_test (tc, owner_killed_in_an_outage_leaves_no_double_start);
   tcase_add_test (tc, lost_answers_of_the_log_double_nothing);
-  tcase_add_test (tc, instance_cut_off_from_the_platform_passes_its_jobs_on);
+  tcase_add_test (tc,
+                  instance_disconnected_from_the_platform_passes_its_jobs_on);
   tcase_add_test (tc, all_instances_killed_in_an_outage_double_nothing);
   suite_add_tcase (s, tc);
   tc = tcase_create ("changes");
