--- a/src/mm_contact.c
+++ b/src/mm_contact.c
@@ -1,12 +1,12 @@
 /* mm_contact: what an instance may conclude from failing platform calls.
 
-   Failing calls alone do not tell an outage of the platform from a
-   failure of this instance's own connection.  In an outage no instance
-   can take over the shards of this one, so it may start jobs without
-   records in the log.  When only this instance is disconnected, a peer may
-   own its shards by now.  Peers are pinged to find out: one peer in contact
-   means MM_STANDING_DISCONNECTED, answers only from peers that lost contact
-   mean MM_STANDING_OUTAGE, and no answer at all means MM_STANDING_ALONE.  */
+   Failing calls alone do not distinguish an outage of the platform from a
+   failure of this instance's own connection.  In an outage no instance can
+   take over the shards of this one, so it may start jobs without records in
+   the log.  When only this instance is disconnected, a peer may own its shards
+   by now.  Peers are pinged to find out: one peer in contact means
+   MM_STANDING_DISCONNECTED, answers only from peers that lost contact mean
+   MM_STANDING_OUTAGE, and no answer at all means MM_STANDING_ALONE.  */
 #include "mm_contact.h"
 
 #include "config.h"
--- a/src/mm_entry_job.c
+++ b/src/mm_entry_job.c
@@ -125,7 +125,7 @@
 }
 
 /* Answers a job with the failure in fail_code and fail_why.  @owned: whether
-   this instance is sure to own the job's shard, see finish_open_tasks().  The
+   this instance certainly owns the job's shard, see finish_open_tasks().  The
    answer is stored unless no task of the job ran.  */
 static void
 fail_now (mm_entry_job *ej, bool owned)
@@ -173,7 +173,7 @@
  * @code: mm_error_code.
  * @why: message for the callers; a constant string.
  *
- * This instance may have been frozen and replaced without noticing, and the
+ * This instance may have stalled and been replaced without noticing, and the
  * new owner may have run the tasks.  So the log has to confirm that this
  * instance still owns the shard before an answer calls a task "not run".  That
  * takes one call of at most MM_VERIFY_TIMEOUT_MS.  The answer of a job of
@@ -309,7 +309,7 @@
       requeue (ej, t, "resends_not_run");
       return;
     /* A later owner has raised the job's epoch at the upstream: it replaced
-       this instance, for example while this process was frozen.  The 0 means
+       this instance, for example while this process was stalled.  The 0 means
        that the higher epoch itself is not known here.  */
     case MM_OUTCOME_FENCED:
       t->attempts--;
--- a/src/mm_entry_notify.c
+++ b/src/mm_entry_notify.c
@@ -1,6 +1,6 @@
 /* mm_entry_notify: notifications between the instances of a data centre,
-   sent over their peer links without answers.  One kind tells how many tasks
-   each team has on the sender, which count against the team's quota
+   sent over their peer links without answers.  One kind reports how many
+   tasks each team has on the sender, which count against the team's quota
    (mm_quota.c).  The other kind names an upstream that the sender ejected
    because tasks failed there (mm_pool.c).  A notification that is lost makes
    quotas and placement a little less accurate, but violates no guarantee.  */
--- a/src/mm_entry_recover.c
+++ b/src/mm_entry_recover.c
@@ -1,12 +1,12 @@
 /* mm_entry_recover: takes over a job that an earlier owner accepted.
 
-   The earlier owner died, froze or lost its shard, so only the upstreams know
-   which tasks it started.  Each upstream receives the job's new epoch in a
-   fence request and reports the tasks of the job that started there.  From
+   The earlier owner died, stalled or lost its shard, so only the upstreams
+   know which tasks it started.  Each upstream receives the job's new epoch in
+   a fence request and reports the tasks of the job that started there.  From
    then on it refuses starts with an older epoch.  Once all have reported, a
    task that is in no report has not started and cannot be started by the
-   earlier owner any more, so this instance starts it.  Results are taken
-   over, and running tasks are polled until they end.
+   earlier owner any more, so this instance starts it.  Results are taken over,
+   and running tasks are polled until they end.
 
    When an upstream does not report, or the upstream incarnations differ from
    those listed when the job was accepted, a task may have started on an
--- a/src/mm_entry_shards.c
+++ b/src/mm_entry_shards.c
@@ -157,7 +157,7 @@
  * @e: the entry instance, with peer_addrs from the new member list.
  * @old_addrs: peer_addrs from the previous member list.
  *
- * A frozen peer leaves the member list, but its sockets stay open.  Links to
+ * A stalled peer leaves the member list, but its sockets stay open.  Links to
  * peers that have left are closed here, so that requests to them fail now
  * instead of waiting until their deadline.
  */
--- a/src/mm_kept_tasks.c
+++ b/src/mm_kept_tasks.c
@@ -134,7 +134,7 @@
   k->ev.finished (k->ev.ctx, phase);
 }
 
-/* Notes that the end of a run is to be acknowledged once it is stored.
+/* Records that the end of a run is to be acknowledged once it is stored.
    @owner: the peer that reported it, NULL for this instance.  */
 static void
 add_ack (mm_kept_tasks *k, const mm_task_id *id, uint32_t run_hash,
--- a/src/mm_peer.c
+++ b/src/mm_peer.c
@@ -601,7 +601,7 @@
  * @addr: the peer's "host:peer_port".
  *
  * For a peer that has left the member list.  Its pending requests fail at
- * once: a frozen process keeps its sockets open, so the socket does not
+ * once: a stalled process keeps its sockets open, so the socket does not
  * show that no answer will come.
  */
 void
--- a/src/mm_pool.c
+++ b/src/mm_pool.c
@@ -235,8 +235,8 @@
  * @p: the pool.
  *
  * The set of listed upstreams is remembered by its fingerprint.  An accept
- * record of a job holds such a fingerprint, which tells here which upstreams
- * were listed when the job was accepted.
+ * record of a job holds such a fingerprint, which shows which upstreams were
+ * listed when the job was accepted.
  */
 void
 mm_pool_list_end (mm_pool *p)
--- a/src/mm_shard.c
+++ b/src/mm_shard.c
@@ -6,16 +6,14 @@
      {"kind":"release","by":NAME,"inc":..}          a graceful handover
    "fp" is the fingerprint of the upstreams listed at the accept.
 
-   Every append carries the owner's epoch, a fencing token.  To take the
-   shard, an instance reads the stream to its end, then appends a "take"
-   record with a higher epoch, on the condition that the stream still ends
-   there.  When two instances try at the same time, the log accepts one of
-   the two records.
+   Every append carries the owner's epoch, a fencing token.  To take the shard,
+   an instance reads the stream to its end, then appends a "take" record with a
+   higher epoch, on the condition that the stream still ends there.  When two
+   instances try at the same time, the log accepts one of the two records.
    From then on the log refuses appends with a lower epoch, so the new owner
    has read every job that was ever accepted: a previous owner that was
-   frozen, disconnected or wrongly taken for dead cannot accept another job
-   when it comes back.  A job starts only after its accept record is in the
-   log.
+   stalled, disconnected or wrongly assumed dead cannot accept another job when
+   it comes back.  A job starts only after its accept record is in the log.
 
    At most one append per shard is in flight; jobs that come meanwhile are
    recorded by the next append (group commit), so a slow log leads to larger
@@ -360,8 +358,8 @@
   return res->status == 200 || res->status == 409 || res->status == 412;
 }
 
-/* Makes this instance the owner once the log has its take record, and notes
-   how the previous owner left the shard.  */
+/* Makes this instance the owner once its "take" is in the log, and records how
+   the previous owner left the shard.  */
 static void
 become_owner (mm_shard *s)
 {
@@ -729,7 +727,7 @@
  * Guards against a second run of a job that moves to another instance and
  * back: accept records of this incarnation are skipped when the stream is
  * read, so the job would look new and its tasks would be started twice, as
- * happens after a freeze of this instance.
+ * happens after a stall of this instance.
  */
 void
 mm_shard_add_accepted (mm_shard *s, const char *job_id, uint64_t fingerprint)
--- a/src/mm_task.h
+++ b/src/mm_task.h
@@ -41,7 +41,7 @@
   MM_END_DONE,    /* ran to its end */
   MM_END_FAILED,  /* ran and failed */
   MM_END_STOPPED, /* stopped by an order, on request or as a precaution */
-  MM_END_LOST,    /* upstream lost or lease lapsed; certainly not running */
+  MM_END_LOST,    /* upstream lost or lease expired; certainly not running */
   MM_END_NOT_RUN, /* returned by the owner, never started */
   MM_END_UNKNOWN  /* in doubt: may run for the rest of its lease */
 } mm_end;
--- a/tests/test_succession.c
+++ b/tests/test_succession.c
@@ -126,7 +126,7 @@
    answer.  That owner has not renewed the lease yet, but must not conclude
    that the lease has expired: the task would be started again elsewhere while
    the run goes on under the lease from the previous owner.  */
-START_TEST (run_taken_over_has_not_expired_while_its_first_lease_lasts)
+START_TEST (run_taken_over_is_not_lost_while_its_first_lease_lasts)
 {
   succession s;
   succession_init (&s, false);
@@ -283,8 +283,7 @@
   Suite *s = suite_create ("succession");
   TCase *c = tcase_create ("faults");
   tcase_add_test (c, runs_go_on_under_the_next_owner);
-  tcase_add_test (c,
-                  run_taken_over_has_not_expired_while_its_first_lease_lasts);
+  tcase_add_test (c, run_taken_over_is_not_lost_while_its_first_lease_lasts);
   tcase_add_test (c, task_claimed_before_its_start_is_answered_ends_once);
   tcase_add_test (c, outranked_owner_claims_nothing_of_the_next);
   tcase_add_test (c, starts_refused_together_both_run_elsewhere);
