--- a/src/mm_accepted_jobs.c
+++ b/src/mm_accepted_jobs.c
@@ -51,6 +51,15 @@
   g_hash_table_remove (accepted->jobs, j->job_id);
 }
 
+/**
+ * mm_accepted_jobs_add() - add a job that was accepted before.
+ * @accepted: the set.
+ * @job_id: the job; copied.
+ * @fingerprint: mm_pool_list_fingerprint() when the job was accepted.
+ * @now: mm_clock_now_ms().
+ *
+ * Replaces the entry of a job that is in the set already.
+ */
 void
 mm_accepted_jobs_add (mm_accepted_jobs *accepted, const char *job_id,
                       uint64_t fingerprint, mm_time_ms now)
@@ -77,6 +86,11 @@
   return j != NULL;
 }
 
+/**
+ * mm_accepted_jobs_expire() - drop the jobs whose answers are no longer kept.
+ * @accepted: the set.
+ * @before: jobs that were added before this time are dropped.
+ */
 void
 mm_accepted_jobs_expire (mm_accepted_jobs *accepted, mm_time_ms before)
 {
--- a/src/mm_accepted_jobs.h
+++ b/src/mm_accepted_jobs.h
@@ -9,17 +9,14 @@
 typedef struct mm_accepted_jobs mm_accepted_jobs;
 mm_accepted_jobs *mm_accepted_jobs_create (void);
 void mm_accepted_jobs_destroy (mm_accepted_jobs *accepted);
-/* Adds a job, in place of an older entry; @job_id is copied.  @fingerprint:
-   mm_pool_list_fingerprint() when the job was accepted.  @now:
-   mm_clock_now_ms().  */
+/* Adds a job, in place of an older entry; @job_id is copied.  */
 void mm_accepted_jobs_add (mm_accepted_jobs *accepted, const char *job_id,
                            uint64_t fingerprint, mm_time_ms now);
 /* Returns whether the job is in the set, and sets @fingerprint, unless NULL,
    to the one given when it was added.  */
 bool mm_accepted_jobs_find (const mm_accepted_jobs *accepted,
                             const char *job_id, uint64_t *fingerprint);
-/* Drops the jobs that were added before the time @before, as their answers are
-   no longer kept.  */
+/* Drops the jobs that were added before the time @before.  */
 void mm_accepted_jobs_expire (mm_accepted_jobs *accepted, mm_time_ms before);
 uint32_t mm_accepted_jobs_count (const mm_accepted_jobs *accepted);
 
--- a/src/mm_admission.c
+++ b/src/mm_admission.c
@@ -10,6 +10,19 @@
 
 #include <math.h>
 
+/**
+ * mm_admission_slack_ms() - time for which a job may wait and be on time.
+ * @stretch: factor of the objective on @chain_ms.
+ * @slo_ms: constant part of the objective.
+ * @chain_ms: declared run time of the job's longest chain of steps.
+ *
+ * The objective is that the job ends @stretch * @chain_ms + @slo_ms after its
+ * submission.
+ *
+ * Return: how long the job can wait for free capacity and still meet its
+ * objective: the objective less the run time of the chain, and less
+ * MM_OVERHEAD_MS for the calls to the upstream.
+ */
 mm_time_ms
 mm_admission_slack_ms (double stretch, mm_time_ms slo_ms, mm_time_ms chain_ms)
 {
@@ -24,6 +37,17 @@
                       * (stretch * (double)chain_ms + (double)slo_ms));
 }
 
+/**
+ * mm_admission_limit_ms() - how long an accepted job may wait.
+ * @stretch: factor of the objective on @chain_ms.
+ * @slo_ms: constant part of the objective.
+ * @chain_ms: declared run time of the job's longest chain of steps.
+ *
+ * An answer, though late, is of use to the caller until MM_LATE_FACTOR times
+ * the objective has passed since the job was submitted.
+ *
+ * Return: the longest wait after which such an answer is still possible.
+ */
 mm_time_ms
 mm_admission_limit_ms (double stretch, mm_time_ms slo_ms, mm_time_ms chain_ms)
 {
@@ -39,6 +63,18 @@
   return MAX ((mm_time_ms)limit - MM_OVERHEAD_MS, 0);
 }
 
+/**
+ * mm_admission_decide() - accept or refuse a job.
+ * @load: known load and capacity of the job's service.
+ * @tasks: number of tasks of the job that are ready to start.
+ * @slack_ms: from mm_admission_slack_ms().
+ *
+ * Assumes that places become free at an even rate over a task's run time.
+ * The shortfall is the number of tasks that do not fit on arrival; the last
+ * of them starts after about shortfall / places run times.
+ *
+ * Return: the decision, with the expected wait.
+ */
 mm_admission
 mm_admission_decide (const mm_load *load, uint32_t tasks, mm_time_ms slack_ms)
 {
--- a/src/mm_admission.h
+++ b/src/mm_admission.h
@@ -23,9 +23,8 @@
 } mm_admission;
 
 /* How long a job can wait for free capacity and still meet its objective,
-   which is @stretch * @chain_ms + @slo_ms after its submission: the objective
-   less the run time of the chain, and less MM_OVERHEAD_MS for the calls to the
-   upstream.  @chain_ms: declared run time of its longest chain of steps.  */
+   which is @stretch * @chain_ms + @slo_ms after its submission.  @chain_ms:
+   declared run time of its longest chain of steps.  */
 mm_time_ms mm_admission_slack_ms (double stretch, mm_time_ms slo_ms,
                                   mm_time_ms chain_ms);
 /* How long after its submission a job's answer is of use to the caller:
@@ -41,10 +40,7 @@
 mm_time_ms mm_admission_limit_of_objective_ms (mm_time_ms objective_ms,
                                                mm_time_ms chain_ms);
 /* Accepts or refuses a job of which @tasks tasks are ready to start.
-   @slack_ms: from mm_admission_slack_ms().  Assumes that places become free at
-   an even rate over a task's run time.  The shortfall is the number of tasks
-   that do not fit on arrival; the last of them starts after about
-   shortfall / places run times.  */
+   @slack_ms: from mm_admission_slack_ms().  */
 mm_admission mm_admission_decide (const mm_load *load, uint32_t tasks,
                                   mm_time_ms slack_ms);
 
--- a/src/mm_caller_wait.c
+++ b/src/mm_caller_wait.c
@@ -15,6 +15,15 @@
 
 #include "config.h"
 
+/**
+ * mm_caller_wait_is_too_late() - record a caller and judge its timeout.
+ * @callers: record of the callers of the same queue.
+ * @caller_timeout_ms: how long this caller waits from now on.
+ * @useful_ms: how long after its first request an answer is of use to it.
+ *
+ * Return: true if the caller has sent the job before, so long ago that an
+ * answer is of no use to it any more.
+ */
 bool
 mm_caller_wait_is_too_late (mm_caller_wait *callers,
                             mm_time_ms caller_timeout_ms, mm_time_ms useful_ms)
--- a/src/mm_caller_wait.h
+++ b/src/mm_caller_wait.h
@@ -13,10 +13,9 @@
   bool seen; /* at least one caller was recorded */
 } mm_caller_wait;
 
-/* Records a caller of the queue that waits for @caller_timeout_ms from now on;
-   an answer is of use to it until @useful_ms after its first request.  Returns
-   true if the caller has sent the job before, so long ago that an answer is of
-   no use to it any more.  */
+/* Records a caller of the queue that waits for @caller_timeout_ms from now on.
+   Returns true if it has sent the job before, so long ago that an answer, of
+   use until @useful_ms after its first request, is of no use any more.  */
 bool mm_caller_wait_is_too_late (mm_caller_wait *callers,
                                  mm_time_ms caller_timeout_ms,
                                  mm_time_ms useful_ms);
