--- a/src/mm_breaker.c
+++ b/src/mm_breaker.c
@@ -8,6 +8,15 @@
 
 #include "config.h"
 
+/**
+ * mm_breaker_record() - record the outcome of a run at the upstream.
+ * @b: the upstream's circuit breaker.
+ * @ok: true when the task succeeded; false when it failed or could not start.
+ * @now_ms: the current time.
+ *
+ * A failure while the breaker is half-open opens it again at once, for twice
+ * as long as before, up to MM_BREAKER_MAX_DOUBLINGS doublings.
+ */
 void
 mm_breaker_record (mm_breaker *b, bool ok, mm_time_ms now_ms)
 {
--- a/src/mm_breaker.h
+++ b/src/mm_breaker.h
@@ -16,10 +16,8 @@
   bool on_trial;
 } mm_breaker;
 
-/* Records the outcome of a run at the upstream.  @ok: true when the task
-   succeeded; false when it failed or could not start.  A failure while the
-   breaker is half-open opens it again at once, for twice as long as before, up
-   to MM_BREAKER_MAX_DOUBLINGS doublings.  */
+/* Records the outcome of a run at the upstream.  @ok: false when the task
+   failed or could not start.  */
 void mm_breaker_record (mm_breaker *b, bool ok, mm_time_ms now_ms);
 /* Returns whether another task may start while @running tasks run there. While
    the breaker is half-open, one task at a time may run.  */
--- a/src/mm_rto.c
+++ b/src/mm_rto.c
@@ -50,6 +50,13 @@
   r->max_timeout_ms = MAX (r->max_timeout_ms, LATE_MARGIN * (double)took_ms);
 }
 
+/**
+ * mm_rto_ms() - compute the timeout of the next call.
+ * @r: answer times of the upstream.
+ *
+ * Return: between MM_RTO_MIN_MS and MM_RTO_MAX_MS; MM_RTO_MAX_MS before the
+ * first answer; up to MM_RTO_LATE_MAX_MS after late answers.
+ */
 mm_time_ms
 mm_rto_ms (const mm_rto *r)
 {
@@ -63,6 +70,18 @@
   return (mm_time_ms)MIN (ceil (rto_ms), max_timeout_ms);
 }
 
+/**
+ * mm_rto_floor_late() - record an answer that came after its timeout.
+ * @f: the lower bound of the timeouts of all upstreams.
+ * @upstream: identifies the upstream that answered.
+ * @took_ms: time between the call and the answer.
+ * @now_ms: the current time.
+ *
+ * One late answer may be due to a slow upstream.  Late answers of two
+ * upstreams within MM_RTO_COMMON_CAUSE_MS have a cause that both share, such
+ * as our link or our processor.  For MM_RTO_FLOOR_TTL_MS every timeout is then
+ * at least LATE_MARGIN times @took_ms, capped at MM_RTO_LATE_MAX_MS.
+ */
 void
 mm_rto_floor_late (mm_rto_floor *f, const void *upstream, mm_time_ms took_ms,
                    mm_time_ms now_ms)
--- a/src/mm_rto.h
+++ b/src/mm_rto.h
@@ -27,9 +27,7 @@
 void mm_rto_unanswered (mm_rto *r);
 /* Records an answer that came after its timeout.  */
 void mm_rto_late (mm_rto *r, mm_time_ms took_ms);
-/* Returns the timeout of the next call: between MM_RTO_MIN_MS and
-   MM_RTO_MAX_MS; MM_RTO_MAX_MS before the first answer; up to
-   MM_RTO_LATE_MAX_MS after late answers.  */
+/* Returns the timeout of the next call.  */
 mm_time_ms mm_rto_ms (const mm_rto *r);
 
 /* Lower bound of the timeouts of all upstreams.  A delay of the answers of
@@ -43,10 +41,8 @@
 } mm_rto_floor;
 
 /* Records an answer of @upstream that came after its timeout, @took_ms after
-   the call.  One late answer may be due to a slow upstream.  Late answers of
-   two upstreams within MM_RTO_COMMON_CAUSE_MS have a cause that both share,
-   such as our link or our processor: then raises the lower bound to more than
-   @took_ms, MM_RTO_LATE_MAX_MS at most, for MM_RTO_FLOOR_TTL_MS.  */
+   the call.  Raises the lower bound for a while when two upstreams answer late
+   at about the same time.  */
 void mm_rto_floor_late (mm_rto_floor *f, const void *upstream,
                         mm_time_ms took_ms, mm_time_ms now_ms);
 /* Returns the lower bound, 0: none.  */
--- a/src/mm_suspects.c
+++ b/src/mm_suspects.c
@@ -47,6 +47,11 @@
   g_free (l);
 }
 
+/**
+ * mm_suspects_create() - create an empty record of losses.
+ *
+ * Return: the record; free with mm_suspects_destroy().
+ */
 mm_suspects *
 mm_suspects_create (void)
 {
@@ -189,6 +194,13 @@
                    && from->unresponsive_since_ms > l->verdict_ms;
 }
 
+/**
+ * mm_suspects_record() - record an upstream that was lost with tasks running.
+ * @s: the record of losses.
+ * @from: the loss as seen by this or by another instance; copied.
+ *
+ * Calls the callback of mm_suspects_on_changed() if this changes the record.
+ */
 void
 mm_suspects_record (mm_suspects *s, const mm_loss *from)
 {
