--- a/src/mm_exec.c
+++ b/src/mm_exec.c
@@ -406,6 +406,14 @@
   return known_ms ? mm_clock_now_ms () - known_ms : -1;
 }
 
+/**
+ * mm_exec_start() - order the upstream to start a task.
+ * @x: the session; must be mm_exec_usable(), and the task must fit
+ *     mm_exec_free_capacity().
+ * @t: the task; copied.
+ * @work: the owner's handle of the task, passed to run_ended() when the run
+ *        ends.
+ */
 void
 mm_exec_start (mm_exec *x, const mm_task_request *t, void *work)
 {
@@ -442,6 +450,13 @@
   return NULL;
 }
 
+/**
+ * mm_exec_stop() - order the stop of a run.
+ * @x: the session.
+ * @work: the handle of the run's task, as given to mm_exec_start().
+ *
+ * The end of the run is reported later.
+ */
 void
 mm_exec_stop (mm_exec *x, void *work)
 {
@@ -487,6 +502,21 @@
   return true;
 }
 
+/**
+ * mm_exec_create() - start a session with an upstream.
+ * @u: the upstream; copied.
+ * @fence: this instance's fencing token there, higher than that of any
+ *         earlier owner.
+ * @port: functions that call the upstream; copied.
+ * @common: shared with the other sessions; must outlive this one.
+ * @events: notifications to the owner; copied.
+ *
+ * The first hold makes the fencing token known to the upstream and lists the
+ * runs that an earlier owner started.  Nothing is started until that hold is
+ * answered.
+ *
+ * Return: the session; free with mm_exec_destroy().
+ */
 mm_exec *
 mm_exec_create (const mm_upstream_info *u, uint64_t fence,
                 const mm_exec_port *port, mm_exec_common *common,
@@ -554,6 +584,11 @@
                 MM_INT (now->gpus));
 }
 
+/**
+ * mm_exec_update() - apply a changed list entry of the upstream.
+ * @x: the session.
+ * @u: the entry, with the same name; copied.
+ */
 void
 mm_exec_update (mm_exec *x, const mm_upstream_info *u)
 {
--- a/src/mm_exec.h
+++ b/src/mm_exec.h
@@ -164,12 +164,8 @@
   mm_exec_list_age list_age;
 } mm_exec_common;
 
-/* Starts a session with an upstream.  @u is copied.  @fence: this instance's
-   fencing token there, higher than that of any earlier owner.  @port and
-   @events are copied; @common must outlive the session.  The first hold makes
-   the fencing token known to the upstream and lists the runs that an earlier
-   owner started; nothing is started until that hold is answered.  Free with
-   mm_exec_destroy().  */
+/* Starts a session with an upstream; free with mm_exec_destroy().  @common
+   must outlive it, the other arguments are copied.  */
 mm_exec *mm_exec_create (const mm_upstream_info *u, uint64_t fence,
                          const mm_exec_port *port, mm_exec_common *common,
                          const mm_exec_events *events);
@@ -203,8 +199,7 @@
 const mm_upstream_info *mm_exec_info (const mm_exec *x); /* list entry */
 uint64_t mm_exec_fence (const mm_exec *x); /* our fencing token there */
 /* Orders the start of a task, which must fit the free capacity; the session
-   must be usable.  @work: the owner's handle of the task, passed to
-   run_ended().  */
+   must be usable.  @work is passed to run_ended().  */
 void mm_exec_start (mm_exec *x, const mm_task_request *t, void *work);
 /* Orders the stop of the run of the task with the handle @work.  The end of
    the run is reported later.  */
@@ -226,12 +221,8 @@
 /* Ends of this job's runs need no acknowledgement from now on.  That includes
    runs that are being stopped and end after this call.  */
 void mm_exec_forget_job (mm_exec *x, const char *job_id);
-/* Returns whether the runs on the upstream are known.  True once a hold has
-   listed them, and also when the upstream was out of contact for longer than
-   any lease: an upstream that knows this instance's fencing token lets no
-   earlier owner renew a lease.  True as well if another incarnation has
-   replaced the upstream; otherwise false when the session is fenced or
-   closed.  */
+/* Returns whether the runs on the upstream are known: listed by a hold, or
+   ended with their leases or with the incarnation.  */
 bool mm_exec_runs_confirmed (const mm_exec *x);
 /* Number of runs of @tasks, a set of mm_task_id.  */
 uint32_t mm_exec_count_runs_of (const mm_exec *x, GHashTable *tasks);
--- a/src/mm_exec_hold.c
+++ b/src/mm_exec_hold.c
@@ -198,11 +198,17 @@
   return lossy ? MM_HOLD_WAIT_LOSSY_MS : MM_HOLD_WAIT_MS;
 }
 
-/* While there are runs, one hold is always waiting at the upstream.  After a
-   hold without an answer, the next one does not renew the leases: while only
-   the answers are lost, leases must not be renewed for ever.  Once nothing
-   runs on an upstream that answers, a hold is sent only to acknowledge
-   ends.  */
+/**
+ * mm_exec_tick() - run the session's timers.
+ * @x: the session.
+ *
+ * Call it each MM_EXEC_TICK_MS.
+ *
+ * While there are runs, one hold is always waiting at the upstream.  After a
+ * hold without an answer, the next one does not renew the leases: while only
+ * the answers are lost, leases must not be renewed for ever.  Once nothing
+ * runs on an upstream that answers, a hold is sent only to acknowledge ends.
+ */
 void
 mm_exec_tick (mm_exec *x)
 {
--- a/src/mm_exec_http.c
+++ b/src/mm_exec_http.c
@@ -173,6 +173,13 @@
         h->timeout_ms, on_hold, &p);
 }
 
+/**
+ * mm_exec_http_create() - create a caller of upstreams with one interface.
+ * @client: sends the calls; must outlive the returned object.
+ * @wire: encoding of the interface; must outlive the returned object.
+ *
+ * Return: the object; free with mm_exec_http_destroy().
+ */
 mm_exec_http *
 mm_exec_http_create (mm_http_client *client, const mm_exec_wire *wire)
 {
--- a/src/mm_exec_http.h
+++ b/src/mm_exec_http.h
@@ -37,9 +37,8 @@
 
 typedef struct mm_exec_http mm_exec_http;
 
-/* Creates a caller of upstreams with one interface.  @client sends the calls;
-   @client and @wire must outlive the returned object.  Free with
-   mm_exec_http_destroy().  */
+/* Creates a caller of upstreams with one interface; free with
+   mm_exec_http_destroy().  @client and @wire must outlive it.  */
 mm_exec_http *mm_exec_http_create (mm_http_client *client,
                                    const mm_exec_wire *wire);
 void mm_exec_http_destroy (mm_exec_http *x);
--- a/src/mm_exec_state.c
+++ b/src/mm_exec_state.c
@@ -129,6 +129,16 @@
     }
 }
 
+/**
+ * mm_exec_runs_confirmed() - whether the runs on the upstream are known.
+ * @x: the session.
+ *
+ * Return: true once a hold has listed the runs, and also when the upstream was
+ * out of contact for longer than any lease: an upstream that knows this
+ * instance's fencing token lets no earlier owner renew a lease.  True as well
+ * if another incarnation has replaced the upstream; otherwise false when the
+ * session is fenced or closed.
+ */
 bool
 mm_exec_runs_confirmed (const mm_exec *x)
 {
