--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -193,6 +193,12 @@
   mm_owner_orphan_all (owned->owner, owned, "fenced");
 }
 
+/**
+ * mm_owner_create() - create an owner without upstreams.
+ * @port: the calls that reach upstreams; copied.
+ *
+ * Return: the owner; free with mm_owner_destroy().
+ */
 mm_owner *
 mm_owner_create (const mm_exec_port *port)
 {
@@ -243,6 +249,15 @@
   g_free (o);
 }
 
+/**
+ * mm_owner_add_upstream() - start to own an upstream.
+ * @o: the owner.
+ * @u: the upstream; copied.
+ * @fence: this instance's fencing token there.
+ *
+ * If the upstream is owned already, a higher token than before begins a new
+ * session; otherwise a handover that has begun is cancelled.
+ */
 void
 mm_owner_add_upstream (mm_owner *o, const mm_upstream_info *u, uint64_t fence)
 {
@@ -479,6 +494,16 @@
   o->starting = false;
 }
 
+/**
+ * mm_owner_submit() - queue a task until there is free capacity for it.
+ * @o: the owner.
+ * @t: the task; copied.
+ * @done: called once with the outcome, after this function has returned,
+ *        unless the task is cancelled before.
+ * @ctx: for @done.
+ *
+ * Return: a handle for mm_owner_cancel(), valid until @done.
+ */
 mm_work *
 mm_owner_submit (mm_owner *o, const mm_task_request *t, mm_work_done done,
                  void *ctx)
@@ -510,6 +535,14 @@
   return w;
 }
 
+/**
+ * mm_owner_cancel() - cancel a task whose submitter waits no longer.
+ * @o: the owner.
+ * @w: the task's handle; not valid after this call.
+ *
+ * The task's @done is not called.  A task that runs here is stopped, one that
+ * waits is removed from the queue.
+ */
 void
 mm_owner_cancel (mm_owner *o, mm_work *w)
 {
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -77,8 +77,8 @@
   void *ctx;
 } mm_owner_transfer_port;
 
-/* Creates an owner without upstreams.  @port: the calls that reach them;
-   copied.  Free with mm_owner_destroy().  */
+/* Creates an owner without upstreams; @port is copied.  Free with
+   mm_owner_destroy().  */
 mm_owner *mm_owner_create (const mm_exec_port *port);
 /* Sets the bandwidth of the uplink on which orders are sent, in Mbit/s, 0: no
    limit.  */
@@ -92,9 +92,8 @@
 void mm_owner_set_suspects (mm_owner *o, mm_suspects *s);
 /* Frees the owner and its tasks; calls no @done.  */
 void mm_owner_destroy (mm_owner *o);
-/* Starts to own an upstream.  @u is copied; @fence: this instance's fencing
-   token there.  If the upstream is owned already, a higher token than before
-   begins a new session; otherwise a handover that has begun is cancelled.  */
+/* Starts to own an upstream, or cancels a handover of it that has begun; @u is
+   copied.  @fence: this instance's fencing token there.  */
 void mm_owner_add_upstream (mm_owner *o, const mm_upstream_info *u,
                             uint64_t fence);
 /* Applies a changed list entry of an upstream, whoever owns it.  Starts no
@@ -113,17 +112,16 @@
 bool mm_owner_fenced (const mm_owner *o, const char *upstream);
 /* Names of the owned upstreams; free the list, not the names.  */
 GList *mm_owner_upstream_names (const mm_owner *o);
-/* Returns whether the upstream can be released: it is frozen and nothing runs
-   there, or it is not owned.  */
+/* Returns whether the upstream can be released: it is being handed over and
+   nothing runs there, or it is not owned.  */
 bool mm_owner_idle (const mm_owner *o, const char *upstream);
-/* Queues a task until there is free capacity; @t is copied.  @done: called
-   once with the outcome, after this function has returned, unless the task is
-   cancelled before.  Returns a handle that is valid until @done.  */
+/* Queues a task until there is free capacity; @t is copied.  Returns a handle
+   that is valid until @done, which is called after this function has
+   returned.  */
 mm_work *mm_owner_submit (mm_owner *o, const mm_task_request *t,
                           mm_work_done done, void *ctx);
-/* Cancels a task whose submitter waits no longer; its @done is not called, and
-   the handle @w is not valid after this call.  A task that runs here is
-   stopped, one that waits is removed from the queue.  */
+/* Cancels a task; its @done is not called, and the handle @w is not valid
+   after this call.  */
 void mm_owner_cancel (mm_owner *o, mm_work *w);
 /* Acknowledges the end of a kept job's run, which is stored now.  @hash:
    mm_run_hash() of the run.  */
@@ -133,9 +131,7 @@
    instance can own its upstreams.  */
 void mm_owner_set_confirmed (mm_owner *o, bool confirmed);
 /* Searches here for @tasks, a set of mm_task_id, which are in doubt at their
-   home.  Adds to @out the upstreams on which none of the tasks runs or will be
-   started by this owner, ends of the tasks that are not acknowledged, and the
-   number of the tasks that wait or run here.  */
+   home, and adds the result to @out.  */
 void mm_owner_search (const mm_owner *o, GHashTable *tasks,
                       mm_search_result *out);
 /* Adds copies of the ids of jobs for which ends of a previous owner's runs are
@@ -162,10 +158,7 @@
 void mm_owner_transferred_end (void *work, const mm_work_result *r);
 void mm_owner_tick (mm_owner *o); /* call each MM_EXEC_TICK_MS */
 /* Capacity and load of a service here, in tasks of the average size of those
-   submitted recently.  An upstream has no places while it is not in service,
-   while its circuit breaker is open, or when a handover begins that ends
-   before an average task would.  A suspect upstream has places, but none of
-   them counts as free.  */
+   submitted recently.  */
 mm_capacity_report mm_owner_report (const mm_owner *o, const char *service);
 /* Computes the totals over all services.  */
 mm_owner_gauges mm_owner_measure (const mm_owner *o);
--- a/src/mm_owner_adopt.c
+++ b/src/mm_owner_adopt.c
@@ -57,6 +57,15 @@
   g_hash_table_replace (o->orphans, &w->request.id, w);
 }
 
+/**
+ * mm_owner_orphan_all() - detach all tasks from an upstream.
+ * @o: the owner.
+ * @owned: the upstream, which is no longer owned here.
+ * @why: the reason reported for tasks that cannot be transferred.
+ *
+ * Tasks that can be transferred are kept as orphans until the next owner
+ * requests their runs, for MM_ORPHAN_TIMEOUT_MS at most.
+ */
 void
 mm_owner_orphan_all (mm_owner *o, mm_owned_upstream *owned, const char *why)
 {
--- a/src/mm_owner_kept.c
+++ b/src/mm_owner_kept.c
@@ -50,6 +50,14 @@
     }
 }
 
+/**
+ * mm_owner_search() - search here for tasks that are in doubt at their home.
+ * @o: the owner.
+ * @tasks: a set of mm_task_id.
+ * @out: the result is added to it: upstreams on which none of the tasks runs
+ *       or will be started by this owner, ends of the tasks that are not
+ *       acknowledged, and the number of the tasks that wait or run here.
+ */
 void
 mm_owner_search (const mm_owner *o, GHashTable *tasks, mm_search_result *out)
 {
--- a/src/mm_owner_priv.h
+++ b/src/mm_owner_priv.h
@@ -55,7 +55,7 @@
   mm_owner_transfer_port transfer_port; /* callbacks that transfer runs */
   mm_suspects *suspects;      /* NULL: suspected tasks are not recorded */
   uint64_t last_arrival;      /* arrival number of the last task */
-  mm_time_ms handover_end_ms; /* all frozen upstreams are idle by then */
+  mm_time_ms handover_end_ms; /* all handovers have ended by then */
   double average_run_ms;      /* average declared run time, for reports */
   double average_cpu_milli;   /* average declared cpu of a task, for reports */
   double average_place_ms;    /* average time for which a run used its place,
@@ -70,9 +70,7 @@
 
 /* mm_owner_adopt.c */
 /* Detaches all tasks that run at @owned, which is no longer owned here.  Tasks
-   that can be transferred are kept as orphans until the next owner requests
-   their runs, for MM_ORPHAN_TIMEOUT_MS at most; the others are reported with
-   the reason @why.  */
+   that cannot be transferred are reported with the reason @why.  */
 void mm_owner_orphan_all (mm_owner *o, mm_owned_upstream *owned,
                           const char *why);
 /* Attaches a submitted task to its run at @w->request.running_at.  */
@@ -111,7 +109,7 @@
 void mm_owner_finish (mm_work *w, mm_end how, const char *upstream,
                       uint32_t run, mm_time_ms ran_ms, const char *why);
 /* Returns whether a task of this estimated run time may start at @owned now:
-   if it is frozen, only one that ends before the handover.  */
+   if it is being handed over, only one that ends before the handover does.  */
 bool mm_owner_ends_before_handover (const mm_owned_upstream *owned,
                                     double run_ms, mm_time_ms now);
 
--- a/src/mm_owner_report.c
+++ b/src/mm_owner_report.c
@@ -16,6 +16,19 @@
   return MAX (cpu, 1);
 }
 
+/**
+ * mm_owner_report() - report capacity and load of a service here.
+ * @o: the owner.
+ * @service: the service.
+ *
+ * Capacity is counted in tasks of the average size of those submitted
+ * recently.  An upstream has no places while it is not in service, while its
+ * circuit breaker is open, or while it is being handed over and the handover
+ * ends before an average task would.  A suspect upstream has places, but none
+ * of them counts as free.
+ *
+ * Return: the report.
+ */
 mm_capacity_report
 mm_owner_report (const mm_owner *o, const char *service)
 {
@@ -106,6 +119,12 @@
   return names;
 }
 
+/**
+ * mm_owner_dump() - format the owner's state as JSON, for operators.
+ * @o: the owner.
+ *
+ * Return: newly allocated text; free with free().
+ */
 char *
 mm_owner_dump (const mm_owner *o)
 {
