--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -155,6 +155,21 @@
   g_free (t);
 }
 
+/**
+ * mm_fleet_submit() - dispatch a task to this instance or a connected peer.
+ * @f: the fleet.
+ * @t: the task; copied.
+ * @returned_by: the owner that has just returned the task without running it,
+ *               "" for this instance, or NULL.
+ * @done: called once, after this function has returned, unless the ticket is
+ *        cancelled first.
+ * @ctx: for @done.
+ *
+ * The task waits at the owner if no capacity is free there.
+ *
+ * Return: a ticket valid until @done, or NULL when neither this instance nor a
+ * connected peer reports any capacity for the service, free or in use.
+ */
 mm_dispatched_task *
 mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
                  const char *returned_by, mm_work_done done, void *ctx)
--- a/src/mm_fleet.h
+++ b/src/mm_fleet.h
@@ -32,12 +32,9 @@
    Waiting tasks are counted only if they go before a job of this priority.  */
 mm_load mm_fleet_load (const mm_fleet *f, const char *service,
                        uint32_t priority);
-/* Dispatches a task to this instance or to a connected peer; the task waits
-   there if no capacity is free.  @returned_by: the owner that has just
-   returned the task without running it, "" for this instance, or NULL.  @done:
-   called once, after this function has returned, unless the ticket is
-   cancelled first.  Returns NULL when neither this instance nor a connected
-   peer reports any capacity for the service, free or in use.  */
+/* Dispatches a task to this instance or to a connected peer.  Returns a ticket
+   that is valid until @done, or NULL when none of them reports any capacity
+   for the service.  */
 mm_dispatched_task *mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
                                      const char *returned_by,
                                      mm_work_done done, void *ctx);
--- a/src/mm_list_share.c
+++ b/src/mm_list_share.c
@@ -224,6 +224,20 @@
   mm_list_update_clear (&update);
 }
 
+/**
+ * mm_list_share_create() - follow the upstream list together with the other
+ * instances.
+ * @port: the store; copied.
+ * @catalog: filled from own reads and from the updates of peers; must outlive
+ *           the returned object.
+ * @mesh: the other instances; must outlive the returned object.
+ * @self: the name of this instance in the mesh.
+ * @changed: called after a full read, and after a peer's update that changed
+ *           the catalog, but not after own reads of changes.
+ * @ctx: for @changed.
+ *
+ * Return: the shared list; free with mm_list_share_destroy().
+ */
 mm_list_share *
 mm_list_share_create (const mm_store_port *port, mm_catalog *catalog,
                       mm_mesh *mesh, const char *self, mm_list_changed changed,
--- a/src/mm_list_share.h
+++ b/src/mm_list_share.h
@@ -27,9 +27,8 @@
 typedef void (*mm_list_changed) (void *ctx);
 
 /* Follows the upstream list together with the other instances, and fills
-   @catalog from own reads and from the updates of peers.  @port is copied;
-   @catalog and @mesh must outlive the returned object.  @self: the name of
-   this instance in the mesh.  Free with mm_list_share_destroy().  */
+   @catalog.  @catalog and @mesh must outlive the returned object; free with
+   mm_list_share_destroy().  */
 mm_list_share *mm_list_share_create (const mm_store_port *port,
                                      mm_catalog *catalog, mm_mesh *mesh,
                                      const char *self, mm_list_changed changed,
--- a/src/mm_neighbours.c
+++ b/src/mm_neighbours.c
@@ -76,6 +76,21 @@
     }
 }
 
+/**
+ * mm_neighbours_choose() - choose the instances to link to.
+ * @self: the name of this instance.
+ * @own_datacentre: the data centre of this instance.
+ * @candidates: the other known instances.
+ * @n: number of @candidates.
+ * @now: the current time.
+ * @chosen: an array of @n values; set to whether each candidate gets a link.
+ *
+ * Chooses at most MM_NEIGHBOURS_NEAR instances of the own data centre, and at
+ * most MM_NEIGHBOURS_FAR of the other data centres together, of which at most
+ * MM_NEIGHBOURS_FAR_EACH of any one.  In addition chooses every instance that
+ * is standby for a data centre, as no other instance owns that data centre's
+ * upstreams.
+ */
 void
 mm_neighbours_choose (const char *self, const char *own_datacentre,
                       const mm_neighbour *candidates, size_t n, mm_time_ms now,
--- a/src/mm_neighbours.h
+++ b/src/mm_neighbours.h
@@ -14,12 +14,7 @@
 } mm_neighbour;
 
 /* Sets in @chosen, an array of @n values, whether each of the @n candidates
-   gets a link.  @self: the name of this instance.  @candidates: the other
-   known instances.  Chooses at most MM_NEIGHBOURS_NEAR instances of the own
-   data centre, and at most MM_NEIGHBOURS_FAR of the other data centres
-   together, of which at most MM_NEIGHBOURS_FAR_EACH of any one.  In addition
-   chooses every instance that is standby for a data centre, as only standbys
-   own the upstreams there.  */
+   gets a link.  */
 void mm_neighbours_choose (const char *self, const char *own_datacentre,
                            const mm_neighbour *candidates, size_t n,
                            mm_time_ms now, bool *chosen);
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -23,6 +23,15 @@
   mm_owner_update_upstream (((mm_ownership *)ctx)->owner, u);
 }
 
+/**
+ * mm_ownership_create() - keep sessions with the upstreams of the partitions
+ * that this instance owns.
+ * @catalog: the upstream list; must outlive the returned object.
+ * @owner: keeps the sessions; must outlive the returned object.
+ * @partitions: source of the partitions that this instance owns; copied.
+ *
+ * Return: the ownership; free with mm_ownership_destroy().
+ */
 mm_ownership *
 mm_ownership_create (mm_catalog *catalog, mm_owner *owner,
                      const mm_ownership_partitions *partitions)
@@ -53,7 +62,7 @@
 }
 
 /* Closes the sessions with upstreams whose partitions are assigned elsewhere,
-   and freezes the sessions with upstreams whose partitions are being released.
+   and begins the handover of upstreams whose partitions are being released.
    Does not wait for a fresh list: the next owner may already start tasks.  */
 static void
 release_sessions (mm_ownership *ownership)
--- a/src/mm_ownership.h
+++ b/src/mm_ownership.h
@@ -32,8 +32,8 @@
   void *ctx;
 } mm_ownership_partitions;
 
-/* @owner keeps the sessions.  @catalog and @owner must outlive the returned
-   object; @partitions is copied.  Free with mm_ownership_destroy().  */
+/* @catalog and @owner must outlive the returned object; @partitions is copied.
+   Free with mm_ownership_destroy().  */
 mm_ownership *mm_ownership_create (mm_catalog *catalog, mm_owner *owner,
                                    const mm_ownership_partitions *partitions);
 void mm_ownership_destroy (mm_ownership *ownership);
--- a/src/mm_queue_delay.c
+++ b/src/mm_queue_delay.c
@@ -3,6 +3,15 @@
 
 #include "config.h"
 
+/**
+ * mm_queue_delay_record_ms() - record a message and get its queueing delay.
+ * @delay: the state for the messages of this sender; zero-initialised.
+ * @sent_ms: when the message was sent, by the sender's clock.
+ * @now_ms: when the message was received, by this instance's clock.
+ *
+ * Return: how much longer the message took than the fastest recent message of
+ * the same sender, in ms.
+ */
 mm_time_ms
 mm_queue_delay_record_ms (mm_queue_delay *delay, mm_time_ms sent_ms,
                           mm_time_ms now_ms)
--- a/src/mm_queue_delay.h
+++ b/src/mm_queue_delay.h
@@ -25,9 +25,8 @@
 } mm_queue_delay;
 
 /* Records a message that was sent at @sent_ms by the sender's clock and
-   received at @now_ms by this instance's clock.  Returns its queueing delay:
-   how many ms longer it took than the fastest recent message of the same
-   sender.  */
+   received at @now_ms by this instance's clock.  Returns its queueing
+   delay.  */
 mm_time_ms mm_queue_delay_record_ms (mm_queue_delay *delay, mm_time_ms sent_ms,
                                      mm_time_ms now_ms);
 
--- a/src/mm_store_http.c
+++ b/src/mm_store_http.c
@@ -9,6 +9,13 @@
   char *base; /* "http://ip:port" */
 };
 
+/**
+ * mm_store_http_create() - create a client for the calls to a store.
+ * @client: makes the calls; must outlive the returned object.
+ * @addr: the store's "ip:port"; copied.
+ *
+ * Return: the client; free with mm_store_http_destroy().
+ */
 mm_store_http *
 mm_store_http_create (mm_http_client *client, const char *addr)
 {
--- a/src/mm_store_http.h
+++ b/src/mm_store_http.h
@@ -24,8 +24,8 @@
   void *ctx; /* argument of the callback */
 } mm_store_call;
 
-/* @client makes the calls and must outlive the returned object; @addr: the
-   store's "ip:port".  Free with mm_store_http_destroy().  */
+/* @client must outlive the returned object; @addr: the store's "ip:port".
+   Free with mm_store_http_destroy().  */
 mm_store_http *mm_store_http_create (mm_http_client *client, const char *addr);
 void mm_store_http_destroy (mm_store_http *s);
 /* Sends a call.  Takes ownership of @path and @body (NULL: none).  @done is
