--- a/src/mm_fleet.c
+++ b/src/mm_fleet.c
@@ -161,13 +161,13 @@
  * @t: the task; copied.
  * @returned_by: the owner that has just returned the task without running it,
  *               "" for this instance, or NULL.
- * @done: called once, after this function has returned, unless the ticket is
+ * @done: called once, after this function has returned, unless the task is
  *        cancelled first.
  * @ctx: for @done.
  *
  * The task waits at the owner if no capacity is free there.
  *
- * Return: a ticket valid until @done, or NULL when neither this instance nor a
+ * Return: a handle valid until @done, or NULL when neither this instance nor a
  * connected peer reports any capacity for the service, free or in use.
  */
 mm_dispatched_task *
@@ -194,10 +194,10 @@
   int best = mm_dispatch_choose (choices, n);
   if (best < 0)
     return NULL;
-  mm_dispatched_task *ticket = g_new0 (mm_dispatched_task, 1);
-  ticket->fleet = f;
-  ticket->done = done;
-  ticket->ctx = ctx;
+  mm_dispatched_task *handle = g_new0 (mm_dispatched_task, 1);
+  handle->fleet = f;
+  handle->done = done;
+  handle->ctx = ctx;
   mm_metrics_count (MM_CT_TASKS_HANDED);
   mm_log_event (MM_EV_TASK_HANDED, MM_TASK (&t->id),
                 MM_TEXT (best ? owners[best].name : "self"),
@@ -205,11 +205,11 @@
                 MM_INT (owners[best].capacity.waiting),
                 MM_INT (owners[best].age_ms), MM_INT (t->attempt));
   if (best == 0)
-    ticket->work = mm_owner_submit (f->owner, t, on_done, ticket);
+    handle->work = mm_owner_submit (f->owner, t, on_done, handle);
   else
-    ticket->remote
-        = mm_mesh_submit (f->mesh, owners[best].name, t, on_done, ticket);
-  return ticket;
+    handle->remote
+        = mm_mesh_submit (f->mesh, owners[best].name, t, on_done, handle);
+  return handle;
 }
 
 void
--- a/src/mm_fleet.h
+++ b/src/mm_fleet.h
@@ -32,13 +32,13 @@
    Waiting tasks are counted only if they go before a job of this priority.  */
 mm_load mm_fleet_load (const mm_fleet *f, const char *service,
                        uint32_t priority);
-/* Dispatches a task to this instance or to a connected peer.  Returns a ticket
+/* Dispatches a task to this instance or to a connected peer.  Returns a handle
    that is valid until @done, or NULL when none of them reports any capacity
    for the service.  */
 mm_dispatched_task *mm_fleet_submit (mm_fleet *f, const mm_task_request *t,
                                      const char *returned_by,
                                      mm_work_done done, void *ctx);
-/* Cancels a dispatched task and frees its ticket; @done is not called.  */
+/* Cancels a dispatched task and frees its handle; @done is not called.  */
 void mm_fleet_cancel (mm_fleet *f, mm_dispatched_task *t);
 
 #endif /* MM_FLEET_H */
--- a/src/mm_jobs.c
+++ b/src/mm_jobs.c
@@ -21,9 +21,9 @@
 {
   job *job;
   mm_task_id id;
-  mm_dispatched_task
-      *ticket;         /* its dispatch to an owner, NULL: not dispatched */
-  uint32_t n_failures; /* runs that failed */
+  /* Its dispatch to an owner, NULL: not dispatched.  */
+  mm_dispatched_task *handle;
+  uint32_t n_failures;      /* runs that failed */
   mm_time_ms dispatched_ms; /* when last dispatched */
   char *avoid_upstream;     /* where the last unsuccessful run was; or NULL */
   char *returned_by;        /* owner that returned the task unstarted, "": this
@@ -90,8 +90,8 @@
 stop_tasks (job *b)
 {
   for (uint32_t i = 0; i < b->n_tasks; i++)
-    if (b->tasks[i].ticket)
-      mm_fleet_cancel (b->jobs->fleet, g_steal_pointer (&b->tasks[i].ticket));
+    if (b->tasks[i].handle)
+      mm_fleet_cancel (b->jobs->fleet, g_steal_pointer (&b->tasks[i].handle));
 }
 
 static void
@@ -223,13 +223,13 @@
                              MM_WITH_SPREAD_ANEW ? MM_OWNER_WAIT_MS
                                                  : MM_MAX_CALLER_TIMEOUT_MS);
   t->dispatched_ms = now;
-  t->ticket
+  t->handle
       = mm_fleet_submit (b->jobs->fleet, &r, t->returned_by, on_task_ended, t);
-  t->undispatched = !t->ticket;
+  t->undispatched = !t->handle;
   b->n_undispatched += t->undispatched;
-  t->isolated = t->ticket && r.isolated;
+  t->isolated = t->handle && r.isolated;
   b->n_isolated += t->isolated;
-  b->dispatched = b->dispatched || t->ticket;
+  b->dispatched = b->dispatched || t->handle;
 }
 
 static void
@@ -356,7 +356,7 @@
   job *b = t->job;
   mm_end how = r->how;
   mm_time_ms now = mm_clock_now_ms ();
-  t->ticket = NULL;
+  t->handle = NULL;
   b->n_isolated -= t->isolated;
   t->isolated = false;
   g_clear_pointer (&t->returned_by, g_free);
--- a/src/mm_kept_tasks.c
+++ b/src/mm_kept_tasks.c
@@ -24,7 +24,7 @@
   mm_task_id id;
   task_state state;
   bool ready;                   /* its step may start */
-  mm_dispatched_task *ticket;   /* TASK_DISPATCHED: the request to the owner */
+  mm_dispatched_task *handle;   /* TASK_DISPATCHED: the request to the owner */
   mm_time_ms dispatched_ms;     /* when it was last dispatched */
   mm_time_ms in_doubt_since_ms; /* TASK_IN_DOUBT */
   char *avoid_upstream;         /* upstream of the last failure, or NULL */
@@ -113,8 +113,8 @@
     return;
   for (uint32_t i = 0; i < k->n_tasks; i++)
     {
-      if (k->tasks[i].ticket)
-        mm_fleet_cancel (k->fleet, k->tasks[i].ticket);
+      if (k->tasks[i].handle)
+        mm_fleet_cancel (k->fleet, k->tasks[i].handle);
       g_free (k->tasks[i].avoid_upstream);
       g_free (k->tasks[i].returned_by);
     }
@@ -244,7 +244,7 @@
   task *t = ctx;
   mm_kept_tasks *k = t->kept_tasks;
   uint32_t run_hash = w->upstream ? mm_run_hash (w->upstream, w->run) : 0;
-  t->ticket = NULL;
+  t->handle = NULL;
   k->n_dispatched--;
   k->n_isolated -= t->isolated;
   t->isolated = false;
@@ -309,9 +309,9 @@
           .due_within_ms = MAX (k->latest_start_ms - now, 0),
           .start_within_ms = MM_KEPT_START_WITHIN_MS };
   t->dispatched_ms = now;
-  t->ticket
+  t->handle
       = mm_fleet_submit (k->fleet, &req, t->returned_by, on_work_ended, t);
-  if (!t->ticket)
+  if (!t->handle)
     /* Neither this instance nor a connected peer reports any capacity for the
        service, free or in use: retried at the next tick.  */
     return;
--- a/src/mm_owner.c
+++ b/src/mm_owner.c
@@ -264,7 +264,7 @@
   mm_owned_upstream *owned = g_hash_table_lookup (o->owned_upstreams, u->name);
   if (owned && mm_exec_fence (owned->exec) >= fence)
     {
-      owned->frozen = false;
+      owned->handing_over = false;
       start_waiting (o);
       return;
     }
@@ -307,15 +307,15 @@
 }
 
 void
-mm_owner_freeze_upstream (mm_owner *o, const char *upstream)
+mm_owner_begin_handover (mm_owner *o, const char *upstream)
 {
   mm_owned_upstream *owned
       = g_hash_table_lookup (o->owned_upstreams, upstream);
-  if (!owned || owned->frozen)
+  if (!owned || owned->handing_over)
     return;
   mm_time_ms now = mm_clock_now_ms ();
   mm_time_ms left_ms = mm_exec_longest_remaining_ms (owned->exec, now);
-  owned->frozen = true;
+  owned->handing_over = true;
   o->handover_end_ms
       = MAX (o->handover_end_ms,
              now + MIN (left_ms, MM_HANDOVER_MS - MM_HANDOVER_MARGIN_MS));
@@ -328,7 +328,7 @@
   double end_ms = (double)now
                   + run_ms * MM_ESTIMATE_ERROR_FACTOR
                         * MAX (mm_exec_slowness (owned->exec), 1.0);
-  return !owned->frozen
+  return !owned->handing_over
          || (MM_WITH_HANDOVER_RUNS && run_ms > 0
              && end_ms <= (double)owned->owner->handover_end_ms);
 }
@@ -352,7 +352,7 @@
 {
   mm_owned_upstream *owned
       = g_hash_table_lookup (o->owned_upstreams, upstream);
-  return !owned || (owned->frozen && mm_exec_idle (owned->exec));
+  return !owned || (owned->handing_over && mm_exec_idle (owned->exec));
 }
 
 /* Returns whether @label is NULL or one of the upstream's labels.  */
--- a/src/mm_owner.h
+++ b/src/mm_owner.h
@@ -107,7 +107,7 @@
    before the longest one may still start: they do not delay the handover, and
    keeping the upstreams idle would take half of a data centre's capacity away
    for that time at each restart.  */
-void mm_owner_freeze_upstream (mm_owner *o, const char *upstream);
+void mm_owner_begin_handover (mm_owner *o, const char *upstream);
 /* Returns whether another owner's fencing token was seen there.  */
 bool mm_owner_fenced (const mm_owner *o, const char *upstream);
 /* Names of the owned upstreams; free the list, not the names.  */
--- a/src/mm_owner_priv.h
+++ b/src/mm_owner_priv.h
@@ -11,7 +11,7 @@
   mm_owner *owner;
   mm_exec *exec; /* the session with the upstream */
   mm_breaker breaker;
-  bool frozen;         /* a handover to another owner is under way */
+  bool handing_over;   /* a handover to another owner is under way */
   bool removed;        /* no longer owned; its session is being closed */
   uint32_t n_suspects; /* suspected poison tasks that run there */
 } mm_owned_upstream;
--- a/src/mm_ownership.c
+++ b/src/mm_ownership.c
@@ -78,7 +78,7 @@
       if (state == MM_PARTITION_ELSEWHERE)
         mm_owner_remove_upstream (ownership->owner, l->data);
       else if (state == MM_PARTITION_RELEASING)
-        mm_owner_freeze_upstream (ownership->owner, l->data);
+        mm_owner_begin_handover (ownership->owner, l->data);
     }
   g_list_free (owned);
 }
--- a/tests/test_owner.c
+++ b/tests/test_owner.c
@@ -773,8 +773,8 @@
   outcome longest, another_long, short_tasks[SHORT_TASKS];
   submit (&fx, &longest, "long", 0, LONG_MS);
   fixture_run (&fx, 50);
-  mm_owner_freeze_upstream (fx.owner, "a");
-  mm_owner_freeze_upstream (fx.owner, "b");
+  mm_owner_begin_handover (fx.owner, "a");
+  mm_owner_begin_handover (fx.owner, "b");
   mm_time_ms handover_from_ms = mm_clock_now_ms ();
   submit (&fx, &another_long, "more", 0, LONG_MS);
   int in_time = 0;
