--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -40,7 +40,6 @@
 accepted, and is run to its end whatever instance dies.
 
   soak.py [--seed N] [--seeds N] [--file F] [--seconds S] [--jobs N] [--bin DIR] [--keep DIR]
-          [--known-red GUARANTEE]
 """
 import argparse, asyncio, json, os, random, shutil, signal, socket, subprocess, sys, tempfile, time, urllib.request
 
@@ -675,7 +674,7 @@
         self.check_draining_starts()
 
 
-# Runs one seed, on the ports of the block port_block.  Returns the number of findings but those of args.known_red.
+# Runs one seed, on the ports of the block port_block.  Returns the number of findings.
 async def soak(seed, args, port_block):
     folder = f"{args.keep}/seed-{seed}" if args.keep else tempfile.mkdtemp(prefix="soak-")
     shutil.rmtree(folder, ignore_errors=True)
@@ -696,12 +695,11 @@
     completed = sum(k.get("state") == "completed" for k in fixture.kept_jobs.values())
     print(f"seed {seed}: {len(fixture.jobs)} jobs, {complete} complete, {kept} kept, {completed} completed, "
           f"{len(fixture.findings)} findings", flush=True)
-    known_red = [f for f in fixture.findings if f.split(":")[0] == args.known_red]
     for f in fixture.findings[:10]:
-        print(f"  seed {seed}: {'known red: ' if f in known_red else ''}{f}", flush=True)
+        print(f"  seed {seed}: {f}", flush=True)
     if not fixture.findings and not args.keep:
         shutil.rmtree(folder)
-    return len(fixture.findings) - len(known_red)
+    return len(fixture.findings)
 
 
 def free_block(n):
@@ -727,7 +725,6 @@
     ap.add_argument("--jobs", type=int, default=3, help="seeds run at a time")
     ap.add_argument("--bin", default=f"{here}/../build")
     ap.add_argument("--keep", help="folder for logs; the default, a temporary one, is kept on findings")
-    ap.add_argument("--known-red", help="a guarantee of KNOWN-RED.txt, whose findings are printed but not counted")
     ap.add_argument("--port", type=int, help="first port; 100 a seed at a time (default: a free block)")
     args = ap.parse_args()
     if args.port is None:
