--- a/scripts/ablate.py
+++ b/scripts/ablate.py
@@ -1,23 +1,24 @@
 #!/usr/bin/env python3
-"""What each mechanism of a node is worth: each switched off in turn.
+"""Measures what each mechanism of a node contributes by switching off one at a time.
 
-Clones the committed code once for each MM_WITH_... of src/config.h with that
-one set to 0, plays the same days with the same seeds on it and on the code as
-it is, and prints for each site the mean difference of the worth that the
-mechanism brings, with its standard error.  Runs are trials; their output stays
-in --out, journal entries in OUT/NAME/journal.
+Clones the committed code once for each MM_WITH_... of src/config.h, with that
+switch set to 0, and once as it is.  Runs the same days with the same seeds on
+every clone and prints, for each mechanism and site, the mean difference of the
+bench's worth with and without the mechanism, and its standard error.  All runs
+are trials; their output stays in --out, their journal entries in
+OUT/NAME/journal.
 
   ablate.py --bench FLEETBENCH [--only A,B] [--days A,B] [--seeds N] [--first SEED]
             [--jobs N] [--out DIR] SITE.toml...
 """
 import argparse, concurrent.futures as cf, os, re, statistics, subprocess, sys, tempfile, tomllib
 
-WORTH = re.compile(r"^worth (\S+) = ", re.M)
-SWITCH = re.compile(r"^#define MM_WITH_(\w+) 1", re.M)
+WORTH_LINE = re.compile(r"^worth (\S+) = ", re.M)
+SWITCH_LINE = re.compile(r"^#define MM_WITH_(\w+) 1", re.M)
 
 
 def clone(bench, out, name):
-    """The committed code, with the mechanism of that name (if any) off."""
+    """Clones and builds the committed code, with the mechanism of that name, if any, switched off."""
     folder = os.path.join(out, name or "as-it-is")
     repo = subprocess.check_output(["git", "rev-parse", "--show-toplevel"], text=True).strip()
     subprocess.check_call(["git", "clone", "-q", repo, folder])
@@ -34,17 +35,17 @@
     return folder
 
 
-def play(bench, out, folder, site, day, seed):
-    r = subprocess.run([bench, "run", site, day, "--seed", str(seed), "--no-cpu", "--jobs", "1"],
-                       cwd=folder, text=True, capture_output=True)
+def run_day(bench, out, folder, site, day, seed):
+    bench_run = subprocess.run([bench, "run", site, day, "--seed", str(seed), "--no-cpu", "--jobs", "1"],
+                               cwd=folder, text=True, capture_output=True)
     label = "-".join([os.path.basename(folder), os.path.basename(site), day, str(seed)])
     with open(os.path.join(out, label + ".txt"), "w") as f:
-        f.write(r.stdout + r.stderr)
-    found = WORTH.search(r.stdout)
-    return float(found[1]) if found else None
+        f.write(bench_run.stdout + bench_run.stderr)
+    match = WORTH_LINE.search(bench_run.stdout)
+    return float(match[1]) if match else None
 
 
-def days_of(site, wanted):
+def select_days(site, wanted):
     with open(site, "rb") as f:
         names = [d["name"] for d in tomllib.load(f)["day"]]
     return [n for n in names if (n in wanted if wanted else not n.startswith("quiet"))]
@@ -54,34 +55,34 @@
     ap = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     ap.add_argument("sites", nargs="+", metavar="SITE.toml")
     ap.add_argument("--bench", required=True)
-    ap.add_argument("--only", help="mechanisms, by default all")
-    ap.add_argument("--days", help="by default all but the quiet ones")
+    ap.add_argument("--only", help="comma-separated mechanisms (default: all)")
+    ap.add_argument("--days", help="comma-separated days (default: all but the quiet ones)")
     ap.add_argument("--seeds", type=int, default=2)
     ap.add_argument("--first", type=int, default=1)
     ap.add_argument("--jobs", type=int, default=4)
     ap.add_argument("--out")
-    a = ap.parse_args()
-    a.bench = os.path.abspath(a.bench)
-    out = a.out or tempfile.mkdtemp(prefix="ablate-")
+    args = ap.parse_args()
+    args.bench = os.path.abspath(args.bench)
+    out = args.out or tempfile.mkdtemp(prefix="ablate-")
     os.makedirs(out, exist_ok=True)
     with open("src/config.h") as f:
-        mechanisms = SWITCH.findall(f.read())
-    if a.only:
-        mechanisms = [m for m in mechanisms if m in a.only.split(",")]
-    folders = {m: clone(a.bench, out, m) for m in [None] + mechanisms}
-    plays = [(s, d, a.first + i) for s in map(os.path.abspath, a.sites)
-             for d in days_of(s, a.days and a.days.split(",")) for i in range(a.seeds)]
-    with cf.ThreadPoolExecutor(a.jobs) as pool:
-        runs = {(m, p): pool.submit(play, a.bench, out, folders[m], *p) for p in plays for m in folders}
-        worth = {k: f.result() for k, f in runs.items()}
-    print("what it brings: mean +- standard error (pairs)")
+        mechanisms = SWITCH_LINE.findall(f.read())
+    if args.only:
+        mechanisms = [m for m in mechanisms if m in args.only.split(",")]
+    folders = {m: clone(args.bench, out, m) for m in [None] + mechanisms}
+    day_runs = [(s, d, args.first + i) for s in map(os.path.abspath, args.sites)
+                for d in select_days(s, args.days and args.days.split(",")) for i in range(args.seeds)]
+    with cf.ThreadPoolExecutor(args.jobs) as pool:
+        runs = {(m, p): pool.submit(run_day, args.bench, out, folders[m], *p) for p in day_runs for m in folders}
+        worth = {k: f.bench_run() for k, f in runs.items()}
+    print("gain in worth: mean +- standard error (pairs)")
     for m in mechanisms:
         row = [f"{m:16}"]
-        for site in map(os.path.abspath, a.sites):
-            d = [worth[None, p] - worth[m, p] for p in plays
-                 if p[0] == site and None not in (worth[None, p], worth[m, p])]
-            error = statistics.stdev(d) / len(d) ** 0.5 if len(d) > 1 else float("nan")
-            row.append(f"{statistics.fmean(d):+.4f} +- {error:.4f} ({len(d)})" if d else "no result")
+        for site in map(os.path.abspath, args.sites):
+            gains = [worth[None, p] - worth[m, p] for p in day_runs
+                     if p[0] == site and None not in (worth[None, p], worth[m, p])]
+            error = statistics.stdev(gains) / len(gains) ** 0.5 if len(gains) > 1 else float("nan")
+            row.append(f"{statistics.fmean(gains):+.4f} +- {error:.4f} ({len(gains)})" if gains else "no result")
         print("  ".join(row))
 
 
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,22 +1,27 @@
 #!/usr/bin/env bash
-# Load run on loopback: a platform stand-in, N upstreams (8 slots each),
-# E entry instances; masticctl bench prints response time over the ideal
-# and wasted messages per 1,000 tasks.  FAULT picks a fault injected one
-# second into the run: none, fail_all (one upstream fails every task),
-# drain (one upstream leaves), kill_entry (an entry instance is killed),
-# platform_slow (each answer 4 ms late, as a synced write),
-# platform_down.  Also prints each entry instance's CPU ms per task and
-# resident memory, read from /proc, for docs/CAPACITY.md.
+# Runs a load test on loopback with a platform stand-in, UPSTREAMS upstream
+# stand-ins of 8 slots each and ENTRIES entry instances.  masticctl bench prints
+# the response time relative to the ideal and the wasted messages per 1,000
+# tasks.  The script also prints the CPU ms and the resident memory of each entry
+# instance, read from /proc, for docs/CAPACITY.md.  FAULT is a fault injected one
+# second into the run (platform_slow: from the start):
+#   none           no fault
+#   fail_all       one upstream fails every task
+#   drain          one upstream is drained
+#   kill_entry     an entry instance is killed
+#   platform_slow  each answer of the platform takes 4 ms longer, like a synced
+#                  write
+#   platform_down  the platform does not answer
 #   scripts/bench.sh UPSTREAMS ENTRIES JOBS TASKS CONCURRENCY RUN_MS [FAULT]
-# With SITE=lima or SITE=buenos-aires, arrivals are the site's instead of
-# JOBS x TASKS (open loop, SECONDS long, times SCALE, deadline 1.5 s,
-# every task non-idempotent):
+# With SITE=lima or SITE=buenos-aires, jobs arrive as at that site instead of
+# JOBS x TASKS: an open loop of SECONDS_ seconds, the rate multiplied by SCALE,
+# with a deadline of 1.5 s and only non-idempotent tasks:
 #   SITE=lima SECONDS_=15 scripts/bench.sh 50 6 - - - - [FAULT]
 set -euo pipefail
 here=$(cd "$(dirname "$0")/.." && pwd)
 bin=${MM_BIN:-$here/build}
 n_up=${1:-8} n_en=${2:-2} jobs=${3:-40} tasks=${4:-50} conc=${5:-8} run_ms=${6:-100} fault=${7:-none}
-base=${MM_PORT_BASE:-31000} # above the tests' ports
+base=${MM_PORT_BASE:-31000} # above the ports that the tests use
 plat=http://127.0.0.1:$base
 pids=()
 stop () { for p in "${pids[@]}"; do kill -9 "$p" 2>/dev/null || true; done; wait 2>/dev/null || true; }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# The main job on stand-ins: a platform stand-in, three upstream stand-ins
-# of 24 slots and three instances on loopback; publish the queues, submit
-# one job of 200 tasks, print the answer's summary and its time against the
-# ideal, then stop what was started, by pid.
+# Starts a platform stand-in, three upstream stand-ins of 24 slots and three
+# instances on loopback, publishes the queues and submits one job of 200 tasks.
+# Prints a summary of the answer and the response time relative to the ideal,
+# and stops the started processes by pid.
 set -euo pipefail
 here=$(cd "$(dirname "$0")/.." && pwd)
 bin=${MM_BIN:-$here/build}
@@ -28,7 +28,7 @@
     sleep 0.1
   done
 done
-sleep 0.5 # until the instances know each other
+sleep 0.5 # for the instances to discover each other
 python3 - "$log/job.json" <<'PY'
 import json, random, sys
 random.seed(1)
@@ -45,8 +45,9 @@
 states = {}
 for t in ans["tasks"]:
     states[t["state"]] = states.get(t["state"], 0) + 1
-# 200 tasks on 3 upstreams x 24 slots: the ideal is the critical path of
-# a perfect packing, at least the longest task and total work / slots.
+# The ideal is the response time of a perfect packing of the 200 tasks into
+# 3 upstreams x 24 slots: the longest task or the total work / slots, whichever
+# is longer.
 longest = max(t["run_ms"] for t in job["tasks"])
 work = sum(t["run_ms"] for t in job["tasks"]) / 72
 ideal = max(longest, work) + 1
--- a/scripts/explain.sh
+++ b/scripts/explain.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Three failed requests on stand-ins, each explained from its id alone by
-# `masticctl explain`: one refused under load, one lost with an instance
-# that died and then sent again, one failed on upstreams that look healthy.
-# The examples of docs/OPERATIONS.md come from a run of this.
+# Causes three failed requests on stand-ins and explains each with `masticctl
+# explain` from its job id alone.  The first is refused under load, the second is
+# lost when an instance dies and is submitted again, and the third fails on
+# upstreams that look healthy.  The examples in docs/OPERATIONS.md come from a
+# run of this script.
 #   scripts/explain.sh [FOLDER for the logs]
 set -euo pipefail
 here=$(cd "$(dirname "$0")/.." && pwd)
@@ -23,7 +24,7 @@
     --set node.state_port=$((base + 130 + $1)) --set "store.address=\"$plat\"" >>"$log/node$1.log" 2>&1 &
   pids+=($!); node_pid[$1]=$!
 }
-job () { # ID TASKS RUN_MS [QUEUE] -> body
+job () { # ID TASKS RUN_MS [QUEUE]: prints the JSON body of a job
   python3 -c 'import json,sys
 n, ms = int(sys.argv[2]), int(sys.argv[3])
 queue = sys.argv[4] if len(sys.argv) > 4 else "bookings"
@@ -33,11 +34,11 @@
   curl -s -o "$log/$2.answer" -w '%{http_code}' --data "$(job "${@:2}")" "$(front "$1")/v1/jobs" || true
 }
 owned () { state "$1" | python3 -c 'import json,sys; print(len(json.load(sys.stdin)["owner"]["upstreams"]))'; }
-wait_owned () { # total upstreams over the nodes named
-  local want=$1; shift
+wait_owned () { # COUNT NODE...: waits until the nodes together own COUNT upstreams
+  local expected=$1; shift
   for _ in $(seq 100); do
     local n=0; for i in "$@"; do n=$((n + $(owned "$i" 2>/dev/null || echo 0))); done
-    [ "$n" = "$want" ] && return; sleep 0.1
+    [ "$n" = "$expected" ] && return; sleep 0.1
   done
   echo "upstreams are not owned" >&2; exit 1
 }
@@ -51,7 +52,7 @@
 done
 node 1; node 2
 wait_owned 4 1 2
-sleep 1.5 # until the instances know each other
+sleep 1.5 # for the instances to discover each other
 explain () { sleep 0.2; echo "--- $1"; "$bin/masticctl" explain "$2" "$log"/node*.log; }
 
 for k in 1 2; do submit 1 "fill-$k" 4 1500 >"$log/fill-$k.status" & done
@@ -62,7 +63,7 @@
 
 victim=1; [ "$(owned 1)" -gt 0 ] || victim=2
 other=$((3 - victim))
-# Of a queue whose answers are of no use by the time its tasks could run again.
+# The answers of queue "quick" are useless by the time its tasks could run again.
 submit $other lost-1 8 400 quick >"$log/lost-1.status" & waiting=$!
 for _ in $(seq 100); do
   grep -q '"job_accepted","job":"lost-1"' "$log/node$other.log" && break
@@ -79,7 +80,7 @@
 for i in 1 2 3 4; do
   curl -s --data '{"fails":true}' "http://127.0.0.1:$((base + 200 + i))/v1/run-faults" >/dev/null
 done
-# Until an upstream was excluded: that is what explains the request then.
+# Repeats until an upstream is excluded, as the exclusion is the expected cause.
 for k in 1 2 3 4 5 6; do
   echo "failed: status $(submit $other failed-$k 1 100)"
   sleep 0.1
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Install what is missing (Debian 12 packages) and build into build/.
+# Installs the missing Debian 12 packages and builds into build/.
 set -euo pipefail
 here=$(cd "$(dirname "$0")/.." && pwd)
 pkgs="libev-dev libmsgpack-dev libmicrohttpd-dev libcurl4-openssl-dev libglib2.0-dev check libtomlplusplus-dev libxxhash-dev libcjson-dev pkg-config cmake g++ python3"
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -3,50 +3,59 @@
 
 Starts a platform stand-in, upstream stand-ins and instances of
 masticmill-node as processes, each link through a proxy of its own, and
-injects faults from outside: processes killed, stopped, paused, restarted,
-told to reload; connections delayed, reset, cut one way, silenced; the store
-down, slow, losing answers, forgetting; orders lost or carried out late; tasks
-that crash their upstreams, and capacity that changes.
-
-Callers and the upstreams' run logs tell whether the promises held:
-  room       no upstream was over its capacity, nor over a smaller one that it
-             has told the store for a while
-  twice      no task of a job ran twice at one time
-  once       a task that must not be repeated started at most once
+injects faults from outside.  Processes are killed, stopped, paused, restarted
+and told to reload.  Connections are delayed, reset, blocked in one or both
+directions.  The store is down or slow, loses answers, drops its history and
+reassigns partitions.  Calls to upstreams are lost or carried out late, tasks
+crash their upstreams, and the capacity of upstreams changes.
+
+The answers that callers got and the run logs of the upstreams are checked
+against these guarantees.  A finding begins with the name of the guarantee:
+  room       no upstream exceeded its capacity, nor a smaller capacity that it
+             reported to the store more than a grace period ago
+  twice      no task of a job ran twice at the same time
+  once       a non-idempotent task started at most once
   whole      a job answered as complete had every task done
-  unrun      a job whose every answer said "not run" started nothing
-  leaving    an upstream that said so started nothing two seconds later
-  knew       no instance ordered a start on an upstream that it had itself
+  unrun      a job whose every answer was a refusal started no task
+  leaving    an upstream that announced its shutdown started nothing from two
+             seconds later on
+  knew       no instance started a task on an upstream that it had itself
              listed as draining
   config     no instance went back to an older configuration
-  kept       an accepted kept job ended, as completed or with a failed task
+  kept       an accepted kept job ended, completed or with a failed task
   again      no task of a kept job started after it was done, unless its
-             upstream died or was cut off around then
-  cancelled  a kept job started nothing a second after its cancel was told
-  poison     a task that crashes its upstreams took three down at most (anew
-             once no instance is left that knew of it; but for those whose owner
-             died or stood still before it could know, five in all), and its job
-             was never answered as complete; no other job was given up for crashes
-  back       after the faults each instance serves again
-  exits      no process ended by itself
+             upstream died or was unreachable around then
+  cancelled  no task of a kept job started more than a second after its
+             cancellation was acknowledged
+  poison     a task that crashes its upstreams crashed three at most.  The count
+             starts again once no instance is left that knew of it.  Crashes whose
+             owner died or was stalled before it could notice are left out
+             of the three, but all crashes together are five at most.  The job of
+             such a task was never answered as complete, and no other job was
+             given up for crashes
+  back       each instance serves again after the faults
+  exits      no process exited by itself
+
+A kept job is a durable job: it is stored before its caller is told that it is
+accepted, and is run to its end whatever instance dies.
 
   soak.py [--seed N] [--seeds N] [--file F] [--seconds S] [--jobs N] [--bin DIR] [--keep DIR]
 """
 import argparse, asyncio, json, os, random, shutil, signal, socket, subprocess, sys, tempfile, time, urllib.request
 
-RESEND_S = 1.3      # callers send a job again so long after a break
-SETTLE_S = 7        # calm at the end, longer than every lease and ttl
-KEPT_S = 20         # then every accepted kept job is over
-CRASHES = 3         # of upstreams under one task, at most
-ALL_CRASHES = 5     # with those that nobody can have counted
-NOTICED_S = 1.3     # after a crash its owner knows of it
-POISON_MS = 20      # from such a task's start to the crash
-CLOCKS_MS = 10      # a crash's time is known this exactly: ticks, and two clocks
-START_S = 0.5       # a process handles signals by then
-KNOWS_S = 1.0       # then an instance that has started knows what the others do
-CAPACITY_S = 4.0    # then a smaller capacity is in force
-DIM_S = 12.0        # and so long after, if the store was out of reach meanwhile
-DRAIN_S = 2.0       # then a leaving upstream gets no start
+RESEND_DELAY_S = 1.3        # callers wait this long before they send a job again
+SETTLE_S = 7                # fault-free time at the end; longer than every lease and TTL
+KEPT_END_TIMEOUT_S = 20     # every accepted kept job has ended by then
+MAX_CRASHES = 3             # of upstreams by one task, of those its owner could notice
+MAX_ALL_CRASHES = 5         # of upstreams by one task, with those that no instance could count
+CRASH_NOTICE_S = 1.3        # the owner of a crashed upstream knows of the crash by then
+POISON_CRASH_MS = 20        # from the start of a poison task to the crash
+CLOCK_ERROR_MS = 10         # error of a crash's time, from clock ticks and from two clocks
+HANDLER_S = 0.5             # a started process has signal handlers by then
+SYNC_S = 1.0                # a started instance knows by then what the others know
+CAPACITY_GRACE_S = 4.0      # a smaller capacity is in force by then
+STORE_FAULT_GRACE_S = 12.0  # a smaller capacity is in force by then if store reads failed meanwhile
+DRAIN_GRACE_S = 2.0         # a draining upstream gets no more starts by then
 NODES, UPSTREAMS, SLOTS = 3, 5, 3
 
 
@@ -55,11 +64,11 @@
 
 
 class Proxy:
-    """A TCP relay whose way can be delayed, cut or silenced."""
+    """A TCP relay that can delay, reset or block what it forwards."""
 
     def __init__(self, port, target):
         self.port, self.target = port, target
-        self.delay, self.silent, self.mute = 0.0, False, False
+        self.delay_s, self.blocked, self.answers_blocked = 0.0, False, False
         self.writers, self.server = set(), None
 
     async def start(self):
@@ -68,26 +77,26 @@
     async def relay(self, reader, writer):
         self.writers.add(writer)
         try:
-            back_reader, back_writer = await asyncio.open_connection("127.0.0.1", self.target)
+            target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self.target)
         except OSError:
             writer.transport.abort()
             self.writers.discard(writer)
             return
-        self.writers.add(back_writer)
+        self.writers.add(target_writer)
         try:
-            await asyncio.gather(self.pump(reader, back_writer, False), self.pump(back_reader, writer, True))
+            await asyncio.gather(self.forward(reader, target_writer, False), self.forward(target_reader, writer, True))
         except asyncio.CancelledError:
-            pass  # the seed is over
-        for w in (writer, back_writer):
+            pass  # the run of this seed has ended
+        for w in (writer, target_writer):
             self.writers.discard(w)
             w.close()
 
-    async def pump(self, reader, writer, answers):
+    async def forward(self, reader, writer, is_answer):
         try:
             while data := await reader.read(65536):
-                if self.delay:
-                    await asyncio.sleep(self.delay)
-                while self.silent or (self.mute and answers):
+                if self.delay_s:
+                    await asyncio.sleep(self.delay_s)
+                while self.blocked or (self.answers_blocked and is_answer):
                     await asyncio.sleep(0.05)
                 writer.write(data)
                 await writer.drain()
@@ -101,9 +110,9 @@
             w.transport.abort()
 
     def heal(self):
-        if self.silent or self.mute:
+        if self.blocked or self.answers_blocked:
             self.reset()
-        self.delay, self.silent, self.mute = 0.0, False, False
+        self.delay_s, self.blocked, self.answers_blocked = 0.0, False, False
 
 
 def call(method, port, path, body=None, timeout=4):
@@ -121,34 +130,36 @@
         return 0, {}
 
 
-class World:
+class Fixture:
     def __init__(self, seed, args, folder, base):
         self.rnd, self.args, self.dir, self.base = random.Random(seed), args, folder, base
-        self.procs, self.meant, self.paused = {}, set(), set()
+        self.procs, self.may_exit, self.paused = {}, set(), set()  # may_exit: an exit of these is no finding
         self.proxies, self.findings, self.jobs = {}, [], {}
-        self.kept = {}          # job -> what its caller knows
-        self.kept_rnd = random.Random(f"kept-{seed}")  # seeds play the same faults as without kept jobs
-        self.extra_rnd = random.Random(f"extra-{seed}")  # the same for these
-        self.poison = {}        # job -> statuses its caller got
-        self.shrunk = {}        # upstream -> [ms] of each change of its capacity
-        self.forgot = []        # ms when an instance started, and none was left that knew
-        self.node_ms = {}       # instance -> ms of its last start
-        self.node_down = {}     # instance -> [ms] when it was killed, stopped or frozen
-        self.cuts = {}          # upstream -> [(from, to)] ms of its link's faults
-        self.left = {}          # upstream -> ms when it said that it leaves
-        self.left_at = {}       # upstream -> [(that, ms when it was gone)]
-        self.kills = {}         # upstream -> [ms]
-        self.version, self.accepted, self.seen_version, self.boot = 1, 0, {}, {}
-        self.end = False
-        self.dim = []           # (from, to) ms in which an instance may not have read the store
-        self.held = set()       # processes that a fault has in hand
+        self.kept_jobs = {}         # kept job -> what its caller knows of it
+        # Kept jobs draw from a generator of their own, so that they don't change the faults of a seed.
+        self.kept_rnd = random.Random(f"kept-{seed}")
+        # Poison jobs and capacity changes draw from a generator of their own, for the same reason.
+        self.extra_rnd = random.Random(f"extra-{seed}")
+        self.poison_answers = {}    # poison job -> answers that its caller got
+        self.capacity_changes = {}  # upstream -> [ms] of each change of its capacity
+        self.counts_lost_ms = []    # ms when an instance started while no other knew the crash counts
+        self.node_start_ms = {}     # instance -> ms of its last start
+        self.node_down_ms = {}      # instance -> [ms] when it was killed, stopped or frozen
+        self.link_faults = {}       # proxy port -> [(from, to)] ms of the faults of its link
+        self.drain_since_ms = {}    # draining upstream -> ms when its drain mode was set
+        self.drain_periods = {}     # upstream -> [(ms when its drain mode was set, ms when it was restarted)]
+        self.upstream_down_ms = {}  # upstream -> [ms] when it was killed or crashed
+        self.published_version, self.accepted_version, self.seen_versions, self.boots = 1, 0, {}, {}
+        self.stopping = False       # callers and watchers stop
+        self.store_faults = []      # (from, to) ms in which an instance may have failed to read the store
+        self.faulted = set()        # processes that a fault in progress controls
 
     # ---- processes
     def spawn(self, name, program, *sets):
         log = open(f"{self.dir}/{name}.log", "ab")
         argv = [f"{self.args.bin}/{program}"] + [x for s in sets for x in ("--set", s)]
         self.procs[name] = subprocess.Popen(argv, stdout=log, stderr=log)
-        self.meant.discard(name)
+        self.may_exit.discard(name)
 
     def port(self, kind, i):
         return self.base + {"platform": 0, "up": 10, "front": 20, "ready": 25, "mesh": 30, "state": 35,
@@ -162,19 +173,19 @@
                    f"upstream.slots={SLOTS}", f'upstream.platform_url="http://127.0.0.1:{self.port("platform", 0)}"',
                    f'upstream.advertise="127.0.0.1:{self.port("px-up", i)}"', "upstream.heartbeat_ms=300",
                    f'upstream.run_log="{self.dir}/up{i}.runs"', 'upstream.poison_jobs="p"', "upstream.back_ms=2000")
-        if i in self.left:
-            self.left_at.setdefault(i, []).append((self.left.pop(i), now_ms()))
+        if i in self.drain_since_ms:
+            self.drain_periods.setdefault(i, []).append((self.drain_since_ms.pop(i), now_ms()))
 
-    def knows(self, i):
+    def in_sync(self, i):
         name = f"node{i}"
-        return (name in self.procs and self.procs[name].poll() is None and name not in self.meant | self.paused
-                and now_ms() - self.node_ms[i] > KNOWS_S * 1000)
+        return (name in self.procs and self.procs[name].poll() is None and name not in self.may_exit | self.paused
+                and now_ms() - self.node_start_ms[i] > SYNC_S * 1000)
 
     def start_node(self, i):
-        if not any(self.knows(k) for k in range(NODES) if k != i):
-            self.forgot.append(now_ms())
-        self.node_ms[i] = now_ms()
-        self.boot[i] = self.boot.get(i, 0) + 1
+        if not any(self.in_sync(k) for k in range(NODES) if k != i):
+            self.counts_lost_ms.append(now_ms())
+        self.node_start_ms[i] = now_ms()
+        self.boots[i] = self.boots.get(i, 0) + 1
         self.spawn(f"node{i}", "masticmill-node", f'node.name="node{i}"',
                    f'node.front="127.0.0.1:{self.port("front", i)}"', f'node.ready="127.0.0.1:{self.port("ready", i)}"',
                    f"node.mesh_port={self.port('mesh', i)}", f"node.state_port={self.port('state', i)}",
@@ -183,9 +194,9 @@
 
     def kill(self, name, sig=signal.SIGKILL):
         p = self.procs[name]
-        self.meant.add(name)
+        self.may_exit.add(name)
         if name.startswith("node"):
-            self.node_down.setdefault(int(name[4:]), []).append(now_ms())
+            self.node_down_ms.setdefault(int(name[4:]), []).append(now_ms())
         if name in self.paused:
             p.send_signal(signal.SIGCONT)
             self.paused.discard(name)
@@ -194,129 +205,132 @@
         if sig == signal.SIGKILL:
             p.wait()
             if name.startswith("up"):
-                self.kills.setdefault(int(name[2:]), []).append(now_ms())
+                self.upstream_down_ms.setdefault(int(name[2:]), []).append(now_ms())
 
     def check_exits(self):
         for name, p in self.procs.items():
-            if p.poll() is not None and name not in self.meant:
+            if p.poll() is not None and name not in self.may_exit:
                 self.findings.append(f"exits: {name} ended by itself with {p.returncode}")
-                self.meant.add(name)
+                self.may_exit.add(name)
 
     # ---- callers
-    async def caller(self, no):
-        n = 0
-        while not self.end:
-            n += 1
-            job = f"c{no}-{n}"
-            once = self.rnd.random() < 0.3
+    async def run_caller(self, caller_no):
+        job_no = 0
+        while not self.stopping:
+            job_no += 1
+            job = f"c{caller_no}-{job_no}"
+            non_idempotent = self.rnd.random() < 0.3
             tasks = [{"id": f"t{k}", "payload": "x", "run_ms": self.rnd.choice([20, 60, 150, 400, 900]),
-                      "deadline_ms": 6000, "idempotent": not once} for k in range(self.rnd.randint(1, 5))]
-            self.jobs[job] = {"tasks": len(tasks), "once": once, "answers": []}
-            await self.send(job, {"job_id": job, "tasks": tasks}, once)
+                      "deadline_ms": 6000, "idempotent": not non_idempotent} for k in range(self.rnd.randint(1, 5))]
+            self.jobs[job] = {"tasks": len(tasks), "once": non_idempotent, "answers": []}
+            await self.submit_until_answered(job, {"job_id": job, "tasks": tasks}, non_idempotent)
             await asyncio.sleep(self.rnd.uniform(0.05, 0.4))
 
-    async def send(self, job, body, once):
-        for _ in range(1 if once else 3):
+    async def submit_until_answered(self, job, body, non_idempotent):
+        for _ in range(1 if non_idempotent else 3):
             node = self.rnd.randrange(NODES)
-            patience = self.rnd.choice([0.5, 6, 6, 6])
-            status, answer = await asyncio.to_thread(call, "POST", self.port("front", node), "/v1/jobs", body, patience)
+            timeout_s = self.rnd.choice([0.5, 6, 6, 6])
+            status, answer = await asyncio.to_thread(call, "POST", self.port("front", node), "/v1/jobs", body,
+                                                     timeout_s)
             self.jobs[job]["answers"].append((status, answer.get("status")))
             if status in (200, 400, 404, 429, 503):
                 return
-            await asyncio.sleep(RESEND_S)
+            await asyncio.sleep(RESEND_DELAY_S)
 
-    async def kept_caller(self, no):
-        n, r = 0, self.kept_rnd
-        while not self.end:
-            n += 1
-            job = f"k{no}-{n}"
+    async def run_kept_caller(self, caller_no):
+        job_no, r = 0, self.kept_rnd
+        while not self.stopping:
+            job_no += 1
+            job = f"k{caller_no}-{job_no}"
             tasks = [{"id": f"t{k}", "payload": "x", "run_ms": r.choice([20, 60, 150, 400, 900]),
                       "deadline_ms": 6000, "idempotent": True} for k in range(r.randint(1, 4))]
-            k = self.kept[job] = {"accepted": False, "cancelled_ms": None, "asked": False, "tasks": len(tasks)}
+            kept_job = self.kept_jobs[job] = {"accepted": False, "cancelled_ms": None, "asked": False,
+                                              "tasks": len(tasks)}
             for _ in range(3):
                 status, _ = await asyncio.to_thread(call, "POST", self.port("front", r.randrange(NODES)), "/v1/jobs",
                                                     {"job_id": job, "kept": True, "tasks": tasks}, 4)
-                k["accepted"] = k["accepted"] or status == 202
-                if status in (202, 429, 503) and r.random() > 0.1:  # some are sent again all the same
+                kept_job["accepted"] = kept_job["accepted"] or status == 202
+                if status in (202, 429, 503) and r.random() > 0.1:  # a tenth is sent again in spite of the answer
                     break
-                await asyncio.sleep(RESEND_S)
-            if k["accepted"] and r.random() < 0.15:
+                await asyncio.sleep(RESEND_DELAY_S)
+            if kept_job["accepted"] and r.random() < 0.15:
                 await asyncio.sleep(r.uniform(0, 0.5))
-                k["asked"] = True
+                kept_job["asked"] = True
                 status, answer = await asyncio.to_thread(call, "DELETE", self.port("front", r.randrange(NODES)),
                                                          f"/v1/jobs/{job}", None, 4)
                 if status == 200 and answer.get("state") == "cancelled":
-                    k["cancelled_ms"] = now_ms()
+                    kept_job["cancelled_ms"] = now_ms()
             await asyncio.sleep(r.uniform(0.1, 0.6))
 
-    async def poison_caller(self):
-        n, r = 0, self.extra_rnd
-        while not self.end:
+    async def run_poison_caller(self):
+        job_no, r = 0, self.extra_rnd
+        while not self.stopping:
             await asyncio.sleep(r.uniform(2, 8))
-            n += 1
-            job, said = f"p-{n}", []
+            job_no += 1
+            job, answers = f"p-{job_no}", []
             tasks = [{"id": "t0", "payload": "x", "run_ms": 400, "deadline_ms": 12000, "idempotent": True}]
-            self.poison[job] = said
+            self.poison_answers[job] = answers
             for _ in range(4):
                 status, answer = await asyncio.to_thread(call, "POST", self.port("front", r.randrange(NODES)), "/v1/jobs",
                                                          {"job_id": job, "tasks": tasks}, r.choice([1, 6]))
-                said.append((status, answer.get("status")))
-                if self.end:
+                answers.append((status, answer.get("status")))
+                if self.stopping:
                     break
-                await asyncio.sleep(RESEND_S)
+                await asyncio.sleep(RESEND_DELAY_S)
 
-    async def change_capacity(self):
+    async def change_capacities(self):
         r = self.extra_rnd
-        while not self.end:
+        while not self.stopping:
             await asyncio.sleep(r.uniform(0.5, 3))
-            slots = SLOTS if self.end else r.randint(0, SLOTS)
+            slots = SLOTS if self.stopping else r.randint(0, SLOTS)
             await self.set_slots(r.randrange(UPSTREAMS), slots)
         for i in range(UPSTREAMS):
             await self.set_slots(i, SLOTS)
 
     async def set_slots(self, up, slots):
-        self.shrunk.setdefault(up, []).append(now_ms())
+        self.capacity_changes.setdefault(up, []).append(now_ms())
         await asyncio.to_thread(call, "POST", self.port("up", up), "/v1/capacity",
-                                {"cpu_milli": slots * 1000, "grace_ms": int(CAPACITY_S * 1000)}, 1)
+                                {"cpu_milli": slots * 1000, "grace_ms": int(CAPACITY_GRACE_S * 1000)}, 1)
 
-    async def await_kept(self):
-        """Ask at any instance until each accepted job is over."""
-        until = time.monotonic() + KEPT_S
-        for job, k in self.kept.items():
+    async def wait_for_kept_jobs(self):
+        """Polls random instances until each accepted kept job has ended."""
+        deadline = time.monotonic() + KEPT_END_TIMEOUT_S
+        for job, kept_job in self.kept_jobs.items():
             state = None
-            while k["accepted"] and state not in ("completed", "failed", "cancelled") and time.monotonic() < until:
+            while kept_job["accepted"] and state not in ("completed", "failed",
+                                                         "cancelled") and time.monotonic() < deadline:
                 node = self.kept_rnd.randrange(NODES)
                 status, answer = await asyncio.to_thread(call, "GET", self.port("front", node), f"/v1/jobs/{job}", None, 2)
                 state = answer.get("state") or status
                 if state not in ("completed", "failed", "cancelled"):
                     await asyncio.sleep(0.2)
-            k["state"] = state
+            kept_job["state"] = state
 
     async def watch_config(self):
-        while not self.end:
+        while not self.stopping:
             for i in range(NODES):
-                boot = self.boot[i]
+                boot_no = self.boots[i]
                 _, state = await asyncio.to_thread(call, "GET", self.port("state", i), "/", None, 1)
-                v = state.get("config_version", 0)
-                last = self.seen_version.get((i, boot), 0)
-                if v and boot == self.boot[i] and v < last:
-                    self.findings.append(f"config: node{i} went back from {last} to {v}")
-                if v and boot == self.boot[i]:
-                    self.seen_version[(i, boot)] = v
+                current = state.get("config_version", 0)
+                last = self.seen_versions.get((i, boot_no), 0)
+                if current and boot_no == self.boots[i] and current < last:
+                    self.findings.append(f"config: node{i} went back from {last} to {current}")
+                if current and boot_no == self.boots[i]:
+                    self.seen_versions[(i, boot_no)] = current
             await asyncio.sleep(0.3)
 
     # ---- faults
-    async def publish(self):
-        self.version += self.rnd.randint(1, 3)
-        body = {"version": self.version,
+    async def publish_config(self):
+        self.published_version += self.rnd.randint(1, 3)
+        body = {"version": self.published_version,
                 "queues": [{"name": "q", "service": "tasks", "attempts": 3, "stretch": 3, "slo_ms": 400}]}
-        version = self.version
+        version = self.published_version
         status, _ = await asyncio.to_thread(call, "PUT", self.port("platform", 0), "/v1/streams/config/config", body, 2)
-        # Seed 213: one that the store refused (down) is in force nowhere.
+        # A configuration that the store refused, as it was down, is in force nowhere.
         if status == 200:
-            self.accepted = max(self.accepted, version)
+            self.accepted_version = max(self.accepted_version, version)
 
-    async def fault(self):
+    async def inject_random_fault(self):
         r = self.rnd
         for_s = r.uniform(0.2, 3.0)
         node, up = r.randrange(NODES), r.randrange(UPSTREAMS)
@@ -324,41 +338,41 @@
         kind = r.choice(["kill", "kill", "term", "freeze", "hup", "killup", "reset", "delay", "silent", "mute",
                          "late", "lost", "fails", "hangs", "slowup", "drain", "down", "slow", "lose", "forget",
                          "deal", "config", "herd"])
-        takes = {"kill": {f"node{node}"}, "term": {f"node{node}"}, "freeze": {f"node{node}"}, "hup": {f"node{node}"},
+        targets = {"kill": {f"node{node}"}, "term": {f"node{node}"}, "freeze": {f"node{node}"}, "hup": {f"node{node}"},
                  "killup": {f"up{up}"}, "drain": {f"up{up}"},
                  "herd": {f"node{i}" for i in range(NODES)}}.get(kind, set())
-        if takes & self.held:
+        if targets & self.faulted:
             return
-        self.held |= takes
+        self.faulted |= targets
         from_ms = now_ms()
         try:
             await self.inject(kind, node, up, proxy, for_s)
         finally:
-            self.held -= takes
+            self.faulted -= targets
             if kind in ("down", "slow", "lose", "forget", "silent", "mute", "delay", "reset"):
-                self.dim.append((from_ms, now_ms() + 1000))
+                self.store_faults.append((from_ms, now_ms() + 1000))
 
     async def inject(self, kind, node, up, proxy, for_s):
         r = self.rnd
         post = lambda port, path, body: asyncio.to_thread(call, "POST", port, path, body, 1)
-        self.log(f"{kind} node{node} up{up} {proxy.port} {for_s:.1f}s")
+        self.log_fault(f"{kind} node{node} up{up} {proxy.port} {for_s:.1f}s")
         if kind in ("kill", "term"):
             self.kill(f"node{node}", signal.SIGKILL if kind == "kill" else signal.SIGTERM)
             if kind == "term":
                 await asyncio.to_thread(self.procs[f"node{node}"].wait)
             await asyncio.sleep(for_s if kind == "kill" else 0)
             self.start_node(node)
-        elif kind == "freeze" and f"node{node}" not in self.meant:
+        elif kind == "freeze" and f"node{node}" not in self.may_exit:
             p = self.procs[f"node{node}"]
-            self.node_down.setdefault(node, []).append(now_ms())
+            self.node_down_ms.setdefault(node, []).append(now_ms())
             p.send_signal(signal.SIGSTOP)
             self.paused.add(f"node{node}")
             await asyncio.sleep(for_s)
             if f"node{node}" in self.paused:
                 p.send_signal(signal.SIGCONT)
                 self.paused.discard(f"node{node}")
-        # A program that is still being loaded has no handler: the signal ends it.
-        elif kind == "hup" and f"node{node}" not in self.meant and now_ms() - self.node_ms[node] > START_S * 1000:
+        # SIGHUP ends a process that is still being loaded and has no signal handler yet.
+        elif kind == "hup" and f"node{node}" not in self.may_exit and now_ms() - self.node_start_ms[node] > HANDLER_S * 1000:
             self.procs[f"node{node}"].send_signal(signal.SIGHUP)
         elif kind == "killup":
             self.kill(f"up{up}")
@@ -367,12 +381,12 @@
         elif kind == "reset":
             proxy.reset()
         elif kind in ("delay", "silent", "mute"):
-            proxy.delay = 0.03 if kind == "delay" else 0
-            proxy.silent, proxy.mute = kind == "silent", kind == "mute"
+            proxy.delay_s = 0.03 if kind == "delay" else 0
+            proxy.blocked, proxy.answers_blocked = kind == "silent", kind == "mute"
             from_ms = now_ms()
             await asyncio.sleep(for_s)
             proxy.heal()
-            self.cuts.setdefault(proxy.port, []).append((from_ms, now_ms()))
+            self.link_faults.setdefault(proxy.port, []).append((from_ms, now_ms()))
         elif kind in ("late", "lost"):
             await post(self.port("up", up), "/v1/run-faults",
                        {"lose_starts": r.randint(1, 4), "lose_stops": r.randint(0, 2), "lose_holds": r.randint(0, 2),
@@ -385,10 +399,10 @@
             await post(self.port("up", up), "/v1/run-faults", {"slow_percent": 400})
             await asyncio.sleep(for_s)
             await post(self.port("up", up), "/v1/run-faults", {"slow_percent": 100})
-        elif kind == "drain" and up not in self.left:
+        elif kind == "drain" and up not in self.drain_since_ms:
             status, _ = await post(self.port("up", up), "/v1/mode", {"mode": "drain"})
             if status == 200:
-                self.left[up] = now_ms()
+                self.drain_since_ms[up] = now_ms()
                 await asyncio.sleep(4)
                 self.kill(f"up{up}")
                 self.start_upstream(up)
@@ -401,7 +415,7 @@
             await post(self.port("platform", 0), "/v1/store-faults",
                        {"drop_history": kind == "forget", "deal_anew": kind == "deal"})
         elif kind == "config":
-            await self.publish()
+            await self.publish_config()
         elif kind == "herd":
             for i in range(NODES):
                 self.kill(f"node{i}")
@@ -409,82 +423,90 @@
             for i in range(NODES):
                 self.start_node(i)
 
-    def log(self, text):
+    def log_fault(self, text):
         with open(f"{self.dir}/faults.log", "a") as f:
             f.write(f"{now_ms():.0f} {text}\n")
 
-    # ---- verdicts
-    def runs(self):
-        """Rows of task, upstream, start and end in ms, how it ended."""
+    # ---- checks
+    def read_runs(self):
+        """Returns a row per run: task, upstream, start and end in ms, how it ended."""
         rows = []
         for i in range(UPSTREAMS):
             open_runs, path = {}, f"{self.dir}/up{i}.runs"
-            lines = [json.loads(x) for x in open(path)] if os.path.exists(path) else []
-            for x in lines:
-                key = (x["task"], x["run"])
-                if x["event"] == "start":
-                    # A dead process starts nothing: one that seems to have died just before died just after.
-                    died = [max(k, x["ms"]) for k in self.kills.get(i, []) if k >= x["ms"] - CLOCKS_MS]
-                    open_runs[key] = [x["task"], i, x["ms"], min(died, default=float("inf")), "killed"]
-                    # Seed 8026: an instance whose reads of the store were cut did not know of a smaller capacity.
-                    unknown = any(c < x["ms"] and any(f < x["ms"] and t > c for f, t in self.dim)
-                                  for c in self.shrunk.get(i, []) if x["ms"] - c < DIM_S * 1000)
-                    if x["how"] == "over_capacity" and (len(open_runs) > SLOTS or not unknown):
-                        self.findings.append(f"room: up{i} over its capacity at {x['ms']} by {x['task']}")
+            events = [json.loads(x) for x in open(path)] if os.path.exists(path) else []
+            for run_event in events:
+                key = (run_event["task"], run_event["run"])
+                if run_event["event"] == "start":
+                    # A dead process starts nothing, so a death that seems to be just before a start, within the
+                    # error of the clocks, was just after it.
+                    died = [max(down, run_event["ms"]) for down in self.upstream_down_ms.get(i, [])
+                            if down >= run_event["ms"] - CLOCK_ERROR_MS]
+                    open_runs[key] = [run_event["task"], i, run_event["ms"], min(died, default=float("inf")), "killed"]
+                    # An instance that could not read the store had no way to know of a smaller capacity.
+                    excused = any(changed < run_event["ms"]
+                                  and any(fault_ms < run_event["ms"] and healed_ms > changed
+                                          for fault_ms, healed_ms in self.store_faults)
+                                  for changed in self.capacity_changes.get(i, [])
+                                  if run_event["ms"] - changed < STORE_FAULT_GRACE_S * 1000)
+                    if run_event["how"] == "over_capacity" and (len(open_runs) > SLOTS or not excused):
+                        self.findings.append(f"room: up{i} over its capacity at {run_event['ms']} by {run_event['task']}")
                 elif key in open_runs:
                     row = open_runs.pop(key)
-                    rows.append(row[:3] + [x["ms"], x["how"]])
+                    rows.append(row[:3] + [run_event["ms"], run_event["how"]])
             rows += open_runs.values()
         return rows
 
-    def crashes(self):
-        """Of each job: when its tasks crashed which upstream."""
-        by_job, to_boot = {}, now_ms() - time.time() * 1000
+    def read_crashes(self):
+        """Returns the crashes by job: the ms of each crash and its upstream."""
+        by_job, boot_offset_ms = {}, now_ms() - time.time() * 1000
         for i in range(UPSTREAMS):
             for line in open(f"{self.dir}/up{i}.log", errors="replace"):
                 if "crashed by " not in line:
                     continue
                 e = json.loads(line)
-                ms = e["ts_ms"] + to_boot + POISON_MS
+                ms = e["ts_ms"] + boot_offset_ms + POISON_CRASH_MS
                 by_job.setdefault(e["message"].split()[2].split("/")[0], []).append((ms, i))
-                self.kills.setdefault(i, []).append(ms)
+                self.upstream_down_ms.setdefault(i, []).append(ms)
         return by_job
 
-    def poison_starts(self):
-        """Of each job that crashes upstreams: when which instance started it."""
-        starts, to_boot = {}, now_ms() - time.time() * 1000
+    def read_poison_starts(self):
+        """Returns the starts by poison job: the ms of each start and the instance that started it."""
+        starts, boot_offset_ms = {}, now_ms() - time.time() * 1000
         for i in range(NODES):
             for line in open(f"{self.dir}/node{i}.log", errors="replace"):
                 if '"event":"task_started","job":"p-' in line:
                     e = json.loads(line)
-                    starts.setdefault(e["job"], []).append((e["ts_ms"] + to_boot, i))
+                    starts.setdefault(e["job"], []).append((e["ts_ms"] + boot_offset_ms, i))
         return starts
 
-    def noticed(self, starts, ms):
-        """Did the instance live that had started what crashed an upstream then?"""
-        owners = [i for at, i in starts if -50 < ms - POISON_MS - at < 1000]
-        return not any(-100 < d - ms < NOTICED_S * 1000 for i in owners for d in self.node_down.get(i, []))
+    def crash_noticed(self, starts, ms):
+        """Returns whether the instance that started the crashing task lived long enough to notice the crash at ms."""
+        owners = [i for start_ms, i in starts if -50 < ms - POISON_CRASH_MS - start_ms < 1000]
+        return not any(-100 < down - ms < CRASH_NOTICE_S * 1000
+                       for i in owners for down in self.node_down_ms.get(i, []))
 
-    def judge_poison(self, by_job):
-        starts = self.poison_starts()
+    def check_poison_jobs(self, by_job):
+        starts = self.read_poison_starts()
         for job, crashes in by_job.items():
-            since = {}
+            noticed_by_period = {}
             for ms, up in crashes:
-                since.setdefault(sum(f < ms for f in self.forgot), []).append(self.noticed(starts.get(job, []), ms))
-            if any(sum(n) > CRASHES or len(n) > ALL_CRASHES for n in since.values()):
+                noticed_by_period.setdefault(sum(lost < ms for lost in self.counts_lost_ms), []).append(
+                    self.crash_noticed(starts.get(job, []), ms))
+            if any(sum(noticed) > MAX_CRASHES or len(noticed) > MAX_ALL_CRASHES
+                   for noticed in noticed_by_period.values()):
                 self.findings.append(f"poison: {job} crashed {crashes}")
-        for job, said in self.poison.items():
-            if any(t == "complete" for _, t in said):
+        for job, answers in self.poison_answers.items():
+            if any(job_status == "complete" for _, job_status in answers):
                 self.findings.append(f"poison: {job} was complete")
         for i in range(NODES):
             for line in open(f"{self.dir}/node{i}.log", errors="replace"):
                 if '"event":"task_given_up"' in line and not json.loads(line)["job"].startswith("p"):
                     self.findings.append(f"poison: node{i} gave up {json.loads(line)['job']}")
 
-    def judge(self):
-        self.judge_poison(self.crashes())
+    def check_runs(self):
+        self.check_poison_jobs(self.read_crashes())
         by_task, starts, done = {}, {}, set()
-        for task, up, start, end, how in sorted(self.runs(), key=lambda r: r[2]):
+        for task, up, start, end, how in sorted(self.read_runs(), key=lambda r: r[2]):
             job = task.split("/")[0]
             starts[job] = starts.get(job, 0) + 1
             if how == "done":
@@ -493,27 +515,28 @@
                 if start < end2 and start2 < end:
                     self.findings.append(f"twice: {task} on up{up2} {start2:.0f}-{end2:.0f} and up{up} {start:.0f}-{end:.0f}")
             by_task.setdefault(task, []).append((up, start, end))
-            # Seed 204: an instance whose reads of the store were cut had no way to know.
-            if any(l + DRAIN_S * 1000 < start < k and not any(f < start and t > l for f, t in self.dim)
-                   for l, k in self.left_at.get(up, [])):
+            # An instance that could not read the store had no way to know that the upstream was draining.
+            if any(drained + DRAIN_GRACE_S * 1000 < start < gone
+                   and not any(fault_ms < start and healed_ms > drained for fault_ms, healed_ms in self.store_faults)
+                   for drained, gone in self.drain_periods.get(up, [])):
                 self.findings.append(f"leaving: {task} started on up{up} at {start:.0f}")
-        self.judge_kept()
-        for job, j in self.jobs.items():
-            said = [a for a in j["answers"]]
-            if any(s == 200 and t == "complete" for s, t in said):
-                missing = [k for k in range(j["tasks"]) if f"{job}/{k}.0" not in done]
+        self.check_kept_jobs()
+        for job, submitted in self.jobs.items():
+            answers = [a for a in submitted["answers"]]
+            if any(s == 200 and t == "complete" for s, t in answers):
+                missing = [k for k in range(submitted["tasks"]) if f"{job}/{k}.0" not in done]
                 if missing:
                     self.findings.append(f"whole: {job} was complete without tasks {missing}")
-            if said and all(s in (429, 503) for s, _ in said) and job in starts:
+            if answers and all(s in (429, 503) for s, _ in answers) and job in starts:
                 self.findings.append(f"unrun: {job} was refused and started {starts[job]} tasks")
-            if j["once"]:
-                again = [t for t, r in by_task.items() if t.split("/")[0] == job and len(r) > 1]
-                if again:
-                    self.findings.append(f"once: {again} started more than once")
+            if submitted["once"]:
+                repeated = [t for t, r in by_task.items() if t.split("/")[0] == job and len(r) > 1]
+                if repeated:
+                    self.findings.append(f"once: {repeated} started more than once")
 
-    def judge_knew(self):
+    def check_draining_starts(self):
         for i in range(NODES):
-            draining = {}  # upstream -> ts_ms of the line that listed it so
+            draining = {}  # upstream -> ts_ms of the log line that listed it as draining
             for line in open(f"{self.dir}/node{i}.log", errors="replace"):
                 try:
                     e = json.loads(line)
@@ -533,29 +556,34 @@
                 elif event == "task_started_draining" and e["ts_ms"] - e["sent_ms"] > draining[up] + 1:
                     self.findings.append(f"knew: node{i} sent {e['job']}/{e['task']} to {up} at {e['ts_ms'] - e['sent_ms']}")
 
-    def judge_kept(self):
+    def check_kept_jobs(self):
         rows = {}
-        for task, up, start, end, how in self.runs():
+        for task, up, start, end, how in self.read_runs():
             rows.setdefault(task, []).append((start, end, how, up))
-        for job, k in self.kept.items():
-            mine = {t: sorted(r) for t, r in rows.items() if t.split("/")[0] == job}
-            failed = any(how not in ("done", "stopped") for r in mine.values() for _, _, how, _ in r)
-            if k["accepted"] and not (k["state"] == "completed" or (k["state"] == "cancelled" and k["asked"])
-                                      or (k["state"] == "failed" and failed)):
-                self.findings.append(f"kept: {job} was accepted and is {k['state']}")
-            if k["accepted"] and k["state"] == "completed":
-                missing = [i for i in range(k["tasks"]) if not any(h == "done" for _, _, h, _ in mine.get(f"{job}/{i}.0", []))]
+        for job, kept_job in self.kept_jobs.items():
+            job_runs = {t: sorted(r) for t, r in rows.items() if t.split("/")[0] == job}
+            failed = any(how not in ("done", "stopped") for r in job_runs.values() for _, _, how, _ in r)
+            if kept_job["accepted"] and not (kept_job["state"] == "completed"
+                                             or (kept_job["state"] == "cancelled" and kept_job["asked"])
+                                             or (kept_job["state"] == "failed" and failed)):
+                self.findings.append(f"kept: {job} was accepted and is {kept_job['state']}")
+            if kept_job["accepted"] and kept_job["state"] == "completed":
+                missing = [i for i in range(kept_job["tasks"])
+                           if not any(h == "done" for _, _, h, _ in job_runs.get(f"{job}/{i}.0", []))]
                 if missing:
                     self.findings.append(f"kept: {job} is completed without tasks {missing}")
-            for task, r in mine.items():
+            for task, r in job_runs.items():
                 for start, end, how, up in r:
                     later = [s for s, _, _, _ in r if s > end]
-                    upset = self.kills.get(up, []) + [x for c in self.cuts.get(self.port("px-up", up), []) for x in c]
-                    upset += [x for c in self.cuts.get(self.port("px-up", up), []) if c[0] < end < c[1] for x in (end,)]
-                    if how == "done" and later and not any(end - 1500 < u < later[0] + 1500 for u in upset):
+                    disruptions = self.upstream_down_ms.get(up, []) + [
+                        x for c in self.link_faults.get(self.port("px-up", up), []) for x in c]
+                    disruptions += [x for c in self.link_faults.get(self.port("px-up", up), [])
+                                    if c[0] < end < c[1] for x in (end,)]
+                    if how == "done" and later and not any(end - 1500 < at < later[0] + 1500 for at in disruptions):
                         self.findings.append(f"again: {task} done on up{up} at {end:.0f}, started at {later[0]:.0f}")
-                    if k["cancelled_ms"] and start > k["cancelled_ms"] + 1000:
-                        self.findings.append(f"cancelled: {task} started at {start:.0f}, cancelled at {k['cancelled_ms']:.0f}")
+                    if kept_job["cancelled_ms"] and start > kept_job["cancelled_ms"] + 1000:
+                        self.findings.append(f"cancelled: {task} started at {start:.0f}, "
+                                             f"cancelled at {kept_job['cancelled_ms']:.0f}")
 
     async def run(self):
         for i in range(NODES):
@@ -567,27 +595,27 @@
             await p.start()
         self.start_platform()
         await asyncio.sleep(0.3)
-        await self.publish()
+        await self.publish_config()
         for i in range(UPSTREAMS):
             self.start_upstream(i)
         for i in range(NODES):
             self.start_node(i)
         await asyncio.sleep(2)
-        callers = [asyncio.create_task(self.caller(k)) for k in range(8)]
-        callers += [asyncio.create_task(self.kept_caller(k)) for k in range(2)]
-        callers += [asyncio.create_task(self.poison_caller()), asyncio.create_task(self.change_capacity())]
+        callers = [asyncio.create_task(self.run_caller(k)) for k in range(8)]
+        callers += [asyncio.create_task(self.run_kept_caller(k)) for k in range(2)]
+        callers += [asyncio.create_task(self.run_poison_caller()), asyncio.create_task(self.change_capacities())]
         watch = asyncio.create_task(self.watch_config())
-        until, busy = time.monotonic() + self.args.seconds, []
-        while time.monotonic() < until:
+        deadline, active_faults = time.monotonic() + self.args.seconds, []
+        while time.monotonic() < deadline:
             self.check_exits()
-            busy = [b for b in busy if not b.done()]
-            if len(busy) < 3:
-                busy.append(asyncio.create_task(self.fault()))
+            active_faults = [active for active in active_faults if not active.done()]
+            if len(active_faults) < 3:
+                active_faults.append(asyncio.create_task(self.inject_random_fault()))
             await asyncio.sleep(self.rnd.uniform(0.1, 0.8))
-        await asyncio.gather(*busy)
+        await asyncio.gather(*active_faults)
         for p in self.proxies.values():
             p.heal()
-        self.end = True
+        self.stopping = True
         await asyncio.gather(*callers, watch)
         await asyncio.sleep(SETTLE_S)
         self.check_exits()
@@ -597,43 +625,44 @@
             if answer.get("status") != "complete":
                 self.findings.append(f"back: node{i} answers {status} {answer.get('why')}")
             _, state = await asyncio.to_thread(call, "GET", self.port("state", i), "/", None, 2)
-            if not self.accepted <= (state.get("config_version") or -1) <= self.version:
-                self.findings.append(f"config: node{i} has {state.get('config_version')}, {self.accepted} was accepted")
-        await self.await_kept()
+            if not self.accepted_version <= (state.get("config_version") or -1) <= self.published_version:
+                self.findings.append(f"config: node{i} has {state.get('config_version')}, "
+                                     f"{self.accepted_version} was accepted")
+        await self.wait_for_kept_jobs()
         await asyncio.sleep(1)
-        self.judge()
-        self.judge_knew()
+        self.check_runs()
+        self.check_draining_starts()
 
 
-async def soak(seed, args, slot):
+async def soak(seed, args, port_block):
     folder = f"{args.keep}/seed-{seed}" if args.keep else tempfile.mkdtemp(prefix="soak-")
     shutil.rmtree(folder, ignore_errors=True)
     os.makedirs(folder)
-    w = World(seed, args, folder, args.port + slot * 100)
+    fixture = Fixture(seed, args, folder, args.port + port_block * 100)
     try:
-        await w.run()
+        await fixture.run()
     finally:
-        for name in list(w.procs):
-            w.kill(name)
-        for p in w.proxies.values():
+        for name in list(fixture.procs):
+            fixture.kill(name)
+        for p in fixture.proxies.values():
             if not p.server:
                 continue
             p.server.close()
             p.reset()
-    complete = sum(any(t == "complete" for _, t in j["answers"]) for j in w.jobs.values())
-    kept = sum(k["accepted"] for k in w.kept.values())
-    over = sum(k.get("state") == "completed" for k in w.kept.values())
-    print(f"seed {seed}: {len(w.jobs)} jobs, {complete} complete, {kept} kept, {over} completed, "
-          f"{len(w.findings)} findings", flush=True)
-    for f in w.findings[:10]:
+    complete = sum(any(t == "complete" for _, t in j["answers"]) for j in fixture.jobs.values())
+    kept = sum(k["accepted"] for k in fixture.kept_jobs.values())
+    completed = sum(k.get("state") == "completed" for k in fixture.kept_jobs.values())
+    print(f"seed {seed}: {len(fixture.jobs)} jobs, {complete} complete, {kept} kept, {completed} completed, "
+          f"{len(fixture.findings)} findings", flush=True)
+    for f in fixture.findings[:10]:
         print(f"  seed {seed}: {f}", flush=True)
-    if not w.findings and not args.keep:
+    if not fixture.findings and not args.keep:
         shutil.rmtree(folder)
-    return len(w.findings)
+    return len(fixture.findings)
 
 
 def free_block(n):
-    """Ports above the tests' and below the ephemeral ones, free at the moment."""
+    """Returns the first of n ports above those of the tests and below the ephemeral ones, free at the moment."""
     for base in range(30100, 32700 - n, 300):
         try:
             for port in (base, base + 20, base + 100):
@@ -650,12 +679,12 @@
     ap = argparse.ArgumentParser(description="randomized fault soak of real processes")
     ap.add_argument("--seed", type=int, help="first seed (default: drawn)")
     ap.add_argument("--seeds", type=int, default=1)
-    ap.add_argument("--file", help="play the seeds at the starts of its lines")
-    ap.add_argument("--seconds", type=float, default=15, help="of faults a seed")
-    ap.add_argument("--jobs", type=int, default=3, help="seeds at a time")
+    ap.add_argument("--file", help="run the seeds at the starts of its lines")
+    ap.add_argument("--seconds", type=float, default=15, help="seconds of faults per seed")
+    ap.add_argument("--jobs", type=int, default=3, help="seeds run at a time")
     ap.add_argument("--bin", default=f"{here}/../build")
-    ap.add_argument("--keep", help="folder for logs; kept on findings anyway")
-    ap.add_argument("--port", type=int, help="first of 100 ports a seed at a time (default: a free block)")
+    ap.add_argument("--keep", help="folder for logs; the default, a temporary one, is kept on findings")
+    ap.add_argument("--port", type=int, help="first port; 100 a seed at a time (default: a free block)")
     args = ap.parse_args()
     if args.port is None:
         args.port = free_block(args.jobs * 100)
@@ -663,16 +692,16 @@
     if args.file:
         seeds = [int(x.split()[0]) for x in open(args.file) if x[:1].isdigit()]
     first = args.seed if args.seed is not None else random.SystemRandom().randrange(10**6)
-    slots = asyncio.Queue()
-    for s in range(args.jobs):
-        slots.put_nowait(s)
+    port_blocks = asyncio.Queue()
+    for block in range(args.jobs):
+        port_blocks.put_nowait(block)
 
     async def one(seed):
-        slot = await slots.get()
+        port_block = await port_blocks.get()
         try:
-            return await soak(seed, args, slot)
+            return await soak(seed, args, port_block)
         finally:
-            slots.put_nowait(slot)
+            port_blocks.put_nowait(port_block)
     found = await asyncio.gather(*(one(k) for k in seeds or range(first, first + args.seeds)))
     failed = sum(f > 0 for f in found)
     print(f"{len(found) - failed} passed, {failed} failed")
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Build and run every test (check, under ctest).
+# Builds everything and runs the tests (written with check) under ctest.  The
+# arguments are passed to ctest.
 set -euo pipefail
 here=$(cd "$(dirname "$0")/.." && pwd)
 "$here/scripts/setup.sh"
